--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -128,9 +128,9 @@
 
 /// Ends what the member has taken: writes that a writer may count on, and the bytes of their answers.
 async fn drain(member: &Member, door: &Door, stop: Stop, clock: &Clock) {
-    member.stop();
+    member.refuse_writes();
     let left = stop.left(clock.now()).as_duration();
-    if timeout(left, member.written()).await.is_err() {
+    if timeout(left, member.wait_for_writes()).await.is_err() {
         log::warn!("text=\"the disk has not ended its writes\"");
     }
     door.closing.cancel();
--- a/crates/relay/tests/lost.rs
+++ b/crates/relay/tests/lost.rs
@@ -45,10 +45,10 @@
     let now = node.clock.now();
     assert!(node.records().note(Look::Enough, now));
     assert!(!node.records().note(Look::TooFew, now));
-    records::doubt(&node, &Fault::Learning).await;
+    records::doubt(&node, &Fault::CatchingUp).await;
     let lines = LINES.0.lock().unwrap();
     let event = format!("event=E{} ", Event::MembersLost.number());
     let told: Vec<&String> = lines.iter().filter(|line| line.contains(&event)).collect();
     assert_eq!(told.len(), 1, "{lines:?}");
-    assert!(told[0].contains(&Fault::Learning.to_string()), "{told:?}");
+    assert!(told[0].contains(&Fault::CatchingUp.to_string()), "{told:?}");
 }
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -52,7 +52,7 @@
     NoList,
     /// The members haven't yet learnt all that was acknowledged before their list.
     #[display("the members with a disk are still learning")]
-    Learning,
+    CatchingUp,
     /// The list changed too often meanwhile.
     #[display("the list of members changed meanwhile")]
     Relisted,
@@ -104,7 +104,7 @@
     async fn bear(&mut self, fault: Fault) -> Result<()> {
         match fault {
             Fault::Relisted if self.relisted + 1 < RELISTED => self.relisted += 1,
-            Fault::Learning if self.learning < LEARNING_TRIES => {
+            Fault::CatchingUp if self.learning < LEARNING_TRIES => {
                 self.learning += 1;
                 tokio::time::sleep(LEARNING_PAUSE).await;
             }
@@ -258,7 +258,7 @@
                     self.adopt(newer);
                     return Err(Fault::Relisted);
                 }
-                Some(Answer::NotReady) => fault = Fault::Learning,
+                Some(Answer::NotReady) => fault = Fault::CatchingUp,
                 _ => {}
             }
             if known.len() >= list::majority(group.len()) {
@@ -315,7 +315,7 @@
                     self.adopt(newer);
                     return Err(Fault::Relisted);
                 }
-                Some(Answer::NotReady) => fault = Fault::Learning,
+                Some(Answer::NotReady) => fault = Fault::CatchingUp,
                 _ => {}
             }
             if absent >= list::majority(group.len()) {
--- a/crates/replica/src/server.rs
+++ b/crates/replica/src/server.rs
@@ -187,12 +187,12 @@
 
     /// Refuses writes from now on, as the process stops: a writer that waits for one that it may not
     /// finish loses time in which the other members decide.
-    pub fn stop(&self) {
+    pub fn refuse_writes(&self) {
         self.writes.close();
     }
 
-    /// Waits until the writes that were taken before [`Self::stop`] have their answers.
-    pub async fn written(&self) {
+    /// Waits until the writes that were taken before [`Self::refuse_writes`] have their answers.
+    pub async fn wait_for_writes(&self) {
         self.writes.wait().await;
     }
 
