--- a/crates/replica/src/call.rs
+++ b/crates/replica/src/call.rs
@@ -21,9 +21,9 @@
 use crate::message::Body;
 
 /// How long a member may take to answer: some hundred times a sync and a way across data centres.
-pub const ANSWER: Duration = Duration::from_millis(700);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// The longest answer in bytes.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 
 /// Asks a member; `None` where it fails in any way.
 pub async fn ask(
@@ -37,7 +37,7 @@
 
 /// Asks a member what [`encode`] made for the list; one that goes by an older list is told this one
 /// and asked again. `None` where it fails in any way.
-pub async fn ask_by(
+pub async fn ask_with_list(
     http: &Arc<Client>,
     member: &Member,
     list: &List,
@@ -73,9 +73,9 @@
         .ok()?;
     let exchange = async {
         let reply = http.send(address, request).await?;
-        reply.body.whole(MAX_ANSWER).await
+        reply.body.whole(MAX_ANSWER_BYTES).await
     };
-    let bytes = match timeout(ANSWER, exchange).await {
+    let bytes = match timeout(ANSWER_TIMEOUT, exchange).await {
         Ok(Ok(bytes)) => bytes,
         Ok(Err(fault)) => {
             log::debug!("member {address}: {fault}");
--- a/crates/replica/src/gain.rs
+++ b/crates/replica/src/catch_up.rs
@@ -28,10 +28,10 @@
 /// Yields what the member `own` has to learn for a list, if it has learnt all up to version `ready`.
 #[must_use]
 pub fn scope(list: &List, own: &Member, ready: u64, losses: usize) -> Scope {
-    let before = list.earlier();
-    let held = ready + 1 == list.version && before.holds(own);
-    let same = before.group_size(losses) == list.group_size(losses);
-    if held && same && is_partial(list, losses) {
+    let before = list.previous();
+    let was_caught_up = ready + 1 == list.version && before.has_member(own);
+    let same_group_size = before.group_size(losses) == list.group_size(losses);
+    if was_caught_up && same_group_size && is_partial(list, losses) {
         Scope::Gained
     } else {
         Scope::All
@@ -45,44 +45,49 @@
 /// others take it for one that had, and learn from it. Without that share, the copies that they
 /// count on aren't there, and a majority calls an acknowledged turn absent.
 #[must_use]
-pub fn is_wanted(list: &List, before: &List, own: &Member, key: Key, losses: usize) -> bool {
+pub fn must_hold(list: &List, before: &List, own: &Member, key: Key, losses: usize) -> bool {
     let in_group = |list: &List| list.group(key, losses).contains(&own);
     in_group(list) || in_group(before)
 }
 
-/// Tells whether a member has learnt enough of a list's earlier members: `heard` have told what
-/// they hold, `whole` of them had learnt their own share.
+/// Tells whether a member has learnt enough of a list's earlier members: `answered` have told what
+/// they hold, `caught_up` of them had learnt their own share.
 ///
 /// Those heard meet every majority, so that the others are too few to go on with the earlier list.
 /// Where members hold everything, one that had learnt all is enough; where they hold a share, so
 /// many are needed that they meet every majority that may have a fact.
 #[must_use]
-pub fn is_enough(list: &List, heard: &[&Member], whole: &[&Member], losses: usize) -> bool {
-    let before = list.earlier();
-    let meeting = list::meeting(before.group_size(losses));
+pub fn has_enough_sources(
+    list: &List,
+    answered: &[&Member],
+    caught_up: &[&Member],
+    losses: usize,
+) -> bool {
+    let before = list.previous();
+    let blocking = list::blocking_size(before.group_size(losses));
     let needed = if is_partial(&before, losses) {
-        meeting
+        blocking
     } else {
         1
     };
     before.members.is_empty()
-        || (before.covers(heard, losses, meeting) && before.covers(whole, losses, needed))
+        || (before.covers(answered, losses, blocking) && before.covers(caught_up, losses, needed))
 }
 
 /// Yields which members get which of the keys by a change of the list.
 #[must_use]
-pub fn gains(list: &List, keys: &[Key], losses: usize) -> Vec<(String, Key)> {
-    let before = list.earlier();
-    let mut gains = Vec::new();
+pub fn gained_keys(list: &List, keys: &[Key], losses: usize) -> Vec<(String, Key)> {
+    let before = list.previous();
+    let mut gained = Vec::new();
     for key in keys {
         let earlier = before.group(*key, losses);
         for member in list.group(*key, losses) {
             if !earlier.contains(&member) {
-                gains.push((member.vm.clone(), *key));
+                gained.push((member.vm.clone(), *key));
             }
         }
     }
-    gains
+    gained
 }
 
 fn is_partial(list: &List, losses: usize) -> bool {
--- a/crates/replica/src/gain/tests.rs
+++ b/crates/replica/src/catch_up/tests.rs
@@ -5,9 +5,9 @@
 use proptest::proptest;
 
 use super::Scope;
-use super::gains;
-use super::is_enough;
-use super::is_wanted;
+use super::gained_keys;
+use super::has_enough_sources;
+use super::must_hold;
 use super::scope;
 use crate::list;
 use crate::list::List;
@@ -31,52 +31,56 @@
 
 /// One member as the model has it: what it holds, and up to which version it has learnt.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct Replica {
     keys: Vec<u64>,
     ready: u64,
 }
 
 /// A deployment of which only the decisions are real.
-struct World {
+struct Model {
     list: List,
-    held: Vec<(Member, Held)>,
+    replicas: Vec<(Member, Replica)>,
     acknowledged: Vec<u64>,
-    draw: u64,
+    random_state: u64,
 }
 
-impl World {
-    fn new(members: u8, draw: u64) -> Self {
+impl Model {
+    fn new(members: u8, seed: u64) -> Self {
         let list = (0..members).fold(List::default(), |list, at| list.with(&member(at)));
-        let whole = Held {
+        let empty = Replica {
             keys: Vec::new(),
             ready: list.version,
         };
-        let held = list.members.iter().map(|of| (of.clone(), whole.clone()));
+        let replicas = list
+            .members
+            .iter()
+            .map(|member| (member.clone(), empty.clone()));
         Self {
-            held: held.collect(),
+            replicas: replicas.collect(),
             list,
             acknowledged: Vec::new(),
-            draw,
+            random_state: seed,
         }
     }
 
-    fn draw(&mut self) -> u64 {
-        self.draw = self
-            .draw
+    fn random(&mut self) -> u64 {
+        self.random_state = self
+            .random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        self.draw >> 33
+        self.random_state >> 33
     }
 
-    fn held(&mut self, of: &Member) -> &mut Held {
-        let at = self.held.iter().position(|(known, _)| known == of);
-        &mut self.held[at.expect("every member is in the world")].1
+    fn replica(&mut self, member: &Member) -> &mut Replica {
+        let at = self.replicas.iter().position(|(known, _)| known == member);
+        &mut self.replicas[at.expect("every member is in the model")].1
     }
 
     /// Draws so many of the members.
-    fn some(&mut self, of: &[Member], count: usize) -> Vec<Member> {
-        let mut drawn: Vec<(u64, Member)> = of.iter().map(|m| (self.draw(), m.clone())).collect();
-        drawn.sort_by_key(|(salt, _)| *salt);
+    fn pick(&mut self, members: &[Member], count: usize) -> Vec<Member> {
+        let mut drawn: Vec<(u64, Member)> =
+            members.iter().map(|m| (self.random(), m.clone())).collect();
+        drawn.sort_by_key(|(rank, _)| *rank);
         drawn.truncate(count);
         drawn.into_iter().map(|(_, member)| member).collect()
     }
@@ -90,29 +94,29 @@
     fn write(&mut self) {
         let number = self.acknowledged.len() as u64;
         let group = self.group(number);
-        for member in self.some(&group, list::majority(group.len())) {
-            self.held(&member).keys.push(number);
+        for member in self.pick(&group, list::majority(group.len())) {
+            self.replica(&member).keys.push(number);
         }
         self.acknowledged.push(number);
     }
 
     /// The list changes, and members learn one by one from as few as the decisions allow; the last
     /// ones may not have learnt when the list changes again.
-    fn change(&mut self, next: List, late: usize) {
+    fn change(&mut self, next: List, lagging: usize) {
         if self
-            .held
+            .replicas
             .iter()
             .all(|(known, _)| next.members.contains(known))
         {
             for member in &next.members {
-                if !self.held.iter().any(|(known, _)| known == member) {
-                    self.held.push((member.clone(), Held::default()));
+                if !self.replicas.iter().any(|(known, _)| known == member) {
+                    self.replicas.push((member.clone(), Replica::default()));
                 }
             }
         }
         self.list = next;
         let members = self.list.members.clone();
-        let learners = self.some(&members, members.len().saturating_sub(late));
+        let learners = self.pick(&members, members.len().saturating_sub(lagging));
         for own in learners {
             self.learn(&own);
         }
@@ -122,71 +126,71 @@
         let list = self.list.clone();
         let before = list.before.clone();
         // The fewest that are enough, in a drawn order.
-        let order = self.some(&before, before.len());
-        let mut heard: Vec<Member> = Vec::new();
+        let order = self.pick(&before, before.len());
+        let mut answered: Vec<Member> = Vec::new();
         for from in order {
-            heard.push(from);
-            let refs: Vec<&Member> = heard.iter().collect();
-            let whole: Vec<&Member> = heard
+            answered.push(from);
+            let refs: Vec<&Member> = answered.iter().collect();
+            let caught_up: Vec<&Member> = answered
                 .iter()
-                .filter(|of| {
-                    self.held
-                        .iter()
-                        .any(|(known, held)| known == *of && held.ready + 1 >= list.version)
+                .filter(|member| {
+                    self.replicas.iter().any(|(known, replica)| {
+                        known == *member && replica.ready + 1 >= list.version
+                    })
                 })
                 .collect();
-            if is_enough(&list, &refs, &whole, LOSSES) {
+            if has_enough_sources(&list, &refs, &caught_up, LOSSES) {
                 break;
             }
         }
-        let whole: Vec<Member> = heard
+        let caught_up: Vec<Member> = answered
             .iter()
-            .filter(|of| {
-                self.held
+            .filter(|member| {
+                self.replicas
                     .iter()
-                    .any(|(known, held)| known == *of && held.ready + 1 >= list.version)
+                    .any(|(known, replica)| known == *member && replica.ready + 1 >= list.version)
             })
             .cloned()
             .collect();
-        let refs: Vec<&Member> = heard.iter().collect();
-        if !is_enough(&list, &refs, &whole.iter().collect::<Vec<_>>(), LOSSES) {
+        let refs: Vec<&Member> = answered.iter().collect();
+        if !has_enough_sources(&list, &refs, &caught_up.iter().collect::<Vec<_>>(), LOSSES) {
             return;
         }
-        let ready = self.held(own).ready;
-        let what = scope(&list, own, ready, LOSSES);
-        let known: Vec<u64> = heard
+        let ready = self.replica(own).ready;
+        let learn_scope = scope(&list, own, ready, LOSSES);
+        let known: Vec<u64> = answered
             .iter()
-            .flat_map(|from| self.held(from).keys.clone())
+            .flat_map(|from| self.replica(from).keys.clone())
             .collect();
         for number in known {
-            let wanted = match what {
-                Scope::All => is_wanted(&list, &list.earlier(), own, key(number), LOSSES),
-                Scope::Gained => gains(&list, &[key(number)], LOSSES)
+            let needed_here = match learn_scope {
+                Scope::All => must_hold(&list, &list.previous(), own, key(number), LOSSES),
+                Scope::Gained => gained_keys(&list, &[key(number)], LOSSES)
                     .iter()
                     .any(|(vm, _)| *vm == own.vm),
             };
-            if wanted && !self.held(own).keys.contains(&number) {
-                self.held(own).keys.push(number);
+            if needed_here && !self.replica(own).keys.contains(&number) {
+                self.replica(own).keys.push(number);
             }
         }
-        self.held(own).ready = list.version;
+        self.replica(own).ready = list.version;
     }
 
     /// Writes (0), adds a member (1) or takes one off the list (2).
-    fn step(&mut self, (what, number, late): (u8, u8, usize)) {
+    fn step(&mut self, (action, number, lagging): (u8, u8, usize)) {
         let own = member(number);
-        let listed = self.list.holds(&own);
-        match what {
+        let listed = self.list.has_member(&own);
+        match action {
             0 => self.write(),
             1 if !listed && self.may_change() => {
-                self.held.retain(|(known, _)| *known != own);
-                self.held.push((own.clone(), Held::default()));
+                self.replicas.retain(|(known, _)| *known != own);
+                self.replicas.push((own.clone(), Replica::default()));
                 let next = self.list.with(&own);
-                self.change(next, late);
+                self.change(next, lagging);
             }
             2 if listed && self.list.members.len() > 3 && self.may_change() => {
                 let next = self.list.without(&own.vm);
-                self.change(next, late);
+                self.change(next, lagging);
             }
             _ => {}
         }
@@ -195,27 +199,27 @@
     /// Enough members have learnt that the list may change again.
     fn may_change(&self) -> bool {
         let ready: Vec<&Member> = self.ready().collect();
-        let needed = list::meeting(self.list.group_size(LOSSES));
+        let needed = list::blocking_size(self.list.group_size(LOSSES));
         self.list.covers(&ready, LOSSES, needed)
     }
 
     fn ready(&self) -> impl Iterator<Item = &Member> {
         let version = self.list.version;
-        self.list.members.iter().filter(move |of| {
-            let held = self.held.iter().find(|(known, _)| known == *of);
-            held.is_some_and(|(_, held)| held.ready >= version)
+        self.list.members.iter().filter(move |member| {
+            let replica = self.replicas.iter().find(|(known, _)| known == *member);
+            replica.is_some_and(|(_, replica)| replica.ready >= version)
         })
     }
 
     /// Yields a fact that a majority of its group, all of them ready, would call absent.
-    fn lost(&self) -> Option<u64> {
+    fn lost_record(&self) -> Option<u64> {
         let ready: Vec<&Member> = self.ready().collect();
         self.acknowledged.iter().copied().find(|number| {
             let group = self.list.group(key(*number), LOSSES);
-            let absent = group.iter().filter(|of| {
-                let held = self.held.iter().find(|(known, _)| known == **of);
-                let lacks = held.is_none_or(|(_, held)| !held.keys.contains(number));
-                ready.contains(of) && lacks
+            let absent = group.iter().filter(|member| {
+                let replica = self.replicas.iter().find(|(known, _)| known == **member);
+                let lacks = replica.is_none_or(|(_, replica)| !replica.keys.contains(number));
+                ready.contains(member) && lacks
             });
             absent.count() >= list::majority(group.len())
         })
@@ -229,24 +233,24 @@
     #[test]
     fn what_was_acknowledged_outlasts_changes_of_the_list(
         members in 4_u8..12,
-        draw in any::<u64>(),
+        seed in any::<u64>(),
         steps in prop::collection::vec((0_u8..3, 0_u8..14, 0_usize..3), 1..24),
     ) {
-        let mut world = World::new(members, draw);
-        for (what, number, late) in steps {
-            world.step((what, number, late));
-            prop_assert!(world.lost().is_none(), "{:?} is lost", world.lost());
+        let mut model = Model::new(members, seed);
+        for (action, number, lagging) in steps {
+            model.step((action, number, lagging));
+            prop_assert!(model.lost_record().is_none(), "{:?} is lost", model.lost_record());
         }
     }
 
     /// A change moves few keys; a member that has to ask for all of them would hold reads up.
     #[test]
-    fn a_change_moves_few_keys(members in 8_u8..13, gone in 0_u8..8) {
-        prop_assume!(gone < members);
-        let whole = (0..members).fold(List::default(), |list, at| list.with(&member(at)));
-        let next = whole.without(&member(gone).vm);
+    fn a_change_moves_few_keys(members in 8_u8..13, removed in 0_u8..8) {
+        prop_assume!(removed < members);
+        let full = (0..members).fold(List::default(), |list, at| list.with(&member(at)));
+        let next = full.without(&member(removed).vm);
         let keys: Vec<Key> = (0..200).map(key).collect();
-        prop_assert!(gains(&next, &keys, LOSSES).len() <= 300);
+        prop_assert!(gained_keys(&next, &keys, LOSSES).len() <= 300);
     }
 }
 
@@ -264,9 +268,9 @@
         (2, 2, 1),
         (1, 1, 0),
     ];
-    let mut world = World::new(6, 1_375_119_791_836_345_156);
+    let mut model = Model::new(6, 1_375_119_791_836_345_156);
     for step in steps {
-        world.step(step);
-        assert_eq!(world.lost(), None);
+        model.step(step);
+        assert_eq!(model.lost_record(), None);
     }
 }
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -30,16 +30,16 @@
 
 /// How long the last members are waited for once a majority has a reservation. All members' answers
 /// save a second round; a member that is down or cut off mustn't cost more than that round.
-const STRAGGLERS: Duration = Duration::from_millis(6);
+const STRAGGLER_WAIT: Duration = Duration::from_millis(6);
 /// How long the member nearby may take over a chain before the others are asked as well.
-const HEDGE: Duration = Duration::from_millis(60);
+const HEDGE_DELAY: Duration = Duration::from_millis(60);
 /// How often a request is tried again after a change of the list.
-const RELISTED: usize = 3;
+const MAX_TRIES: usize = 3;
 /// The pause before members that are still learning are asked again, and how often they are: a
 /// change of the list takes them some tens of milliseconds, a new disk asks nothing of the others.
-const LEARNING_PAUSE: Duration = Duration::from_millis(40);
-/// See [`LEARNING_PAUSE`].
-const LEARNING_TRIES: usize = 8;
+const CATCH_UP_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// See [`CATCH_UP_RETRY_DELAY`].
+const CATCH_UP_RETRIES: usize = 8;
 
 /// Why the members gave no answer that can be relied on.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
@@ -55,7 +55,7 @@
     CatchingUp,
     /// The list changed too often meanwhile.
     #[display("the list of members changed meanwhile")]
-    Relisted,
+    ListChanged,
 }
 
 /// The outcome of asking the members.
@@ -94,19 +94,19 @@
 
 /// How often a caller has asked again already.
 #[derive(Debug, Default)]
-struct Patience {
-    relisted: usize,
-    learning: usize,
+struct Retries {
+    list_changes: usize,
+    catch_ups: usize,
 }
 
-impl Patience {
+impl Retries {
     /// Returns when asking again makes sense, or gives the fault back.
-    async fn bear(&mut self, fault: Fault) -> Result<()> {
+    async fn wait_or_fail(&mut self, fault: Fault) -> Result<()> {
         match fault {
-            Fault::Relisted if self.relisted + 1 < RELISTED => self.relisted += 1,
-            Fault::CatchingUp if self.learning < LEARNING_TRIES => {
-                self.learning += 1;
-                tokio::time::sleep(LEARNING_PAUSE).await;
+            Fault::ListChanged if self.list_changes + 1 < MAX_TRIES => self.list_changes += 1,
+            Fault::CatchingUp if self.catch_ups < CATCH_UP_RETRIES => {
+                self.catch_ups += 1;
+                tokio::time::sleep(CATCH_UP_RETRY_DELAY).await;
             }
             fault => return Err(fault),
         }
@@ -139,7 +139,7 @@
         if list.version <= own.version {
             return;
         }
-        list::log_in_force(&list, own.version);
+        list::log_list_change(&list, own.version);
         *own = Arc::new(list);
     }
 
@@ -149,34 +149,34 @@
     ///
     /// Fails where no majority can be had; the facts may still be on some members.
     pub async fn apply(&self, key: Key, records: Vec<Record>) -> Result<()> {
-        for _ in 0..RELISTED {
+        for _ in 0..MAX_TRIES {
             let (list, group) = self.group(key)?;
-            let mut asked = self.ask_all(&list, &group, Body::Apply(records.clone()))?;
+            let mut answers = self.ask_all(&list, &group, Body::Apply(records.clone()))?;
             let mut done = 0;
             let mut failed = 0;
-            let mut relisted = false;
-            while let Some(answer) = asked.recv().await {
+            let mut list_changed = false;
+            while let Some(answer) = answers.recv().await {
                 match answer {
                     Some(Answer::Applied(_)) => done += 1,
                     Some(Answer::Newer(newer)) => {
                         self.adopt(newer);
-                        relisted = true;
+                        list_changed = true;
                         failed += 1;
                     }
                     _ => failed += 1,
                 }
-                match quorum::write(group.len(), done, failed) {
-                    quorum::Write::Waiting => {}
-                    quorum::Write::Majority | quorum::Write::All => return Ok(()),
-                    quorum::Write::Failed if relisted => break,
-                    quorum::Write::Failed => return Err(Fault::TooFew),
+                match quorum::write_state(group.len(), done, failed) {
+                    quorum::WriteState::Waiting => {}
+                    quorum::WriteState::Majority | quorum::WriteState::All => return Ok(()),
+                    quorum::WriteState::Failed if list_changed => break,
+                    quorum::WriteState::Failed => return Err(Fault::TooFew),
                 }
             }
-            if !relisted {
+            if !list_changed {
                 return Err(Fault::TooFew);
             }
         }
-        Err(Fault::Relisted)
+        Err(Fault::ListChanged)
     }
 
     /// Sets tokens aside, if the program's budget holds them.
@@ -184,79 +184,84 @@
     /// # Errors
     ///
     /// Fails where no majority can be had; the reservation may then count against the budget.
-    pub async fn reserve(&self, fact: Reservation, budget: u64) -> Result<Verdict> {
-        let mut patience = Patience::default();
+    pub async fn reserve(&self, reservation: Reservation, budget: u64) -> Result<Verdict> {
+        let mut retries = Retries::default();
         loop {
-            match self.reserve_once(&fact, budget).await {
-                Err(fault) => patience.bear(fault).await?,
+            match self.reserve_once(&reservation, budget).await {
+                Err(fault) => retries.wait_or_fail(fault).await?,
                 outcome => return outcome,
             }
         }
     }
 
-    async fn reserve_once(&self, fact: &Reservation, budget: u64) -> Result<Verdict> {
-        let (list, group) = self.group(fact.program)?;
-        let body = Body::Apply(vec![Record::Reserve(*fact)]);
-        let mut asked = self.ask_all(&list, &group, body)?;
+    async fn reserve_once(&self, reservation: &Reservation, budget: u64) -> Result<Verdict> {
+        let (list, group) = self.group(reservation.program)?;
+        let body = Body::Apply(vec![Record::Reserve(*reservation)]);
+        let mut answers = self.ask_all(&list, &group, body)?;
         let mut known = Vec::new();
         let mut failed = 0;
-        let mut relisted = false;
-        let mut until = Instant::now() + call::ANSWER * 2;
-        let mut state = quorum::Write::Waiting;
+        let mut list_changed = false;
+        let mut deadline = Instant::now() + call::ANSWER_TIMEOUT * 2;
+        let mut state = quorum::WriteState::Waiting;
         // Ends early where the stragglers' time is over.
-        while let Ok(Some(answer)) = timeout_at(until, asked.recv()).await {
+        while let Ok(Some(answer)) = timeout_at(deadline, answers.recv()).await {
             match answer {
                 Some(Answer::Applied(entries)) => known.push(entries),
                 Some(Answer::Newer(newer)) => {
                     self.adopt(newer);
-                    relisted = true;
+                    list_changed = true;
                     failed += 1;
                 }
                 _ => failed += 1,
             }
             let before = state;
-            state = quorum::write(group.len(), known.len(), failed);
+            state = quorum::write_state(group.len(), known.len(), failed);
             match state {
-                quorum::Write::Majority if failed + known.len() == group.len() => break,
-                quorum::Write::Majority if before == quorum::Write::Waiting => {
-                    until = Instant::now() + STRAGGLERS;
+                quorum::WriteState::Majority if failed + known.len() == group.len() => break,
+                quorum::WriteState::Majority if before == quorum::WriteState::Waiting => {
+                    deadline = Instant::now() + STRAGGLER_WAIT;
                 }
-                quorum::Write::Waiting | quorum::Write::Majority => {}
-                quorum::Write::All | quorum::Write::Failed => break,
+                quorum::WriteState::Waiting | quorum::WriteState::Majority => {}
+                quorum::WriteState::All | quorum::WriteState::Failed => break,
             }
         }
         let own = Entry {
-            turn: fact.turn,
-            most: fact.most,
+            turn: reservation.turn,
+            most: reservation.most,
             used: None,
         };
         match state {
-            quorum::Write::All => Ok(quorum::reserve(&quorum::union(&known), &own, budget)),
-            quorum::Write::Majority => {
-                known.extend(self.accounts(&list, &group, fact.program).await?);
-                Ok(quorum::reserve(&quorum::union(&known), &own, budget))
+            quorum::WriteState::All => {
+                Ok(quorum::check_budget(&quorum::union(&known), &own, budget))
             }
-            _ if relisted => Err(Fault::Relisted),
+            quorum::WriteState::Majority => {
+                known.extend(
+                    self.read_entries(&list, &group, reservation.program)
+                        .await?,
+                );
+                Ok(quorum::check_budget(&quorum::union(&known), &own, budget))
+            }
+            _ if list_changed => Err(Fault::ListChanged),
             _ => Err(Fault::TooFew),
         }
     }
 
     /// Reads a program's entries from a majority.
-    async fn accounts(
+    async fn read_entries(
         &self,
         list: &Arc<List>,
         group: &[Member],
         program: Key,
     ) -> Result<Vec<Vec<Entry>>> {
-        let mut asked = self.ask_all(list, group, Body::Account(program))?;
+        let mut answers = self.ask_all(list, group, Body::Account(program))?;
         let mut known = Vec::new();
         let mut fault = Fault::TooFew;
-        while let Some(answer) = asked.recv().await {
+        while let Some(answer) = answers.recv().await {
             match answer {
                 Some(Answer::Account(entries)) => known.push(entries),
                 Some(Answer::Newer(newer)) => {
                     self.adopt(newer);
-                    return Err(Fault::Relisted);
+                    return Err(Fault::ListChanged);
                 }
                 Some(Answer::NotReady) => fault = Fault::CatchingUp,
                 _ => {}
@@ -273,8 +278,9 @@
     /// # Errors
     ///
     /// Fails where no majority can be had; the reservation then counts for its most.
-    pub async fn settle(&self, fact: Settlement) -> Result<()> {
-        self.apply(fact.program, vec![Record::Settle(fact)]).await
+    pub async fn settle(&self, settlement: Settlement) -> Result<()> {
+        self.apply(settlement.program, vec![Record::Settle(settlement)])
+            .await
     }
 
     /// Finds a turn and what it continued from.
@@ -283,10 +289,10 @@
     ///
     /// Fails where too few members answered to be certain that there is no such turn.
     pub async fn chain(&self, key: Key) -> Result<Found> {
-        let mut patience = Patience::default();
+        let mut retries = Retries::default();
         loop {
             match self.chain_once(key).await {
-                Err(fault) => patience.bear(fault).await?,
+                Err(fault) => retries.wait_or_fail(fault).await?,
                 outcome => return outcome,
             }
         }
@@ -294,26 +300,26 @@
 
     async fn chain_once(&self, key: Key) -> Result<Found> {
         let (list, group) = self.group(key)?;
-        let near = group.iter().find(|member| member.centre == self.centre);
-        if let Some(near) = near {
-            let asked = call::ask(&self.http, near.address, list.version, Body::Chain(key));
-            let answer = timeout(HEDGE, asked).await;
+        let nearby = group.iter().find(|member| member.centre == self.centre);
+        if let Some(nearby) = nearby {
+            let request = call::ask(&self.http, nearby.address, list.version, Body::Chain(key));
+            let answer = timeout(HEDGE_DELAY, request).await;
             if let Ok(Some(Answer::Chain(chain))) = answer
                 && !chain.turns.is_empty()
             {
                 return Ok(Found::Part(chain.turns, chain.next));
             }
         }
-        let mut asked = self.ask_all(&list, &group, Body::Chain(key))?;
+        let mut answers = self.ask_all(&list, &group, Body::Chain(key))?;
         let mut absent = 0;
         let mut fault = Fault::TooFew;
-        while let Some(answer) = asked.recv().await {
+        while let Some(answer) = answers.recv().await {
             match answer {
                 Some(Answer::Chain(chain)) if chain.turns.is_empty() => absent += 1,
                 Some(Answer::Chain(chain)) => return Ok(Found::Part(chain.turns, chain.next)),
                 Some(Answer::Newer(newer)) => {
                     self.adopt(newer);
-                    return Err(Fault::Relisted);
+                    return Err(Fault::ListChanged);
                 }
                 Some(Answer::NotReady) => fault = Fault::CatchingUp,
                 _ => {}
@@ -325,21 +331,21 @@
         Err(fault)
     }
 
-    /// Tells whether enough members answer for every key within `patience`, and which don't.
-    pub async fn reachable(&self, patience: Duration) -> Reach {
+    /// Tells whether enough members answer for every key within `limit`, and which don't.
+    pub async fn reachable(&self, limit: Duration) -> Reach {
         let list = self.list();
         let mut answered = Vec::new();
         let mut silent = Vec::new();
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for member in &list.members {
             let http = self.http.clone();
             let (address, version) = (member.address, list.version);
-            asked.push(tokio::spawn(async move {
+            requests.push(tokio::spawn(async move {
                 let answer = call::ask(&http, address, version, Body::Status);
-                timeout(patience, answer).await.ok().flatten()
+                timeout(limit, answer).await.ok().flatten()
             }));
         }
-        for (member, answer) in list.members.iter().zip(asked) {
+        for (member, answer) in list.members.iter().zip(requests) {
             if let Ok(Some(Answer::Status(_))) = answer.await {
                 answered.push(member);
             } else {
@@ -379,9 +385,9 @@
             let (http, list) = (self.http.clone(), list.clone());
             let (member, bytes, sender) = (member.clone(), bytes.clone(), sender.clone());
             tokio::spawn(async move {
-                let answer = call::ask_by(&http, &member, &list, bytes).await;
+                let answer = call::ask_with_list(&http, &member, &list, bytes).await;
                 // The receiver may have enough answers already.
-                let _enough = sender.send(answer).await;
+                let _receiver_gone = sender.send(answer).await;
             });
         }
         Ok(receiver)
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -24,19 +24,19 @@
 use tokio::sync::oneshot;
 use wire::event;
 
-use crate::index::Place;
+use crate::index::Location;
 use crate::list::List;
 use crate::record;
 use crate::record::Parsed;
 use crate::record::Record;
 
 /// A segment is closed at this length; whole segments are removed when they are no longer needed.
-const SEGMENT: u64 = 8 * 1024 * 1024;
+const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 /// The share of the disk that is used before the oldest segments go, in hundredths: the rest is
 /// room for the segments under way.
-const FILL: u64 = 85;
+const FILL_PERCENT: u64 = 85;
 /// The file of what the member is.
-const IDENTITY: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 
 /// What a member keeps beside the records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,11 +51,11 @@
 
 /// A record found at the start, and where it lies.
 #[derive(Debug)]
-pub struct Found {
+pub struct FoundRecord {
     /// The record.
     pub record: Record,
     /// Where it lies.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// The disk of a running member.
@@ -67,13 +67,13 @@
 }
 
 /// Where an append's frames lie, for who asked for it.
-type Reply = oneshot::Sender<io::Result<Vec<Place>>>;
+type Reply = oneshot::Sender<io::Result<Vec<Location>>>;
 /// An append that was written and waits for its sync.
-type Written = (io::Result<Vec<Place>>, Reply);
+type PendingReply = (io::Result<Vec<Location>>, Reply);
 
 enum Job {
     Append(Vec<Vec<u8>>, Reply),
-    Identify(Box<Identity>, oneshot::Sender<io::Result<()>>),
+    WriteIdentity(Box<Identity>, oneshot::Sender<io::Result<()>>),
 }
 
 struct Writer {
@@ -83,15 +83,15 @@
     number: u64,
     file: File,
     length: u64,
-    limit: u64,
-    events: mpsc::Sender<Event>,
+    limit_bytes: u64,
+    events: mpsc::Sender<SegmentEvent>,
 }
 
 /// What the writer did on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum SegmentEvent {
     /// It began this segment.
-    Began(u64),
+    Created(u64),
     /// It removed this segment, the oldest, as the disk fills.
     Removed(u64),
 }
@@ -104,7 +104,7 @@
     /// What the member is; `None` where the folder was empty.
     pub identity: Option<Identity>,
     /// What the writer does on its own.
-    pub events: mpsc::Receiver<Event>,
+    pub events: mpsc::Receiver<SegmentEvent>,
 }
 
 /// Opens a folder, yields each record to `found`, and starts the writer. `bytes` is the disk's
@@ -113,17 +113,21 @@
 /// # Errors
 ///
 /// Fails where the folder can't be read or written.
-pub fn open(folder: &Path, bytes: u64, found: &mut dyn FnMut(Found)) -> io::Result<Opened> {
+pub fn open(
+    folder: &Path,
+    bytes: u64,
+    on_record: &mut dyn FnMut(FoundRecord),
+) -> io::Result<Opened> {
     fs::create_dir_all(folder)?;
-    let identity = identity(folder)?;
-    let numbers = segments(folder)?;
+    let identity = read_identity(folder)?;
+    let numbers = segment_numbers(folder)?;
     let mut closed = Vec::new();
     for number in &numbers {
-        let length = scan(folder, *number, found)?;
+        let length = scan_segment(folder, *number, on_record)?;
         closed.push((*number, length));
     }
     let number = numbers.last().map_or(1, |last| last + 1);
-    let file = create(folder, number)?;
+    let file = create_segment(folder, number)?;
     let (jobs, queue) = mpsc::channel();
     let (sender, events) = mpsc::channel();
     let mut writer = Writer {
@@ -132,7 +136,7 @@
         number,
         file,
         length: 0,
-        limit: bytes / 100 * FILL,
+        limit_bytes: bytes / 100 * FILL_PERCENT,
         events: sender,
     };
     thread::spawn(move || writer.run(&queue));
@@ -157,8 +161,8 @@
     );
 }
 
-fn identity(folder: &Path) -> io::Result<Option<Identity>> {
-    match fs::read(folder.join(IDENTITY)) {
+fn read_identity(folder: &Path) -> io::Result<Option<Identity>> {
+    match fs::read(folder.join(IDENTITY_FILE)) {
         Ok(bytes) => {
             let parsed = rmp_serde::from_slice(&bytes);
             Ok(Some(parsed.map_err(io::Error::other)?))
@@ -168,7 +172,7 @@
     }
 }
 
-fn segments(folder: &Path) -> io::Result<Vec<u64>> {
+fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
@@ -181,23 +185,27 @@
     Ok(numbers)
 }
 
-fn path(folder: &Path, number: u64) -> PathBuf {
+fn segment_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("segment-{number:010}"))
 }
 
-fn create(folder: &Path, number: u64) -> io::Result<File> {
+fn create_segment(folder: &Path, number: u64) -> io::Result<File> {
     let file = OpenOptions::new()
         .create(true)
         .append(true)
-        .open(path(folder, number))?;
+        .open(segment_path(folder, number))?;
     // Without it the whole file may be gone after a power loss, synced records and all.
     File::open(folder)?.sync_all()?;
     Ok(file)
 }
 
 /// Reads a segment up to its end or to the first torn frame, and yields the length read.
-fn scan(folder: &Path, number: u64, found: &mut dyn FnMut(Found)) -> io::Result<u64> {
-    let mut file = File::open(path(folder, number))?;
+fn scan_segment(
+    folder: &Path,
+    number: u64,
+    on_record: &mut dyn FnMut(FoundRecord),
+) -> io::Result<u64> {
+    let mut file = File::open(segment_path(folder, number))?;
     let mut buffer: Vec<u8> = Vec::new();
     let mut chunk = vec![0; 256 * 1024];
     let mut offset = 0;
@@ -206,17 +214,17 @@
         buffer.extend_from_slice(&chunk[..read]);
         let mut at = 0;
         loop {
-            match record::parse(&buffer[at..]) {
+            match record::parse_frame(&buffer[at..]) {
                 Parsed::Record(record, length) => {
-                    let place = Place {
+                    let location = Location {
                         segment: number,
                         offset: offset + at as u64,
                         length: u32::try_from(length).unwrap_or(u32::MAX),
                     };
-                    found(Found { record, place });
+                    on_record(FoundRecord { record, location });
                     at += length;
                 }
-                Parsed::Short => break,
+                Parsed::Incomplete => break,
                 Parsed::Torn => return Ok(offset + at as u64),
             }
         }
@@ -234,9 +242,9 @@
     /// # Errors
     ///
     /// Fails where the disk does.
-    pub async fn append(&self, frames: Vec<Vec<u8>>) -> io::Result<Vec<Place>> {
+    pub async fn append(&self, frames: Vec<Vec<u8>>) -> io::Result<Vec<Location>> {
         let (reply, answer) = oneshot::channel();
-        self.hand(Job::Append(frames, reply))?;
+        self.send_job(Job::Append(frames, reply))?;
         answer.await.map_err(io::Error::other)?
     }
 
@@ -245,13 +253,13 @@
     /// # Errors
     ///
     /// Fails where the disk does.
-    pub async fn identify(&self, identity: &Identity) -> io::Result<()> {
+    pub async fn write_identity(&self, identity: &Identity) -> io::Result<()> {
         let (reply, answer) = oneshot::channel();
-        self.hand(Job::Identify(Box::new(identity.clone()), reply))?;
+        self.send_job(Job::WriteIdentity(Box::new(identity.clone()), reply))?;
         answer.await.map_err(io::Error::other)?
     }
 
-    fn hand(&self, job: Job) -> io::Result<()> {
+    fn send_job(&self, job: Job) -> io::Result<()> {
         let sent = self.jobs.send(job);
         sent.map_err(|_| io::Error::other("the disk's thread has ended"))
     }
@@ -261,13 +269,13 @@
     /// # Errors
     ///
     /// Fails where the disk does, or no record lies there.
-    pub fn read(&self, place: Place) -> io::Result<Record> {
-        let file = self.file(place.segment)?;
-        let mut frame = vec![0; place.length as usize];
-        file.read_exact_at(&mut frame, place.offset)?;
-        match record::parse(&frame) {
+    pub fn read(&self, location: Location) -> io::Result<Record> {
+        let file = self.file(location.segment)?;
+        let mut frame = vec![0; location.length as usize];
+        file.read_exact_at(&mut frame, location.offset)?;
+        match record::parse_frame(&frame) {
             Parsed::Record(record, _) => Ok(record),
-            Parsed::Short | Parsed::Torn => Err(io::Error::other("no record lies there")),
+            Parsed::Incomplete | Parsed::Torn => Err(io::Error::other("no record lies there")),
         }
     }
 
@@ -276,7 +284,7 @@
         match files.binary_search_by_key(&segment, |(number, _)| *number) {
             Ok(at) => Ok(files[at].1.clone()),
             Err(at) => {
-                let file = Arc::new(File::open(path(&self.folder, segment))?);
+                let file = Arc::new(File::open(segment_path(&self.folder, segment))?);
                 files.insert(at, (segment, file.clone()));
                 Ok(file)
             }
@@ -284,7 +292,7 @@
     }
 
     /// Closes the file of a segment that was removed.
-    pub fn forget(&self, segment: u64) {
+    pub fn close_segment(&self, segment: u64) {
         let mut files = self.files.lock().unwrap_or_else(PoisonError::into_inner);
         files.retain(|(number, _)| *number != segment);
     }
@@ -293,32 +301,32 @@
 impl Writer {
     fn run(&mut self, queue: &mpsc::Receiver<Job>) {
         while let Ok(first) = queue.recv() {
-            let mut waiting = Vec::new();
+            let mut pending = Vec::new();
             let mut job = Some(first);
             while let Some(next) = job {
                 match next {
                     Job::Append(frames, reply) => {
                         let written = self.write(&frames);
-                        waiting.push((written, reply));
+                        pending.push((written, reply));
                     }
-                    Job::Identify(identity, reply) => {
+                    Job::WriteIdentity(identity, reply) => {
                         // A sender that has gone needs no answer.
-                        let _gone = reply.send(self.identify(&identity));
+                        let _gone = reply.send(self.write_identity(&identity));
                     }
                 }
                 job = queue.try_recv().ok();
             }
-            self.settle(waiting);
+            self.sync_and_reply(pending);
         }
     }
 
     /// Syncs once for all that was written, and answers each.
-    fn settle(&mut self, waiting: Vec<Written>) {
-        if waiting.is_empty() {
+    fn sync_and_reply(&mut self, pending: Vec<PendingReply>) {
+        if pending.is_empty() {
             return;
         }
         let synced = self.file.sync_data();
-        for (written, reply) in waiting {
+        for (written, reply) in pending {
             let outcome = match &synced {
                 Ok(()) => written,
                 Err(fault) => Err(io::Error::other(fault.to_string())),
@@ -326,69 +334,69 @@
             // A sender that has gone needs no answer.
             let _gone = reply.send(outcome);
         }
-        if self.length < SEGMENT {
+        if self.length < SEGMENT_BYTES {
             return;
         }
-        if let Err(fault) = self.roll() {
+        if let Err(fault) = self.roll_segment() {
             log::error!("text=\"can't begin a segment\" fault=\"{fault}\"");
         }
     }
 
-    fn write(&mut self, frames: &[Vec<u8>]) -> io::Result<Vec<Place>> {
+    fn write(&mut self, frames: &[Vec<u8>]) -> io::Result<Vec<Location>> {
         let written = self.write_frames(frames);
         if written.is_err() {
             // What was half written is a torn frame; nothing may follow it in this segment.
-            self.length = self.length.max(SEGMENT);
+            self.length = self.length.max(SEGMENT_BYTES);
         }
         written
     }
 
-    fn write_frames(&mut self, frames: &[Vec<u8>]) -> io::Result<Vec<Place>> {
-        let mut places = Vec::with_capacity(frames.len());
+    fn write_frames(&mut self, frames: &[Vec<u8>]) -> io::Result<Vec<Location>> {
+        let mut locations = Vec::with_capacity(frames.len());
         for frame in frames {
             self.file.write_all(frame)?;
-            places.push(Place {
+            locations.push(Location {
                 segment: self.number,
                 offset: self.length,
                 length: u32::try_from(frame.len()).unwrap_or(u32::MAX),
             });
             self.length += frame.len() as u64;
         }
-        Ok(places)
+        Ok(locations)
     }
 
-    fn roll(&mut self) -> io::Result<()> {
+    fn roll_segment(&mut self) -> io::Result<()> {
         let next = self.number + 1;
-        self.file = create(&self.folder, next)?;
+        self.file = create_segment(&self.folder, next)?;
         self.closed.push((self.number, self.length));
         self.number = next;
         self.length = 0;
-        self.tell(Event::Began(next));
+        self.emit(SegmentEvent::Created(next));
         let mut used: u64 = self.closed.iter().map(|(_, length)| length).sum();
-        while used + SEGMENT > self.limit && self.closed.len() > 1 {
+        while used + SEGMENT_BYTES > self.limit_bytes && self.closed.len() > 1 {
             let (number, length) = self.closed.remove(0);
             log::warn!(
                 "text=\"oldest segment removed\" segment={number} bytes={length} used={used}"
             );
-            fs::remove_file(path(&self.folder, number))?;
+            fs::remove_file(segment_path(&self.folder, number))?;
             used -= length;
-            self.tell(Event::Removed(number));
+            self.emit(SegmentEvent::Removed(number));
         }
         Ok(())
     }
 
-    fn tell(&self, event: Event) {
+    fn emit(&self, event: SegmentEvent) {
         // Where nobody listens any more the process is ending.
         let _ending = self.events.send(event);
     }
 
-    fn identify(&self, identity: &Identity) -> io::Result<()> {
+    fn write_identity(&self, identity: &Identity) -> io::Result<()> {
         let bytes = rmp_serde::to_vec(identity).map_err(io::Error::other)?;
         let next = self.folder.join("identity.next");
         let mut file = File::create(&next)?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        fs::rename(&next, self.folder.join(IDENTITY))?;
+        fs::rename(&next, self.folder.join(IDENTITY_FILE))?;
         File::open(&self.folder)?.sync_all()
     }
 }
--- a/crates/replica/src/disk/tests.rs
+++ b/crates/replica/src/disk/tests.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use rstest::rstest;
 
-use super::Found;
+use super::FoundRecord;
 use super::Identity;
 use super::open;
 use crate::record;
@@ -35,7 +35,7 @@
 
     fn records(&self) -> Vec<Record> {
         let mut records = Vec::new();
-        open(&self.0, 100_000_000, &mut |found: Found| {
+        open(&self.0, 100_000_000, &mut |found: FoundRecord| {
             records.push(found.record);
         })
         .unwrap();
@@ -61,9 +61,9 @@
 async fn write(folder: &Folder, numbers: std::ops::Range<u128>) {
     let opened = open(&folder.0, 100_000_000, &mut |_| {}).unwrap();
     for number in numbers {
-        let frame = record::frame(&turn(number)).unwrap();
-        let places = opened.disk.append(vec![frame]).await.unwrap();
-        assert_eq!(opened.disk.read(places[0]).unwrap(), turn(number));
+        let frame = record::encode_frame(&turn(number)).unwrap();
+        let locations = opened.disk.append(vec![frame]).await.unwrap();
+        assert_eq!(opened.disk.read(locations[0]).unwrap(), turn(number));
     }
 }
 
@@ -111,7 +111,7 @@
     };
     let opened = open(&folder.0, 100_000_000, &mut |_| {}).unwrap();
     assert_eq!(opened.identity, None);
-    opened.disk.identify(&identity).await.unwrap();
+    opened.disk.write_identity(&identity).await.unwrap();
     let opened = open(&folder.0, 100_000_000, &mut |_| {}).unwrap();
     assert_eq!(opened.identity, Some(identity));
 }
@@ -127,7 +127,7 @@
             previous: None,
             text: Bytes::from(vec![b'x'; 1_000_000]),
         });
-        let frame = record::frame(&record).unwrap();
+        let frame = record::encode_frame(&record).unwrap();
         opened.disk.append(vec![frame]).await.unwrap();
     }
     let used: u64 = folder
@@ -140,6 +140,6 @@
         opened
             .events
             .try_iter()
-            .any(|event| matches!(event, super::Event::Removed(1)))
+            .any(|event| matches!(event, super::SegmentEvent::Removed(1)))
     );
 }
--- a/crates/replica/src/index.rs
+++ b/crates/replica/src/index.rs
@@ -6,7 +6,7 @@
 
 /// Where a frame lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The segment's number.
     pub segment: u64,
     /// The frame's place in it, in bytes.
@@ -17,28 +17,28 @@
 
 /// A turn as the index knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct IndexEntry {
     /// The turn that it continued from.
     pub previous: Option<Key>,
     /// Where it lies.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// The turns of a member. A map, as tens of thousands come in no order of their keys.
 #[derive(Debug, Default)]
 pub struct Index {
-    turns: HashMap<Key, Line>,
+    turns: HashMap<Key, IndexEntry>,
 }
 
 impl Index {
     /// Notes a turn.
-    pub fn insert(&mut self, key: Key, line: Line) {
-        self.turns.insert(key, line);
+    pub fn insert(&mut self, key: Key, entry: IndexEntry) {
+        self.turns.insert(key, entry);
     }
 
     /// Finds a turn.
     #[must_use]
-    pub fn find(&self, key: Key) -> Option<Line> {
+    pub fn find(&self, key: Key) -> Option<IndexEntry> {
         self.turns.get(&key).copied()
     }
 
@@ -55,7 +55,8 @@
     }
 
     /// Forgets the turns of a segment that was removed.
-    pub fn forget(&mut self, segment: u64) {
-        self.turns.retain(|_, line| line.place.segment != segment);
+    pub fn remove_segment(&mut self, segment: u64) {
+        self.turns
+            .retain(|_, entry| entry.location.segment != segment);
     }
 }
--- a/crates/replica/src/ledger.rs
+++ b/crates/replica/src/ledger.rs
@@ -15,7 +15,7 @@
 
 /// How long a program's entries are kept after its last one. A program that was stopped may come
 /// back for as long as its turns are kept, a minute as deployed; five leave room for slow programs.
-pub const KEPT: Millis = Millis::new(300_000);
+pub const RETENTION: Millis = Millis::new(300_000);
 
 /// One attempt's tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
 impl Entry {
     /// Yields what the attempt counts for: all that was set aside until it is settled.
     #[must_use]
-    pub fn counts(&self) -> u64 {
+    pub fn charged(&self) -> u64 {
         u64::from(self.used.unwrap_or(self.most))
     }
 }
@@ -49,13 +49,13 @@
 /// vector would move all entries behind each.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    accounts: HashMap<Key, Held>,
+    accounts: HashMap<Key, StoredAccount>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct StoredAccount {
     entries: Vec<Entry>,
-    touched: Millis,
+    updated_at: Millis,
 }
 
 impl Ledger {
@@ -81,12 +81,15 @@
 
     /// Takes in entries that another member knows.
     pub fn merge(&mut self, program: Key, entries: &[Entry], now: Millis) {
-        let held = self.accounts.entry(program).or_insert_with(|| Held {
-            entries: Vec::new(),
-            touched: now,
-        });
-        held.touched = now;
-        unite(&mut held.entries, entries);
+        let stored = self
+            .accounts
+            .entry(program)
+            .or_insert_with(|| StoredAccount {
+                entries: Vec::new(),
+                updated_at: now,
+            });
+        stored.updated_at = now;
+        merge_entries(&mut stored.entries, entries);
     }
 
     /// Yields a program's entries.
@@ -94,7 +97,7 @@
     pub fn entries(&self, program: Key) -> &[Entry] {
         self.accounts
             .get(&program)
-            .map_or(&[], |held| held.entries.as_slice())
+            .map_or(&[], |stored| stored.entries.as_slice())
     }
 
     /// Counts the programs.
@@ -112,22 +115,22 @@
     /// Yields all accounts, for another member.
     #[must_use]
     pub fn accounts(&self) -> Vec<Account> {
-        let account = |(program, held): (&Key, &Held)| Account {
+        let account = |(program, stored): (&Key, &StoredAccount)| Account {
             program: *program,
-            entries: held.entries.clone(),
+            entries: stored.entries.clone(),
         };
         self.accounts.iter().map(account).collect()
     }
 
-    /// Forgets programs that have been quiet for [`KEPT`].
+    /// Forgets programs that have been quiet for [`RETENTION`].
     pub fn sweep(&mut self, now: Millis) {
         self.accounts
-            .retain(|_, held| now.since(held.touched) < KEPT);
+            .retain(|_, stored| now.since(stored.updated_at) < RETENTION);
     }
 }
 
 /// Adds to sorted entries what `more` knows beyond them.
-pub fn unite(entries: &mut Vec<Entry>, more: &[Entry]) {
+pub fn merge_entries(entries: &mut Vec<Entry>, more: &[Entry]) {
     for entry in more {
         match entries.binary_search_by_key(&entry.turn, |known| known.turn) {
             Ok(at) => {
@@ -143,5 +146,5 @@
 /// Yields what all entries count for.
 #[must_use]
 pub fn total(entries: &[Entry]) -> u64 {
-    entries.iter().map(Entry::counts).sum()
+    entries.iter().map(Entry::charged).sum()
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -9,9 +9,9 @@
 //! version than its own, so no majority of an old list forms once a new one is in use.
 
 pub mod call;
+pub mod catch_up;
 pub mod client;
 pub mod disk;
-pub mod gain;
 pub mod index;
 pub mod ledger;
 pub mod list;
@@ -20,4 +20,4 @@
 pub mod quorum;
 pub mod record;
 pub mod server;
-pub mod silence;
+pub mod unresponsive;
--- a/crates/replica/src/list.rs
+++ b/crates/replica/src/list.rs
@@ -43,13 +43,13 @@
 
     /// Tells whether this disk of this VM is a member, at this address.
     #[must_use]
-    pub fn holds(&self, member: &Member) -> bool {
+    pub fn has_member(&self, member: &Member) -> bool {
         self.members.contains(member)
     }
 
     /// Yields the members of the version before as a list.
     #[must_use]
-    pub fn earlier(&self) -> Self {
+    pub fn previous(&self) -> Self {
         Self {
             members: self.before.clone(),
             ..Self::default()
@@ -59,7 +59,7 @@
     /// Builds the next version, in which `member` takes the place of an earlier disk of its VM.
     #[must_use]
     pub fn with(&self, member: &Member) -> Self {
-        let mut members = self.without_members(&member.vm);
+        let mut members = self.members_except(&member.vm);
         members.push(member.clone());
         members.sort_by(|a, b| a.vm.cmp(&b.vm));
         self.next(members)
@@ -68,10 +68,10 @@
     /// Builds the next version, without a VM.
     #[must_use]
     pub fn without(&self, vm: &str) -> Self {
-        self.next(self.without_members(vm))
+        self.next(self.members_except(vm))
     }
 
-    fn without_members(&self, vm: &str) -> Vec<Member> {
+    fn members_except(&self, vm: &str) -> Vec<Member> {
         let others = self.members.iter().filter(|member| member.vm != vm);
         others.cloned().collect()
     }
@@ -95,10 +95,10 @@
         let mut ranked: Vec<(u64, &Member)> = self
             .members
             .iter()
-            .map(|member| (weight(key, member), member))
+            .map(|member| (rendezvous_weight(key, member), member))
             .collect();
         ranked.sort_by_key(|(weight, _)| Reverse(*weight));
-        spread(&ranked, size)
+        spread_over_centres(&ranked, size)
     }
 
     /// Yields how many members hold each key.
@@ -114,29 +114,29 @@
     /// The bound is safe, not exact: no group has more members of a data centre than its even share
     /// and what other data centres leave free.
     #[must_use]
-    pub fn covers(&self, some: &[&Member], losses: usize, needed: usize) -> bool {
+    pub fn covers(&self, subset: &[&Member], losses: usize, needed: usize) -> bool {
         let size = self.group_size(losses);
         let mut centres: Vec<(&str, usize, usize)> = Vec::new();
         for member in &self.members {
-            let missing = usize::from(!some.contains(&member));
-            match centres.iter_mut().find(|line| line.0 == member.centre) {
-                Some(line) => {
-                    line.1 += 1;
-                    line.2 += missing;
+            let missing = usize::from(!subset.contains(&member));
+            match centres.iter_mut().find(|entry| entry.0 == member.centre) {
+                Some(entry) => {
+                    entry.1 += 1;
+                    entry.2 += missing;
                 }
                 None => centres.push((&member.centre, 1, missing)),
             }
         }
-        let cap = deepest(&centres, size);
-        let lost: usize = centres.iter().map(|line| line.2.min(cap)).sum();
+        let max_in_centre = max_per_centre(&centres, size);
+        let lost: usize = centres.iter().map(|entry| entry.2.min(max_in_centre)).sum();
         size.saturating_sub(lost) >= needed
     }
 }
 
 /// Yields the most members of one data centre that a group of this size has: the round in which
-/// [`spread`] has taken enough.
-fn deepest(centres: &[(&str, usize, usize)], size: usize) -> usize {
-    let taken = |rounds: usize| -> usize { centres.iter().map(|line| line.1.min(rounds)).sum() };
+/// [`spread_over_centres`] has taken enough.
+fn max_per_centre(centres: &[(&str, usize, usize)], size: usize) -> usize {
+    let taken = |rounds: usize| -> usize { centres.iter().map(|entry| entry.1.min(rounds)).sum() };
     (1..=size)
         .find(|rounds| taken(*rounds) >= size)
         .unwrap_or(size)
@@ -144,7 +144,7 @@
 
 /// Takes the first of each data centre before a second of any, so that a lost data centre takes as
 /// few copies as can be.
-fn spread<'a>(ranked: &[(u64, &'a Member)], size: usize) -> Vec<&'a Member> {
+fn spread_over_centres<'a>(ranked: &[(u64, &'a Member)], size: usize) -> Vec<&'a Member> {
     let mut taken: Vec<&Member> = Vec::with_capacity(size);
     let mut used = vec![false; ranked.len()];
     for rounds in 1..=size {
@@ -164,24 +164,24 @@
 
 /// The longest VM name that is ranked without an allocation: a group is worked out for each of some
 /// ten thousand keys when the list changes.
-const USUAL_NAME: usize = 112;
+const STACK_NAME_BYTES: usize = 112;
 
 /// Ranks a member for a key by rendezvous hashing: a change of the list moves few keys.
-fn weight(key: Key, member: &Member) -> u64 {
+fn rendezvous_weight(key: Key, member: &Member) -> u64 {
     let name = member.vm.as_bytes();
     let key = key.0.to_le_bytes();
-    if name.len() > USUAL_NAME {
+    if name.len() > STACK_NAME_BYTES {
         return xxh3_64(&[name, key.as_slice()].concat());
     }
-    let mut text = [0; USUAL_NAME + 16];
+    let mut buffer = [0; STACK_NAME_BYTES + 16];
     let end = name.len() + key.len();
-    text[..name.len()].copy_from_slice(name);
-    text[name.len()..end].copy_from_slice(&key);
-    xxh3_64(&text[..end])
+    buffer[..name.len()].copy_from_slice(name);
+    buffer[name.len()..end].copy_from_slice(&key);
+    xxh3_64(&buffer[..end])
 }
 
 /// Logs that a list is in force after the one of version `before`.
-pub fn log_in_force(list: &List, before: u64) {
+pub fn log_list_change(list: &List, before: u64) {
     log::info!(
         "event=E{} text=\"{}\" version={} before={before} members={}",
         Event::MembersChanged.number(),
@@ -199,7 +199,7 @@
 
 /// Yields how many of a group meet every majority of it.
 #[must_use]
-pub const fn meeting(group: usize) -> usize {
+pub const fn blocking_size(group: usize) -> usize {
     group.div_ceil(2)
 }
 
--- a/crates/replica/src/list/tests.rs
+++ b/crates/replica/src/list/tests.rs
@@ -7,8 +7,8 @@
 
 use super::List;
 use super::Member;
+use super::blocking_size;
 use super::majority;
-use super::meeting;
 use crate::record::Key;
 
 fn member(number: usize, centre: &str) -> Member {
@@ -42,23 +42,23 @@
     #[test]
     fn those_not_heard_can_do_nothing_alone(
         list in lists(),
-        heard in prop::collection::vec(any::<bool>(), 9),
+        included in prop::collection::vec(any::<bool>(), 9),
         key in any::<u128>(),
         losses in 1_usize..3,
     ) {
-        let some: Vec<&Member> = list.members.iter().zip(&heard).filter(|(_, heard)| **heard).map(|(member, _)| member).collect();
+        let subset: Vec<&Member> = list.members.iter().zip(&included).filter(|(_, included)| **included).map(|(member, _)| member).collect();
         let group = list.group(Key(key), losses);
-        let needed = meeting(list.group_size(losses));
-        if list.covers(&some, losses, needed) {
-            let others = group.iter().filter(|member| !some.contains(member)).count();
+        let needed = blocking_size(list.group_size(losses));
+        if list.covers(&subset, losses, needed) {
+            let others = group.iter().filter(|member| !subset.contains(member)).count();
             prop_assert!(others < majority(group.len()), "{others} of {}", group.len());
         }
     }
 
     #[test]
     fn a_majority_is_met(group in 1_usize..20) {
-        prop_assert!(majority(group) + meeting(group) > group);
-        prop_assert!(meeting(group) <= majority(group));
+        prop_assert!(majority(group) + blocking_size(group) > group);
+        prop_assert!(blocking_size(group) <= majority(group));
     }
 }
 
@@ -68,12 +68,12 @@
 #[case(&["a", "a", "b", "b", "c", "c"], "b")]
 fn a_lost_data_centre_leaves_a_majority(#[case] centres: &[&str], #[case] lost: &str) {
     let list = list(centres);
-    let some: Vec<&Member> = list
+    let subset: Vec<&Member> = list
         .members
         .iter()
         .filter(|member| member.centre != lost)
         .collect();
-    assert!(list.covers(&some, 1, majority(list.group_size(1))));
+    assert!(list.covers(&subset, 1, majority(list.group_size(1))));
     for key in 0..100 {
         let group = list.group(Key(key), 1);
         let left = group.iter().filter(|member| member.centre != lost);
@@ -92,6 +92,6 @@
     assert_eq!(next.version, 2);
     assert_eq!(next.before, first.members);
     assert_eq!(next.members.len(), 3);
-    assert!(next.holds(&wiped));
+    assert!(next.has_member(&wiped));
     assert!(!next.without("vm-01").members.contains(&wiped));
 }
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -24,9 +24,9 @@
 use wire::event::Event;
 
 use crate::call;
+use crate::catch_up;
+use crate::catch_up::Scope;
 use crate::disk;
-use crate::gain;
-use crate::gain::Scope;
 use crate::ledger::Account;
 use crate::list;
 use crate::list::List;
@@ -37,21 +37,21 @@
 use crate::record::Key;
 use crate::record::Record;
 use crate::server::Member;
-use crate::silence::Silence;
+use crate::unresponsive::UnresponsiveMembers;
 
 /// How often the member looks at its own state.
-const TICK: Duration = Duration::from_millis(200);
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 /// How often a member reads the list from the key-value service. Changes come with other VMs'
 /// requests; this is for a member that none of them reaches.
-const REREAD: Millis = Millis::new(5_000);
+const LIST_READ_INTERVAL: Millis = Millis::new(5_000);
 /// How often a VM does that has to change the list: a tenth of the time in which one with an empty
 /// disk has to be a full copy again.
-const REREAD_SOON: Millis = Millis::new(500);
+const LIST_READ_INTERVAL_PENDING: Millis = Millis::new(500);
 /// Without a request for this long a member was cut off, frozen or idle; it then asks what it
 /// missed.
-const QUIET: Millis = Millis::new(1_000);
+const IDLE_BEFORE_COMPARE: Millis = Millis::new(1_000);
 /// Turns that are fetched in one request: half a megabyte of usual ones, as much as an answer has.
-const BATCH: usize = 32;
+const FETCH_BATCH_TURNS: usize = 32;
 
 /// Where a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,49 +85,49 @@
 }
 
 #[derive(Default)]
-struct Memory {
+struct DriverState {
     /// The list's revision in the key-value service.
     revision: u64,
-    read_at: Option<Millis>,
-    silence: Silence,
+    list_read_at: Option<Millis>,
+    unresponsive: UnresponsiveMembers,
     /// Whether what others hold was compared since the start or the last quiet spell.
     compared: bool,
-    outage: bool,
+    in_outage: bool,
 }
 
 impl Driver {
     /// Drives the member for as long as it is polled.
     pub async fn run(self) {
-        let mut memory = Memory::default();
+        let mut state = DriverState::default();
         loop {
-            self.step(&mut memory).await;
+            self.step(&mut state).await;
             tokio::select! {
-                () = self.member.changed.notified() => {}
-                () = tokio::time::sleep(TICK) => {}
+                () = self.member.list_changed.notified() => {}
+                () = tokio::time::sleep(STEP_INTERVAL) => {}
             }
         }
     }
 
-    async fn step(&self, memory: &mut Memory) {
+    async fn step(&self, state: &mut DriverState) {
         if let Err(fault) = self.member.sweep().await {
             disk::log_failed(&fault);
         }
-        self.reread(memory).await;
+        self.refresh_list(state).await;
         let identity = self.member.identity();
         let list = identity.list;
-        if list.version > identity.ready && list.holds(&self.own) {
-            self.learn_all(&list).await;
+        if list.version > identity.ready && list.has_member(&self.own) {
+            self.catch_up(&list).await;
             return;
         }
         let phase = *self.phase.borrow();
-        match (phase, list.holds(&self.own)) {
-            (Phase::Member, false) => self.propose(memory, &list, &list.with(&self.own)).await,
+        match (phase, list.has_member(&self.own)) {
+            (Phase::Member, false) => self.propose(state, &list, &list.with(&self.own)).await,
             (Phase::Member, true) => {
-                self.compare(memory, &list).await;
-                self.evict(memory, &list).await;
+                self.compare(state, &list).await;
+                self.evict(state, &list).await;
             }
             (Phase::Leaving, true) => {
-                self.propose(memory, &list, &list.without(&self.own.vm))
+                self.propose(state, &list, &list.without(&self.own.vm))
                     .await;
             }
             (Phase::Leaving, false) => self.leave(&list).await,
@@ -136,46 +136,50 @@
     }
 
     /// Reads the list from the key-value service, where that answers.
-    async fn reread(&self, memory: &mut Memory) {
+    async fn refresh_list(&self, state: &mut DriverState) {
         let now = self.clock.now();
-        let settled =
-            self.member.identity().list.holds(&self.own) && *self.phase.borrow() == Phase::Member;
-        let pause = if settled { REREAD } else { REREAD_SOON };
-        if memory.read_at.is_some_and(|at| now.since(at) < pause) {
+        let is_stable = self.member.identity().list.has_member(&self.own)
+            && *self.phase.borrow() == Phase::Member;
+        let pause = if is_stable {
+            LIST_READ_INTERVAL
+        } else {
+            LIST_READ_INTERVAL_PENDING
+        };
+        if state.list_read_at.is_some_and(|at| now.since(at) < pause) {
             return;
         }
-        memory.read_at = Some(now);
+        state.list_read_at = Some(now);
         match self.platform.read(&self.key).await {
             Ok(entry) => {
-                if memory.outage {
+                if state.in_outage {
                     log::info!(
                         "event=E{} text=\"{}\"",
                         Event::OutageEnded.number(),
                         Event::OutageEnded.text()
                     );
                 }
-                memory.outage = false;
-                self.take(memory, entry).await;
+                state.in_outage = false;
+                self.adopt_entry(state, entry).await;
             }
             Err(fault) => {
-                if !memory.outage {
+                if !state.in_outage {
                     log::warn!(
                         "event=E{} text=\"{}\" fault=\"{fault}\"",
                         Event::OutageBegan.number(),
                         Event::OutageBegan.text()
                     );
                 }
-                memory.outage = true;
+                state.in_outage = true;
             }
         }
     }
 
-    async fn take(&self, memory: &mut Memory, entry: Option<Entry>) {
+    async fn adopt_entry(&self, state: &mut DriverState, entry: Option<Entry>) {
         let Some(entry) = entry else {
-            memory.revision = 0;
+            state.revision = 0;
             return;
         };
-        memory.revision = entry.revision;
+        state.revision = entry.revision;
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => self.adopt(&list).await,
             Err(fault) => log::error!("text=\"the list can't be read\" fault=\"{fault}\""),
@@ -189,12 +193,12 @@
     }
 
     /// Proposes the next list, once enough members have learnt all of the present one.
-    async fn propose(&self, memory: &mut Memory, list: &List, next: &List) {
+    async fn propose(&self, state: &mut DriverState, list: &List, next: &List) {
         if next.members.is_empty() {
             return;
         }
-        let ready = self.ready(list).await;
-        let needed = list::meeting(list.group_size(self.losses));
+        let ready = self.ready_members(list).await;
+        let needed = list::blocking_size(list.group_size(self.losses));
         if list.version > 0 && !list.covers(&ready, self.losses, needed) {
             log::info!(
                 "event=E{} text=\"{}\" version={} ready={} members={}",
@@ -216,7 +220,7 @@
         let txn = Txn {
             compares: vec![Compare {
                 key: self.key.clone(),
-                revision: memory.revision,
+                revision: state.revision,
             }],
             writes: vec![Write::Put {
                 key: self.key.clone(),
@@ -226,16 +230,16 @@
         };
         match self.platform.commit(&txn, Weight::Claim).await {
             Ok(Outcome::Applied(revision)) => {
-                memory.revision = revision;
+                state.revision = revision;
                 self.adopt(next).await;
             }
-            Ok(Outcome::Refused(_)) | Err(Fault::Unknown(_)) => memory.read_at = None,
+            Ok(Outcome::Refused(_)) | Err(Fault::Unknown(_)) => state.list_read_at = None,
             Err(fault) => log::warn!("text=\"list not written\" fault=\"{fault}\""),
         }
     }
 
     /// Yields the members that have learnt all that was acknowledged before the list.
-    async fn ready<'a>(&self, list: &'a List) -> Vec<&'a list::Member> {
+    async fn ready_members<'a>(&self, list: &'a List) -> Vec<&'a list::Member> {
         let mut ready = Vec::new();
         for member in &list.members {
             let Some(status) = self.status(member).await else {
@@ -264,49 +268,49 @@
 
     /// Learns all that was acknowledged before this list.
     ///
-    /// Needs, by [`gain::is_enough`], so many of every group of the list before that they meet every majority of it: they
+    /// Needs, by [`catch_up::has_enough_sources`], so many of every group of the list before that they meet every majority of it: they
     /// hold whatever was acknowledged, and their refusal of requests under that list leaves the
     /// others too few to keep a turn or to be certain of an absent one, so nobody goes on with the
     /// old list beside the new one. At least one of every group must have learnt all before.
-    async fn learn_all(&self, list: &List) {
+    async fn catch_up(&self, list: &List) {
         let started = self.clock.now();
-        let mut heard = Vec::new();
-        let mut whole = Vec::new();
+        let mut answered = Vec::new();
+        let mut caught_up = Vec::new();
         let ready = self.member.status().ready;
-        let scope = gain::scope(list, &self.own, ready, self.losses);
+        let scope = catch_up::scope(list, &self.own, ready, self.losses);
         if let Some(own) = list.before.iter().find(|member| **member == self.own) {
-            heard.push(own);
+            answered.push(own);
             if ready + 1 >= list.version {
-                whole.push(own);
+                caught_up.push(own);
             }
         }
-        let before = list.earlier();
-        for (member, holdings) in self.holdings_of(&list.before, list, scope).await {
-            let wanted = |key| gain::is_wanted(list, &before, &self.own, key, self.losses);
-            if let Err(fault) = self.take_over(member, list, &holdings, wanted).await {
+        let before = list.previous();
+        for (member, holdings) in self.fetch_holdings(&list.before, list, scope).await {
+            let wanted = |key| catch_up::must_hold(list, &before, &self.own, key, self.losses);
+            if let Err(fault) = self.copy_missing(member, list, &holdings, wanted).await {
                 log::warn!(
                     "text=\"a member's records not learnt\" member={} fault=\"{fault}\"",
                     member.vm
                 );
                 continue;
             }
-            heard.push(member);
+            answered.push(member);
             if holdings.ready + 1 >= list.version {
-                whole.push(member);
+                caught_up.push(member);
             }
         }
-        let enough = gain::is_enough(list, &heard, &whole, self.losses);
+        let enough = catch_up::has_enough_sources(list, &answered, &caught_up, self.losses);
         if !enough {
             log::warn!(
                 "event=E{} text=\"{}\" version={} heard={} whole={} before={}",
                 Event::RecordsMissing.number(),
                 Event::RecordsMissing.text(),
                 list.version,
-                heard.len(),
-                whole.len(),
+                answered.len(),
+                caught_up.len(),
                 list.before.len()
             );
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(STEP_INTERVAL).await;
             return;
         }
         if let Err(fault) = self.member.set_ready(list.version).await {
@@ -318,14 +322,14 @@
             Event::RecordsLearnt.number(),
             Event::RecordsLearnt.text(),
             list.version,
-            heard.len(),
+            answered.len(),
             self.clock.now().since(started).as_u64()
         );
     }
 
     /// Asks the other members at the same time for what they hold, and yields what was answered:
     /// those that don't answer cost their time once, not one after the other.
-    async fn holdings_of<'a>(
+    async fn fetch_holdings<'a>(
         &self,
         members: &'a [list::Member],
         list: &List,
@@ -341,15 +345,16 @@
         let Some(bytes) = call::encode(list.version, body) else {
             return Vec::new();
         };
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for member in members.iter().filter(|member| **member != self.own) {
             let (http, bytes) = (self.http.clone(), bytes.clone());
             let (to, list) = (member.clone(), list.clone());
-            let answer = tokio::spawn(async move { call::ask_by(&http, &to, &list, bytes).await });
-            asked.push((member, answer));
+            let answer =
+                tokio::spawn(async move { call::ask_with_list(&http, &to, &list, bytes).await });
+            requests.push((member, answer));
         }
         let mut all = Vec::new();
-        for (member, answer) in asked {
+        for (member, answer) in requests {
             match answer.await {
                 Ok(Some(Answer::Keys(holdings))) => all.push((member, holdings)),
                 Ok(Some(Answer::Newer(newer))) => self.adopt(&newer).await,
@@ -359,7 +364,7 @@
         all
     }
 
-    async fn take_over(
+    async fn copy_missing(
         &self,
         member: &list::Member,
         list: &List,
@@ -371,11 +376,11 @@
             .filter(|account| wanted(account.program))
             .cloned()
             .collect();
-        self.member.learn(&accounts).await?;
+        self.member.merge_accounts(&accounts).await?;
         let mut missing = self.member.missing(&holdings.turns);
         missing.retain(|key| wanted(*key));
         while !missing.is_empty() {
-            let batch: Vec<Key> = missing.iter().take(BATCH).copied().collect();
+            let batch: Vec<Key> = missing.iter().take(FETCH_BATCH_TURNS).copied().collect();
             let answer = self
                 .ask(member, list.version, Body::Fetch(batch.clone()))
                 .await;
@@ -399,18 +404,18 @@
 
     /// Compares with the other members after the start and after each quiet spell: facts that a
     /// majority got while this member was away are copied to it, so that they bear the next loss.
-    async fn compare(&self, memory: &mut Memory, list: &List) {
-        if self.member.quiet_for() >= QUIET {
-            memory.compared = false;
+    async fn compare(&self, state: &mut DriverState, list: &List) {
+        if self.member.idle_for() >= IDLE_BEFORE_COMPARE {
+            state.compared = false;
             return;
         }
-        if memory.compared {
+        if state.compared {
             return;
         }
-        memory.compared = true;
-        for (member, holdings) in self.holdings_of(&list.members, list, Scope::All).await {
+        state.compared = true;
+        for (member, holdings) in self.fetch_holdings(&list.members, list, Scope::All).await {
             let wanted = |key| list.group(key, self.losses).contains(&&self.own);
-            if let Err(fault) = self.take_over(member, list, &holdings, wanted).await {
+            if let Err(fault) = self.copy_missing(member, list, &holdings, wanted).await {
                 log::warn!(
                     "text=\"a member's records not compared\" member={} fault=\"{fault}\"",
                     member.vm
@@ -420,42 +425,42 @@
     }
 
     /// Takes a silent member off a list that is longer than needed.
-    async fn evict(&self, memory: &mut Memory, list: &List) {
-        let longer = list.members.len() > 2 * self.losses + 1;
-        if !longer && list.members.len() != 2 {
-            memory.silence.clear();
+    async fn evict(&self, state: &mut DriverState, list: &List) {
+        let has_spare = list.members.len() > 2 * self.losses + 1;
+        if !has_spare && list.members.len() != 2 {
+            state.unresponsive.clear();
             return;
         }
-        let mut alive: Vec<&list::Member> = Vec::new();
+        let mut responsive: Vec<&list::Member> = Vec::new();
         for member in &list.members {
             if self.status(member).await.is_some() {
-                alive.push(member);
+                responsive.push(member);
             }
         }
         let now = self.clock.now();
-        let answered: Vec<&str> = alive.iter().map(|member| member.vm.as_str()).collect();
-        memory.silence.note(list, &answered, now);
+        let answered: Vec<&str> = responsive.iter().map(|member| member.vm.as_str()).collect();
+        state.unresponsive.record_answers(list, &answered, now);
         // A side of a cut that has too few members keeps the list; the other side returns. Of two
         // members each holds everything, as a write needs both; neither can go on without the
         // other until the list says so, and only one of them can change it.
-        let enough = alive.len() > 2 * self.losses || list.members.len() == 2;
-        if !enough || alive.first().is_none_or(|first| **first != self.own) {
+        let enough = responsive.len() > 2 * self.losses || list.members.len() == 2;
+        if !enough || responsive.first().is_none_or(|first| **first != self.own) {
             return;
         }
-        if let Some(vm) = memory.silence.lapsed(list, now) {
+        if let Some(vm) = state.unresponsive.to_evict(list, now) {
             log::warn!(
                 "event=E{} text=\"{}\" member={vm}",
                 Event::MemberEvicted.number(),
                 Event::MemberEvicted.text()
             );
             let next = list.without(vm);
-            self.propose(memory, list, &next).await;
+            self.propose(state, list, &next).await;
         }
     }
 
     /// Has left the list: waits until the others have all that this member held.
     async fn leave(&self, list: &List) {
-        if self.ready(list).await.len() < list.members.len() {
+        if self.ready_members(list).await.len() < list.members.len() {
             return;
         }
         log::info!(
--- a/crates/replica/src/quorum.rs
+++ b/crates/replica/src/quorum.rs
@@ -6,7 +6,7 @@
 
 /// Where a write to a group stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Write {
+pub enum WriteState {
     /// More answers are needed.
     Waiting,
     /// A majority has it, and more members may still answer.
@@ -19,17 +19,17 @@
 
 /// Judges a write by the members that have it and those that failed.
 #[must_use]
-pub const fn write(group: usize, done: usize, failed: usize) -> Write {
+pub const fn write_state(group: usize, done: usize, failed: usize) -> WriteState {
     if group > 0 && done == group {
-        return Write::All;
+        return WriteState::All;
     }
     if done >= list::majority(group) {
-        return Write::Majority;
+        return WriteState::Majority;
     }
     if group - failed < list::majority(group) {
-        return Write::Failed;
+        return WriteState::Failed;
     }
-    Write::Waiting
+    WriteState::Waiting
 }
 
 /// Whether a reservation fits its program's budget.
@@ -48,9 +48,9 @@
 /// reservation, or all members, are enough: of any set of reservations that got through, the one
 /// whose write was complete last has then seen all others.
 #[must_use]
-pub fn reserve(entries: &[Entry], own: &Entry, budget: u64) -> Verdict {
+pub fn check_budget(entries: &[Entry], own: &Entry, budget: u64) -> Verdict {
     let others = entries.iter().filter(|entry| entry.turn != own.turn);
-    let spent: u64 = others.map(Entry::counts).sum();
+    let spent: u64 = others.map(Entry::charged).sum();
     if spent + u64::from(own.most) <= budget {
         return Verdict::Fits;
     }
@@ -62,7 +62,7 @@
 pub fn union(known: &[Vec<Entry>]) -> Vec<Entry> {
     let mut all = Vec::new();
     for entries in known {
-        ledger::unite(&mut all, entries);
+        ledger::merge_entries(&mut all, entries);
     }
     all
 }
--- a/crates/replica/src/quorum/tests.rs
+++ b/crates/replica/src/quorum/tests.rs
@@ -10,10 +10,10 @@
 use wire::clock::Millis;
 
 use super::Verdict;
-use super::Write;
-use super::reserve;
+use super::WriteState;
+use super::check_budget;
 use super::union;
-use super::write;
+use super::write_state;
 use crate::ledger::Entry;
 use crate::ledger::Ledger;
 use crate::record::Key;
@@ -26,21 +26,21 @@
 const MOST: u32 = 100;
 
 #[rstest]
-#[case(3, 1, 0, Write::Waiting)]
-#[case(3, 2, 0, Write::Majority)]
-#[case(3, 2, 1, Write::Majority)]
-#[case(3, 3, 0, Write::All)]
-#[case(3, 1, 2, Write::Failed)]
-#[case(2, 1, 1, Write::Failed)]
-#[case(1, 1, 0, Write::All)]
-#[case(0, 0, 0, Write::Failed)]
+#[case(3, 1, 0, WriteState::Waiting)]
+#[case(3, 2, 0, WriteState::Majority)]
+#[case(3, 2, 1, WriteState::Majority)]
+#[case(3, 3, 0, WriteState::All)]
+#[case(3, 1, 2, WriteState::Failed)]
+#[case(2, 1, 1, WriteState::Failed)]
+#[case(1, 1, 0, WriteState::All)]
+#[case(0, 0, 0, WriteState::Failed)]
 fn a_write_counts_with_a_majority(
     #[case] group: usize,
     #[case] done: usize,
     #[case] failed: usize,
-    #[case] wanted: Write,
+    #[case] expected: WriteState,
 ) {
-    assert_eq!(write(group, done, failed), wanted);
+    assert_eq!(write_state(group, done, failed), expected);
 }
 
 /// A step of one VM's reservation, or a loss.
@@ -76,7 +76,7 @@
     ]
 }
 
-fn own(turn: usize) -> Entry {
+fn entry(turn: usize) -> Entry {
     Entry {
         turn: Key(turn as u128),
         most: MOST,
@@ -84,22 +84,24 @@
     }
 }
 
-fn play(members: &mut [Ledger], attempts: &mut [Attempt], step: Step) {
+fn apply_step(members: &mut [Ledger], attempts: &mut [Attempt], step: Step) {
     match step {
         Step::Write { turn, member } if !attempts[turn].written.contains(&member) => {
-            let fact = Reservation {
+            let record = Reservation {
                 program: PROGRAM,
                 turn: Key(turn as u128),
                 most: MOST,
             };
-            members[member].reserve(&fact, Millis::ZERO);
+            members[member].reserve(&record, Millis::ZERO);
             let attempt = &mut attempts[turn];
             attempt.written.push(member);
             attempt
                 .known
                 .push(members[member].entries(PROGRAM).to_vec());
-            if write(MEMBERS, attempt.written.len(), 0) == Write::All && attempt.verdict.is_none() {
-                attempt.verdict = Some(reserve(&union(&attempt.known), &own(turn), BUDGET));
+            if write_state(MEMBERS, attempt.written.len(), 0) == WriteState::All
+                && attempt.verdict.is_none()
+            {
+                attempt.verdict = Some(check_budget(&union(&attempt.known), &entry(turn), BUDGET));
             }
         }
         Step::Read { turn, member } if attempts[turn].written.len() >= 2 => {
@@ -112,7 +114,7 @@
                 .known
                 .push(members[member].entries(PROGRAM).to_vec());
             if attempt.read.len() >= 2 {
-                attempt.verdict = Some(reserve(&union(&attempt.known), &own(turn), BUDGET));
+                attempt.verdict = Some(check_budget(&union(&attempt.known), &entry(turn), BUDGET));
             }
         }
         Step::Settle { turn, member } => {
@@ -122,12 +124,12 @@
                 Some(Verdict::Spent(_)) => 0,
                 None => return,
             };
-            let fact = Settlement {
+            let record = Settlement {
                 program: PROGRAM,
                 turn: Key(turn as u128),
                 used,
             };
-            members[member].settle(&fact, Millis::ZERO);
+            members[member].settle(&record, Millis::ZERO);
         }
         Step::Restart { member } => {
             let entries = members[member].entries(PROGRAM).to_vec();
@@ -149,7 +151,7 @@
         let mut members: Vec<Ledger> = (0..MEMBERS).map(|_| Ledger::default()).collect();
         let mut attempts = vec![Attempt::default(); 5];
         for step in steps {
-            play(&mut members, &mut attempts, step);
+            apply_step(&mut members, &mut attempts, step);
             let running = attempts.iter().filter(|attempt| attempt.verdict == Some(Verdict::Fits));
             let tokens = running.count() as u64 * u64::from(MOST);
             prop_assert!(tokens <= BUDGET, "{tokens} tokens: {attempts:?}");
@@ -158,7 +160,7 @@
 
     /// Facts arrive in any order and more than once; two members that have the same ones agree.
     #[test]
-    fn accounts_do_not_depend_on_the_order(facts in vec((0..4_u128, any::<bool>()), 0..20)) {
+    fn accounts_do_not_depend_on_the_order(records in vec((0..4_u128, any::<bool>()), 0..20)) {
         let apply = |ledger: &mut Ledger, (turn, settles): (u128, bool)| {
             if settles {
                 ledger.settle(&Settlement { program: PROGRAM, turn: Key(turn), used: 7 }, Millis::ZERO);
@@ -166,31 +168,31 @@
                 ledger.reserve(&Reservation { program: PROGRAM, turn: Key(turn), most: 50 }, Millis::ZERO);
             }
         };
-        let mut forth = Ledger::default();
-        let mut back = Ledger::default();
-        for fact in &facts {
-            apply(&mut forth, *fact);
+        let mut forward = Ledger::default();
+        let mut backward = Ledger::default();
+        for record in &records {
+            apply(&mut forward, *record);
         }
-        for fact in facts.iter().rev().chain(&facts) {
-            apply(&mut back, *fact);
+        for record in records.iter().rev().chain(&records) {
+            apply(&mut backward, *record);
         }
-        let counts = |ledger: &Ledger| -> Vec<u64> {
-            ledger.entries(PROGRAM).iter().map(Entry::counts).collect()
+        let charges = |ledger: &Ledger| -> Vec<u64> {
+            ledger.entries(PROGRAM).iter().map(Entry::charged).collect()
         };
-        prop_assert!(counts(&forth) == counts(&back));
+        prop_assert!(charges(&forward) == charges(&backward));
     }
 }
 
 /// The state of three concurrent reservations, for the exhaustive search: turns are bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct World {
+struct SearchState {
     /// Which turns each member knows.
     members: [u8; MEMBERS],
-    turns: [Racer; 3],
+    turns: [ReservationState; 3],
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Racer {
+struct ReservationState {
     written: u8,
     read: u8,
     known: u8,
@@ -198,22 +200,22 @@
 }
 
 /// How many members are read once a majority has the reservation.
-fn race(reads: u32) -> Result<usize, World> {
-    let mut seen = HashSet::from([World::default()]);
-    let mut queue = vec![World::default()];
-    while let Some(world) = queue.pop() {
-        let running = world
+fn search(reads: u32) -> Result<usize, SearchState> {
+    let mut seen = HashSet::from([SearchState::default()]);
+    let mut queue = vec![SearchState::default()];
+    while let Some(state) = queue.pop() {
+        let running = state
             .turns
             .iter()
             .filter(|turn| turn.verdict == Some(Verdict::Fits));
         if running.count() as u64 * u64::from(MOST) > BUDGET {
-            return Err(world);
+            return Err(state);
         }
         for turn in 0..3 {
             for member in 0..MEMBERS {
                 for next in [
-                    written(world, turn, member, reads),
-                    read(world, turn, member, reads),
+                    write_step(state, turn, member, reads),
+                    read_step(state, turn, member, reads),
                 ] {
                     if seen.insert(next) {
                         queue.push(next);
@@ -225,39 +227,42 @@
     Ok(seen.len())
 }
 
-fn judge(world: &mut World, turn: usize) {
-    let known = world.turns[turn].known;
-    let entries: Vec<Entry> = (0..3).filter(|at| known >> at & 1 == 1).map(own).collect();
-    world.turns[turn].verdict = Some(reserve(&entries, &own(turn), BUDGET));
+fn decide(state: &mut SearchState, turn: usize) {
+    let known = state.turns[turn].known;
+    let entries: Vec<Entry> = (0..3)
+        .filter(|at| known >> at & 1 == 1)
+        .map(entry)
+        .collect();
+    state.turns[turn].verdict = Some(check_budget(&entries, &entry(turn), BUDGET));
 }
 
-fn written(mut world: World, turn: usize, member: usize, reads: u32) -> World {
-    let racer = &mut world.turns[turn];
-    if racer.written >> member & 1 == 1 || racer.verdict.is_some() {
-        return world;
+fn write_step(mut state: SearchState, turn: usize, member: usize, reads: u32) -> SearchState {
+    let reservation = &mut state.turns[turn];
+    if reservation.written >> member & 1 == 1 || reservation.verdict.is_some() {
+        return state;
     }
-    racer.written |= 1 << member;
-    world.members[member] |= 1 << turn;
-    racer.known |= world.members[member];
-    let all = racer.written.count_ones() as usize == MEMBERS;
-    if all || (reads == 0 && racer.written.count_ones() == 2) {
-        judge(&mut world, turn);
+    reservation.written |= 1 << member;
+    state.members[member] |= 1 << turn;
+    reservation.known |= state.members[member];
+    let all = reservation.written.count_ones() as usize == MEMBERS;
+    if all || (reads == 0 && reservation.written.count_ones() == 2) {
+        decide(&mut state, turn);
     }
-    world
+    state
 }
 
-fn read(mut world: World, turn: usize, member: usize, reads: u32) -> World {
-    let racer = &mut world.turns[turn];
-    let may = racer.written.count_ones() >= 2 && racer.verdict.is_none();
-    if !may || racer.read >> member & 1 == 1 {
-        return world;
+fn read_step(mut state: SearchState, turn: usize, member: usize, reads: u32) -> SearchState {
+    let reservation = &mut state.turns[turn];
+    let allowed = reservation.written.count_ones() >= 2 && reservation.verdict.is_none();
+    if !allowed || reservation.read >> member & 1 == 1 {
+        return state;
     }
-    racer.read |= 1 << member;
-    racer.known |= world.members[member];
-    if racer.read.count_ones() >= reads {
-        judge(&mut world, turn);
+    reservation.read |= 1 << member;
+    reservation.known |= state.members[member];
+    if reservation.read.count_ones() >= reads {
+        decide(&mut state, turn);
     }
-    world
+    state
 }
 
 /// Three turns of a program whose budget holds two start at once, and each reaches another two of
@@ -265,7 +270,7 @@
 /// it, all three run. Searched over every order of messages.
 #[test]
 fn a_second_round_at_a_majority_is_needed_and_enough() {
-    assert!(race(2).is_ok());
-    assert!(race(1).is_err());
-    assert!(race(0).is_err());
+    assert!(search(2).is_ok());
+    assert!(search(1).is_err());
+    assert!(search(0).is_err());
 }
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -7,9 +7,9 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 /// A frame's head: the payload's length and its checksum.
-pub const HEAD: usize = 12;
+pub const HEADER_BYTES: usize = 12;
 /// The longest payload in bytes. A longer length in a head is a torn write.
-pub const MAX_PAYLOAD: usize = 32 * 1024 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 32 * 1024 * 1024;
 
 /// Names a turn or a program: a digest of its id, 128 bits wide, so that two ids of all that a
 /// deployment ever sees don't meet.
@@ -73,9 +73,9 @@
 /// # Errors
 ///
 /// Fails where the record can't be encoded.
-pub fn frame(record: &Record) -> Result<Vec<u8>, rmp_serde::encode::Error> {
+pub fn encode_frame(record: &Record) -> Result<Vec<u8>, rmp_serde::encode::Error> {
     let payload = rmp_serde::to_vec(record)?;
-    let mut out = Vec::with_capacity(HEAD + payload.len());
+    let mut out = Vec::with_capacity(HEADER_BYTES + payload.len());
     let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
     out.extend_from_slice(&length.to_le_bytes());
     out.extend_from_slice(&xxh3_64(&payload).to_le_bytes());
@@ -89,7 +89,7 @@
     /// A whole record, and its frame's length.
     Record(Record, usize),
     /// The bytes end within a frame; at a file's end that is a torn write.
-    Short,
+    Incomplete,
     /// The bytes are no frame: a torn write.
     Torn,
 }
@@ -97,24 +97,24 @@
 /// Parses the frame at the head of `bytes`. A torn write has another checksum, so it is never
 /// taken for a record.
 #[must_use]
-pub fn parse(bytes: &[u8]) -> Parsed {
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
-        return Parsed::Short;
+pub fn parse_frame(bytes: &[u8]) -> Parsed {
+    let Some((header, rest)) = bytes.split_at_checked(HEADER_BYTES) else {
+        return Parsed::Incomplete;
     };
-    let (length, sum) = head.split_at(4);
+    let (length, checksum) = header.split_at(4);
     let length = u32::from_le_bytes(length.try_into().unwrap_or_default()) as usize;
-    let sum = u64::from_le_bytes(sum.try_into().unwrap_or_default());
-    if length == 0 || length > MAX_PAYLOAD {
+    let checksum = u64::from_le_bytes(checksum.try_into().unwrap_or_default());
+    if length == 0 || length > MAX_PAYLOAD_BYTES {
         return Parsed::Torn;
     }
     let Some(payload) = rest.get(..length) else {
-        return Parsed::Short;
+        return Parsed::Incomplete;
     };
-    if xxh3_64(payload) != sum {
+    if xxh3_64(payload) != checksum {
         return Parsed::Torn;
     }
     match rmp_serde::from_slice(payload) {
-        Ok(record) => Parsed::Record(record, HEAD + length),
+        Ok(record) => Parsed::Record(record, HEADER_BYTES + length),
         Err(_) => Parsed::Torn,
     }
 }
--- a/crates/replica/src/server.rs
+++ b/crates/replica/src/server.rs
@@ -25,11 +25,11 @@
 
 use crate::disk;
 use crate::disk::Disk;
-use crate::disk::Event;
-use crate::disk::Found;
+use crate::disk::FoundRecord;
 use crate::disk::Identity;
+use crate::disk::SegmentEvent;
 use crate::index::Index;
-use crate::index::Line;
+use crate::index::IndexEntry;
 use crate::ledger::Ledger;
 use crate::list;
 use crate::list::List;
@@ -38,23 +38,23 @@
 use crate::message::Body;
 use crate::message::Status;
 use crate::record::Record;
-use crate::server::gained::Gains;
+use crate::server::gained::GainedKeys;
 
 /// The longest request in bytes: a turn of the largest body that operators allow, and its output.
-const MAX_REQUEST: usize = 16 * 1024 * 1024;
+const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
 
 /// A member.
 #[derive(Debug)]
 pub struct Member {
     disk: Disk,
     state: Mutex<State>,
-    events: Mutex<mpsc::Receiver<Event>>,
-    gains: tokio::sync::Mutex<Gains>,
+    events: Mutex<mpsc::Receiver<SegmentEvent>>,
+    gained: tokio::sync::Mutex<GainedKeys>,
     clock: Clock,
     /// Writes that were taken and aren't answered yet; closed when the process stops.
     writes: TaskTracker,
     /// Rung when the list changes.
-    pub changed: Notify,
+    pub list_changed: Notify,
 }
 
 #[derive(Debug, Default)]
@@ -63,12 +63,12 @@
     index: Index,
     ledger: Ledger,
     /// Segments begun since the accounts were written anew.
-    begun: u64,
+    segments_since_rewrite: u64,
     /// When another VM last asked for something to be synced.
-    asked: Millis,
+    last_write: Millis,
 }
 
-/// Opens a member's folder. `fresh` is the number that an empty disk gets.
+/// Opens a member's folder. `new_disk` is the number that an empty disk gets.
 ///
 /// # Errors
 ///
@@ -76,34 +76,34 @@
 pub async fn open(
     folder: &std::path::Path,
     bytes: u64,
-    fresh: u64,
+    new_disk: u64,
     clock: Clock,
 ) -> io::Result<Arc<Member>> {
     let mut state = State::default();
     let now = clock.now();
     let mut records = 0_u64;
-    let opened = disk::open(folder, bytes, &mut |found: Found| {
+    let opened = disk::open(folder, bytes, &mut |found: FoundRecord| {
         records += 1;
         match found.record {
             Record::Turn(turn) => {
-                let line = Line {
+                let entry = IndexEntry {
                     previous: turn.previous,
-                    place: found.place,
+                    location: found.location,
                 };
-                state.index.insert(turn.key, line);
+                state.index.insert(turn.key, entry);
             }
-            Record::Reserve(fact) => state.ledger.reserve(&fact, now),
-            Record::Settle(fact) => state.ledger.settle(&fact, now),
+            Record::Reserve(record) => state.ledger.reserve(&record, now),
+            Record::Settle(record) => state.ledger.settle(&record, now),
         }
     })?;
     state.identity = if let Some(identity) = opened.identity {
         identity
     } else {
         let identity = Identity {
-            disk: fresh,
+            disk: new_disk,
             ..Identity::default()
         };
-        opened.disk.identify(&identity).await?;
+        opened.disk.write_identity(&identity).await?;
         identity
     };
     log::info!(
@@ -116,10 +116,10 @@
         disk: opened.disk,
         state: Mutex::new(state),
         events: Mutex::new(opened.events),
-        gains: tokio::sync::Mutex::default(),
+        gained: tokio::sync::Mutex::default(),
         clock,
         writes: TaskTracker::new(),
-        changed: Notify::new(),
+        list_changed: Notify::new(),
     }))
 }
 
@@ -157,18 +157,18 @@
             if list.version <= state.identity.list.version {
                 return Ok(());
             }
-            list::log_in_force(list, state.identity.list.version);
+            list::log_list_change(list, state.identity.list.version);
             state.identity.list = list.clone();
             state.identity.clone()
         };
-        self.changed.notify_waiters();
-        self.disk.identify(&identity).await
+        self.list_changed.notify_waiters();
+        self.disk.write_identity(&identity).await
     }
 
     /// Yields for how long no other VM has asked for anything to be synced.
     #[must_use]
-    pub fn quiet_for(&self) -> Millis {
-        self.clock.now().since(self.lock().asked)
+    pub fn idle_for(&self) -> Millis {
+        self.clock.now().since(self.lock().last_write)
     }
 
     /// Notes that all that was acknowledged before version `ready` is here.
@@ -182,7 +182,7 @@
             state.identity.ready = ready;
             state.identity.clone()
         };
-        self.disk.identify(&identity).await
+        self.disk.write_identity(&identity).await
     }
 
     /// Refuses writes from now on, as the process stops: a writer that waits for one that it may not
@@ -201,23 +201,23 @@
         // Counted before it is looked whether writes are still taken: the process would else end
         // between the two.
         let _taken = matches!(ask.body, Body::Apply(_)).then(|| self.writes.token());
-        if let Some(answer) = self.check(&ask) {
+        if let Some(answer) = self.refusal(&ask) {
             return answer;
         }
         match ask.body {
             Body::Apply(records) => {
-                self.lock().asked = self.clock.now();
+                self.lock().last_write = self.clock.now();
                 let answer = self.apply(records).await;
                 // The list may have changed while the disk was synced. Members that learn by the
                 // new one may have been told what is here without these facts, so they don't count
                 // by the old one; the sender comes again.
-                self.newer_than(ask.version).unwrap_or(answer)
+                self.list_newer_than(ask.version).unwrap_or(answer)
             }
             Body::Chain(key) => self.chain(key),
             Body::Account(program) => Answer::Account(self.lock().ledger.entries(program).to_vec()),
             Body::Adopt(list) => match self.adopt(&list).await {
                 Ok(()) => Answer::Status(self.status()),
-                Err(fault) => failed(&fault),
+                Err(fault) => disk_failed(&fault),
             },
             Body::Keys => Answer::Keys(self.holdings()),
             Body::Gained { vm, losses } => Answer::Keys(self.gained(&vm, losses).await),
@@ -229,14 +229,14 @@
     /// Refuses what goes by another list, writes while the process stops, with the question that tells
     /// whether writes can be had, and reads before the member has learnt all: others might
     /// take an absence or a sum that it tells for the truth.
-    fn check(&self, ask: &Ask) -> Option<Answer> {
+    fn refusal(&self, ask: &Ask) -> Option<Answer> {
         if self.writes.is_closed() && matches!(ask.body, Body::Apply(_) | Body::Status) {
             return Some(Answer::Failed("stopping".to_owned()));
         }
         if matches!(ask.body, Body::Adopt(_) | Body::Status | Body::Fetch(_)) {
             return None;
         }
-        if let Some(newer) = self.newer_than(ask.version) {
+        if let Some(newer) = self.list_newer_than(ask.version) {
             return Some(newer);
         }
         let state = self.lock();
@@ -244,16 +244,16 @@
         if ask.version > own.version {
             return Some(Answer::Older);
         }
-        let reads = match ask.body {
+        let needs_all = match ask.body {
             // A turn never changes: one that is here may be told also while others may be missing.
             Body::Chain(key) => state.index.find(key).is_none(),
             Body::Account(_) => true,
             _ => false,
         };
-        (reads && state.identity.ready < own.version).then_some(Answer::NotReady)
+        (needs_all && state.identity.ready < own.version).then_some(Answer::NotReady)
     }
 
-    fn newer_than(&self, version: u64) -> Option<Answer> {
+    fn list_newer_than(&self, version: u64) -> Option<Answer> {
         let state = self.lock();
         let own = &state.identity.list;
         (version < own.version).then(|| Answer::Newer(own.clone()))
@@ -267,29 +267,29 @@
     }
 }
 
-fn failed(fault: &io::Error) -> Answer {
+fn disk_failed(fault: &io::Error) -> Answer {
     disk::log_failed(fault);
     Answer::Failed(fault.to_string())
 }
 
 /// Serves a request of another VM.
 pub async fn serve(member: Arc<Member>, request: Request<Incoming>) -> Response<ResponseBody> {
-    let bytes = match body::read(request.into_body(), MAX_REQUEST).await {
+    let bytes = match body::read(request.into_body(), MAX_REQUEST_BYTES).await {
         Ok(bytes) => bytes,
-        Err(fault) => return plain(StatusCode::BAD_REQUEST, fault.to_string()),
+        Err(fault) => return response_with(StatusCode::BAD_REQUEST, fault.to_string()),
     };
     let ask = match rmp_serde::from_slice(&bytes) {
         Ok(ask) => ask,
-        Err(fault) => return plain(StatusCode::BAD_REQUEST, fault.to_string()),
+        Err(fault) => return response_with(StatusCode::BAD_REQUEST, fault.to_string()),
     };
     let answer = member.answer(ask).await;
     match rmp_serde::to_vec(&answer) {
-        Ok(bytes) => plain(StatusCode::OK, bytes),
-        Err(fault) => plain(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string()),
+        Ok(bytes) => response_with(StatusCode::OK, bytes),
+        Err(fault) => response_with(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string()),
     }
 }
 
-fn plain(status: StatusCode, body: impl Into<Bytes>) -> Response<ResponseBody> {
+fn response_with(status: StatusCode, body: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::whole(body));
     *response.status_mut() = status;
     response
--- a/crates/replica/src/server/gained.rs
+++ b/crates/replica/src/server/gained.rs
@@ -1,6 +1,6 @@
 //! What others have to learn from a member after a change of the list.
 
-use crate::gain;
+use crate::catch_up;
 use crate::ledger::Account;
 use crate::list::List;
 use crate::message::Holdings;
@@ -9,21 +9,21 @@
 
 /// Keys that are looked at before other requests get their turn: under a millisecond on a third of
 /// a core.
-const AT_ONCE: usize = 200;
+const KEYS_PER_YIELD: usize = 200;
 
 /// What members got by the latest change of the list, of what this one holds; in the order of VMs.
 #[derive(Debug, Default)]
-pub(super) struct Gains {
+pub(super) struct GainedKeys {
     version: u64,
     turns: Vec<(String, Key)>,
     programs: Vec<(String, Key)>,
 }
 
 /// Works out gains some at a time, so that requests are answered meanwhile.
-async fn gains(list: &List, keys: &[Key], losses: usize) -> Vec<(String, Key)> {
+async fn gained_keys(list: &List, keys: &[Key], losses: usize) -> Vec<(String, Key)> {
     let mut all = Vec::new();
-    for some in keys.chunks(AT_ONCE) {
-        all.extend(gain::gains(list, some, losses));
+    for chunk in keys.chunks(KEYS_PER_YIELD) {
+        all.extend(catch_up::gained_keys(list, chunk, losses));
         tokio::task::yield_now().await;
     }
     all.sort_unstable();
@@ -34,12 +34,12 @@
     /// Yields what the member holds and `vm` has to hold only since the latest change of the list.
     pub(super) async fn gained(&self, vm: &str, losses: usize) -> Holdings {
         // Held while the gains are worked out, so that members that ask at once share the work.
-        let mut gains = self.gains.lock().await;
+        let mut cached = self.gained.lock().await;
         let list = self.identity().list;
-        if gains.version != list.version {
-            *gains = self.work_out(&list, losses).await;
+        if cached.version != list.version {
+            *cached = self.compute_gained(&list, losses).await;
         }
-        let own = |gained: &[(String, Key)]| -> Vec<Key> {
+        let keys_of_vm = |gained: &[(String, Key)]| -> Vec<Key> {
             let first = gained.partition_point(|(other, _)| other.as_str() < vm);
             let of_vm = gained[first..].iter();
             let of_vm = of_vm.take_while(|(other, _)| other == vm);
@@ -52,20 +52,23 @@
         };
         Holdings {
             ready: state.identity.ready,
-            turns: own(&gains.turns),
-            accounts: own(&gains.programs).into_iter().map(account).collect(),
+            turns: keys_of_vm(&cached.turns),
+            accounts: keys_of_vm(&cached.programs)
+                .into_iter()
+                .map(account)
+                .collect(),
         }
     }
 
-    async fn work_out(&self, list: &List, losses: usize) -> Gains {
+    async fn compute_gained(&self, list: &List, losses: usize) -> GainedKeys {
         let (turns, programs) = {
             let state = self.lock();
             (state.index.keys(), state.ledger.programs())
         };
-        Gains {
+        GainedKeys {
             version: list.version,
-            turns: gains(list, &turns, losses).await,
-            programs: gains(list, &programs, losses).await,
+            turns: gained_keys(list, &turns, losses).await,
+            programs: gained_keys(list, &programs, losses).await,
         }
     }
 }
--- a/crates/replica/src/server/read.rs
+++ b/crates/replica/src/server/read.rs
@@ -8,26 +8,26 @@
 use crate::record::Record;
 use crate::record::Turn;
 use crate::server::Member;
-use crate::server::failed;
+use crate::server::disk_failed;
 
 /// How much text an answer holds before it stops: a part of what a small VM can buffer.
-const MAX_TEXT: usize = 512 * 1024;
+const MAX_TEXT_BYTES: usize = 512 * 1024;
 
 impl Member {
     pub(super) fn chain(&self, key: Key) -> Answer {
         let mut chain = Chain::default();
-        let mut text = 0;
+        let mut text_bytes = 0;
         let mut next = Some(key);
         while let Some(key) = next {
-            let Some(line) = self.lock().index.find(key) else {
+            let Some(entry) = self.lock().index.find(key) else {
                 break;
             };
-            if text > MAX_TEXT {
+            if text_bytes > MAX_TEXT_BYTES {
                 break;
             }
-            match self.disk.read(line.place) {
+            match self.disk.read(entry.location) {
                 Ok(Record::Turn(turn)) => {
-                    text += turn.text.len();
+                    text_bytes += turn.text.len();
                     chain.turns.push(Link {
                         key,
                         text: turn.text,
@@ -35,7 +35,7 @@
                     next = turn.previous;
                 }
                 Ok(_) => return Answer::Failed("another record lies there".to_owned()),
-                Err(fault) => return failed(&fault),
+                Err(fault) => return disk_failed(&fault),
             }
         }
         chain.next = next;
@@ -55,20 +55,20 @@
 
     pub(super) fn fetch(&self, keys: &[Key]) -> Vec<Turn> {
         let mut turns = Vec::new();
-        let mut text = 0;
+        let mut text_bytes = 0;
         for key in keys {
-            let Some(line) = self.lock().index.find(*key) else {
+            let Some(entry) = self.lock().index.find(*key) else {
                 continue;
             };
-            match self.disk.read(line.place) {
+            match self.disk.read(entry.location) {
                 Ok(Record::Turn(turn)) => {
-                    text += turn.text.len();
+                    text_bytes += turn.text.len();
                     turns.push(turn);
                 }
                 Ok(_) => {}
                 Err(fault) => log::error!("text=\"a turn can't be read\" fault=\"{fault}\""),
             }
-            if text > MAX_TEXT {
+            if text_bytes > MAX_TEXT_BYTES {
                 break;
             }
         }
--- a/crates/replica/src/server/write.rs
+++ b/crates/replica/src/server/write.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::sync::PoisonError;
 
-use crate::disk::Event;
-use crate::index::Line;
+use crate::disk::SegmentEvent;
+use crate::index::IndexEntry;
 use crate::ledger::Account;
 use crate::ledger::Entry;
 use crate::message::Answer;
@@ -14,11 +14,11 @@
 use crate::record::Reservation;
 use crate::record::Settlement;
 use crate::server::Member;
-use crate::server::failed;
+use crate::server::disk_failed;
 
 /// Accounts are written anew after so many segments, far fewer than fit the smallest disk, so that
 /// no program's entries go with the oldest segment.
-const CHECKPOINT: u64 = 8;
+const REWRITE_AFTER_SEGMENTS: u64 = 8;
 
 impl Member {
     /// Syncs facts. Reservations count from here on, before they are on disk: another reservation
@@ -34,26 +34,26 @@
                 match record {
                     Record::Turn(turn) if state.index.find(turn.key).is_some() => continue,
                     Record::Turn(turn) => turns.push((frames.len(), turn.key, turn.previous)),
-                    Record::Reserve(fact) => {
-                        state.ledger.reserve(fact, now);
-                        program = Some(fact.program);
+                    Record::Reserve(record) => {
+                        state.ledger.reserve(record, now);
+                        program = Some(record.program);
                     }
-                    Record::Settle(fact) => state.ledger.settle(fact, now),
+                    Record::Settle(record) => state.ledger.settle(record, now),
                 }
-                match record::frame(record) {
+                match record::encode_frame(record) {
                     Ok(frame) => frames.push(frame),
                     Err(fault) => return Answer::Failed(fault.to_string()),
                 }
             }
         }
-        let places = match self.disk.append(frames).await {
-            Ok(places) => places,
-            Err(fault) => return failed(&fault),
+        let locations = match self.disk.append(frames).await {
+            Ok(locations) => locations,
+            Err(fault) => return disk_failed(&fault),
         };
         let mut state = self.lock();
         for (at, key, previous) in turns {
-            let place = places[at];
-            state.index.insert(key, Line { previous, place });
+            let location = locations[at];
+            state.index.insert(key, IndexEntry { previous, location });
         }
         let entries = program.map_or_else(Vec::new, |key| state.ledger.entries(key).to_vec());
         Answer::Applied(entries)
@@ -64,23 +64,30 @@
     /// # Errors
     ///
     /// Fails where the disk does.
-    pub async fn learn(&self, accounts: &[Account]) -> io::Result<()> {
+    pub async fn merge_accounts(&self, accounts: &[Account]) -> io::Result<()> {
         let now = self.clock.now();
-        let mut facts = Vec::new();
+        let mut records = Vec::new();
         {
             let mut state = self.lock();
             for account in accounts {
                 let known = state.ledger.entries(account.program);
-                let news: Vec<Entry> = news(known, &account.entries);
-                facts.extend(news.iter().map(|entry| fact(account.program, entry)));
-                state.ledger.merge(account.program, &news, now);
+                let added: Vec<Entry> = added_entries(known, &account.entries);
+                records.extend(
+                    added
+                        .iter()
+                        .map(|entry| entry_record(account.program, entry)),
+                );
+                state.ledger.merge(account.program, &added, now);
             }
         }
-        self.write(&facts).await
+        self.write_records(&records).await
     }
 
-    async fn write(&self, facts: &[Record]) -> io::Result<()> {
-        let frames = facts.iter().map(record::frame).collect::<Result<_, _>>();
+    async fn write_records(&self, records: &[Record]) -> io::Result<()> {
+        let frames = records
+            .iter()
+            .map(record::encode_frame)
+            .collect::<Result<_, _>>();
         let frames = frames.map_err(io::Error::other)?;
         self.disk.append(frames).await.map(drop)
     }
@@ -92,7 +99,7 @@
     ///
     /// Fails where the disk does.
     pub async fn sweep(&self) -> io::Result<()> {
-        let events: Vec<Event> = {
+        let events: Vec<SegmentEvent> = {
             let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
             events.try_iter().collect()
         };
@@ -101,27 +108,27 @@
             state.ledger.sweep(self.clock.now());
             for event in events {
                 match event {
-                    Event::Began(_) => state.begun += 1,
-                    Event::Removed(segment) => {
-                        state.index.forget(segment);
-                        self.disk.forget(segment);
+                    SegmentEvent::Created(_) => state.segments_since_rewrite += 1,
+                    SegmentEvent::Removed(segment) => {
+                        state.index.remove_segment(segment);
+                        self.disk.close_segment(segment);
                     }
                 }
             }
-            if state.begun < CHECKPOINT {
+            if state.segments_since_rewrite < REWRITE_AFTER_SEGMENTS {
                 return Ok(());
             }
-            state.begun = 0;
+            state.segments_since_rewrite = 0;
             state.ledger.accounts()
         };
-        let facts: Vec<Record> = accounts.iter().flat_map(facts).collect();
-        log::info!("text=\"accounts written anew\" entries={}", facts.len());
-        self.write(&facts).await
+        let records: Vec<Record> = accounts.iter().flat_map(account_records).collect();
+        log::info!("text=\"accounts written anew\" entries={}", records.len());
+        self.write_records(&records).await
     }
 }
 
 /// Yields the entries that say more than those known.
-fn news(known: &[Entry], entries: &[Entry]) -> Vec<Entry> {
+fn added_entries(known: &[Entry], entries: &[Entry]) -> Vec<Entry> {
     let says_more = |entry: &&Entry| match known.iter().find(|other| other.turn == entry.turn) {
         Some(other) => other.used.is_none() && entry.used.is_some(),
         None => true,
@@ -129,12 +136,14 @@
     entries.iter().filter(says_more).copied().collect()
 }
 
-fn facts(account: &Account) -> Vec<Record> {
+fn account_records(account: &Account) -> Vec<Record> {
     let entries = account.entries.iter();
-    entries.map(|entry| fact(account.program, entry)).collect()
+    entries
+        .map(|entry| entry_record(account.program, entry))
+        .collect()
 }
 
-fn fact(program: Key, entry: &Entry) -> Record {
+fn entry_record(program: Key, entry: &Entry) -> Record {
     match entry.used {
         Some(used) => Record::Settle(Settlement {
             program,
--- a/crates/replica/src/silence/tests.rs
+++ b/crates/replica/src/unresponsive/tests.rs
@@ -1,6 +1,6 @@
 use wire::clock::Millis;
 
-use super::Silence;
+use super::UnresponsiveMembers;
 use crate::list::List;
 use crate::list::Member;
 
@@ -21,16 +21,19 @@
 /// that was taken off and came back would have all members learn, while callers wait.
 #[test]
 fn a_data_centre_that_is_cut_off_stays_on_the_list() {
-    let mut silence = Silence::default();
+    let mut unresponsive = UnresponsiveMembers::default();
     let six = list(&["a1", "a2", "b1", "b2", "c1", "c2"]);
-    silence.note(&six, &["a1", "a2", "c1", "c2"], NOW);
-    assert_eq!(silence.lapsed(&six, NOW.plus(Millis::new(8_000))), None);
+    unresponsive.record_answers(&six, &["a1", "a2", "c1", "c2"], NOW);
+    assert_eq!(
+        unresponsive.to_evict(&six, NOW.plus(Millis::new(8_000))),
+        None
+    );
     let one_back = NOW.plus(Millis::new(8_000));
-    silence.note(&six, &["a1", "a2", "b1", "c1", "c2"], one_back);
-    assert_eq!(silence.lapsed(&six, one_back), Some("b2"));
-    silence.note(&six, &["a1", "a2", "c1", "c2"], NOW);
+    unresponsive.record_answers(&six, &["a1", "a2", "b1", "c1", "c2"], one_back);
+    assert_eq!(unresponsive.to_evict(&six, one_back), Some("b2"));
+    unresponsive.record_answers(&six, &["a1", "a2", "c1", "c2"], NOW);
     let long = NOW.plus(Millis::new(40_000));
-    assert_eq!(silence.lapsed(&six, long), Some("b2"));
+    assert_eq!(unresponsive.to_evict(&six, long), Some("b2"));
 }
 
 /// A member is gone for good and is taken off the list. If it were remembered as silent, the list
@@ -38,35 +41,38 @@
 /// without end.
 #[test]
 fn a_member_that_was_taken_off_is_not_taken_off_again() {
-    let mut silence = Silence::default();
+    let mut unresponsive = UnresponsiveMembers::default();
     let four = list(&["a", "b", "c", "d"]);
-    silence.note(&four, &["a", "b", "c"], NOW);
+    unresponsive.record_answers(&four, &["a", "b", "c"], NOW);
     let later = NOW.plus(Millis::new(3_000));
-    silence.note(&four, &["a", "b", "c"], later);
-    assert_eq!(silence.lapsed(&four, later), Some("d"));
+    unresponsive.record_answers(&four, &["a", "b", "c"], later);
+    assert_eq!(unresponsive.to_evict(&four, later), Some("d"));
     let three = four.without("d");
-    silence.note(&three, &["a", "b", "c"], later);
-    assert_eq!(silence.lapsed(&three, later), None);
+    unresponsive.record_answers(&three, &["a", "b", "c"], later);
+    assert_eq!(unresponsive.to_evict(&three, later), None);
 }
 
 #[test]
 fn a_restart_takes_no_member_off() {
-    let mut silence = Silence::default();
+    let mut unresponsive = UnresponsiveMembers::default();
     let four = list(&["a", "b", "c", "d"]);
-    silence.note(&four, &["a", "b", "c"], NOW);
+    unresponsive.record_answers(&four, &["a", "b", "c"], NOW);
     let later = NOW.plus(Millis::new(2_900));
-    assert_eq!(silence.lapsed(&four, later), None);
-    silence.note(&four, &["a", "b", "c", "d"], later);
+    assert_eq!(unresponsive.to_evict(&four, later), None);
+    unresponsive.record_answers(&four, &["a", "b", "c", "d"], later);
     let last = NOW.plus(Millis::new(9_000));
-    assert_eq!(silence.lapsed(&four, last), None);
+    assert_eq!(unresponsive.to_evict(&four, last), None);
 }
 
 #[test]
 fn the_other_one_of_two_is_taken_off_sooner() {
-    let mut silence = Silence::default();
+    let mut unresponsive = UnresponsiveMembers::default();
     let two = list(&["a", "b"]);
-    silence.note(&two, &["a"], NOW);
-    assert_eq!(silence.lapsed(&two, NOW.plus(Millis::new(1_400))), None);
+    unresponsive.record_answers(&two, &["a"], NOW);
+    assert_eq!(
+        unresponsive.to_evict(&two, NOW.plus(Millis::new(1_400))),
+        None
+    );
     let later = NOW.plus(Millis::new(1_500));
-    assert_eq!(silence.lapsed(&two, later), Some("b"));
+    assert_eq!(unresponsive.to_evict(&two, later), Some("b"));
 }
