--- a/crates/replica/src/call.rs
+++ b/crates/replica/src/call.rs
@@ -1,6 +1,6 @@
-//! Calls of a member: how a request goes out, and how its answer comes back.
+//! Requests to a member over HTTP, and the decoding of its answers.
 //!
-//! Serves writers and readers, and members that learn from each other.
+//! Used by writers and readers, and by members that copy from each other.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,12 +20,13 @@
 use crate::message::Ask;
 use crate::message::Body;
 
-/// How long a member may take to answer: some hundred times a sync and a way across data centres.
+/// How long a member may take to answer: some hundred times a sync plus a trip between data
+/// centres.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// The longest answer in bytes.
 const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 
-/// Asks a member; `None` where it fails in any way.
+/// Sends a request to a member. Returns `None` if it fails in any way.
 pub async fn ask(
     http: &Arc<Client>,
     address: SocketAddr,
@@ -35,8 +36,8 @@
     send(http, address, encode(version, body)?).await
 }
 
-/// Asks a member what [`encode`] made for the list; one that goes by an older list is told this one
-/// and asked again. `None` where it fails in any way.
+/// Sends a request encoded by [`encode`] for the list. If the member uses an older list, sends it
+/// this list and then the request again. Returns `None` if it fails in any way.
 pub async fn ask_with_list(
     http: &Arc<Client>,
     member: &Member,
@@ -52,7 +53,7 @@
     send(http, member.address, bytes).await
 }
 
-/// Encodes a request once for all members that get it; `None` where it can't be encoded.
+/// Encodes a request once for all members that receive it. Returns `None` if it can't be encoded.
 #[must_use]
 pub fn encode(version: u64, body: Body) -> Option<Bytes> {
     match rmp_serde::to_vec(&Ask { version, body }) {
@@ -90,7 +91,7 @@
         Ok(answer) => Some(answer),
         Err(fault) => {
             log::warn!(
-                "text=\"a member's answer can't be read\" member={address} fault=\"{fault}\""
+                "text=\"a member's answer can't be decoded\" member={address} fault=\"{fault}\""
             );
             None
         }
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -1,31 +1,32 @@
-//! What members have to learn after a change of the list.
+//! What members have to copy from each other after a change of the list.
 //!
-//! A change moves few keys: a member that goes or comes changes the groups that it is in by one or
-//! two members. Were every member to compare everything with every other, reads that need all
-//! members would wait for as long. So a member that held its share before asks only for the keys
-//! that it has just got.
+//! A change moves few keys: a member that leaves or joins changes each of its groups by one or two
+//! members. If every member compared everything with every other, reads that need caught-up members
+//! would wait for all of it. So a member that had caught up with the previous list asks only for
+//! the keys that it has just gained.
 //!
-//! Where each acknowledged fact is with a majority of its group, so it is after the change: of the
-//! majority each member that went out is replaced by one that came in, which has learnt from so
-//! many that one of the majority is among them. That asks for groups of the same size, and that
-//! those it learns from had learnt their own share. In a list where each member holds everything,
-//! whatever its size, they compare all instead.
+//! If each acknowledged record is held by a majority of its group before the change, it still is
+//! after the change: each member of that majority that left the group is replaced by one that
+//! joined, and the new one has copied from so many members that one of the majority is among them.
+//! This requires groups of the same size before and after, and that the members it copies from had
+//! caught up themselves. In a list where each member holds everything, whatever its size, members
+//! compare everything instead.
 
 use crate::list;
 use crate::list::List;
 use crate::list::Member;
 use crate::record::Key;
 
-/// What a member has to learn.
+/// Which keys a member has to copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All that it has to hold by the list.
+    /// All keys that it holds under the list.
     All,
-    /// What it has to hold by the list, and hadn't by the one before.
+    /// The keys that it holds under the list and didn't hold under the previous one.
     Gained,
 }
 
-/// Yields what the member `own` has to learn for a list, if it has learnt all up to version `ready`.
+/// Returns what the member `own` has to copy for a list, if it has caught up with version `ready`.
 #[must_use]
 pub fn scope(list: &List, own: &Member, ready: u64, losses: usize) -> Scope {
     let before = list.previous();
@@ -38,24 +39,25 @@
     }
 }
 
-/// Tells whether a member takes a key over when it learns for a list: one that it has to hold by the
-/// list, or by the one `before` it.
+/// Tells whether a member copies a key when it catches up with a list: one that it holds under the
+/// list or under the one `before` it.
 ///
-/// A member that is late may learn for a list without having learnt for the one before. From then on
-/// others take it for one that had, and learn from it. Without that share, the copies that they
-/// count on aren't there, and a majority calls an acknowledged turn absent.
+/// A slow member may catch up with a list without having caught up with the one before. From then
+/// on others assume that it had, and copy from it. If it skipped the keys of the earlier list, the
+/// copies that they count on would be missing, and a majority would call an acknowledged turn
+/// absent.
 #[must_use]
-pub fn must_hold(list: &List, before: &List, own: &Member, key: Key, losses: usize) -> bool {
+pub fn must_copy(list: &List, before: &List, own: &Member, key: Key, losses: usize) -> bool {
     let in_group = |list: &List| list.group(key, losses).contains(&own);
     in_group(list) || in_group(before)
 }
 
-/// Tells whether a member has learnt enough of a list's earlier members: `answered` have told what
-/// they hold, `caught_up` of them had learnt their own share.
+/// Tells whether a member has copied from enough members of the previous list: `answered` have sent
+/// what they hold, and `caught_up` are those of them that had caught up with the previous list.
 ///
-/// Those heard meet every majority, so that the others are too few to go on with the earlier list.
-/// Where members hold everything, one that had learnt all is enough; where they hold a share, so
-/// many are needed that they meet every majority that may have a fact.
+/// `answered` must intersect every majority, so that the remaining members are too few to continue
+/// with the previous list. Where members hold everything, one caught-up member is enough; where
+/// each holds a part, the caught-up ones must intersect every majority that may have a record.
 #[must_use]
 pub fn has_enough_sources(
     list: &List,
@@ -74,7 +76,7 @@
         || (before.covers(answered, losses, blocking) && before.covers(caught_up, losses, needed))
 }
 
-/// Yields which members get which of the keys by a change of the list.
+/// Returns pairs of a VM and a key that its member gains by a change of the list.
 #[must_use]
 pub fn gained_keys(list: &List, keys: &[Key], losses: usize) -> Vec<(String, Key)> {
     let before = list.previous();
@@ -90,6 +92,7 @@
     gained
 }
 
+/// Tells whether each member holds only a part of the keys.
 fn is_partial(list: &List, losses: usize) -> bool {
     list.members.len() > list.group_size(losses)
 }
--- a/crates/replica/src/catch_up/tests.rs
+++ b/crates/replica/src/catch_up/tests.rs
@@ -7,7 +7,7 @@
 use super::Scope;
 use super::gained_keys;
 use super::has_enough_sources;
-use super::must_hold;
+use super::must_copy;
 use super::scope;
 use crate::list;
 use crate::list::List;
@@ -29,14 +29,14 @@
     Key(u128::from(number) * 0x9E37_79B9_7F4A_7C15)
 }
 
-/// One member as the model has it: what it holds, and up to which version it has learnt.
+/// A modelled member's keys, and the list version with which it has caught up.
 #[derive(Clone, Debug, Default)]
 struct Replica {
     keys: Vec<u64>,
     ready: u64,
 }
 
-/// A deployment of which only the decisions are real.
+/// A model of a deployment that calls the real decision functions.
 struct Model {
     list: List,
     replicas: Vec<(Member, Replica)>,
@@ -76,7 +76,7 @@
         &mut self.replicas[at.expect("every member is in the model")].1
     }
 
-    /// Draws so many of the members.
+    /// Picks `count` of the members at random.
     fn pick(&mut self, members: &[Member], count: usize) -> Vec<Member> {
         let mut drawn: Vec<(u64, Member)> =
             members.iter().map(|m| (self.random(), m.clone())).collect();
@@ -90,7 +90,7 @@
         group.into_iter().cloned().collect()
     }
 
-    /// A fact is acknowledged once a majority of its group has it; the others miss it.
+    /// A record is acknowledged once a majority of its group has it; the others miss it.
     fn write(&mut self) {
         let number = self.acknowledged.len() as u64;
         let group = self.group(number);
@@ -100,8 +100,8 @@
         self.acknowledged.push(number);
     }
 
-    /// The list changes, and members learn one by one from as few as the decisions allow; the last
-    /// ones may not have learnt when the list changes again.
+    /// Changes the list. Members then catch up one by one, each from as few members as the
+    /// decisions allow; the `lagging` last ones may not have caught up when the list changes again.
     fn change(&mut self, next: List, lagging: usize) {
         if self
             .replicas
@@ -116,16 +116,16 @@
         }
         self.list = next;
         let members = self.list.members.clone();
-        let learners = self.pick(&members, members.len().saturating_sub(lagging));
-        for own in learners {
-            self.learn(&own);
+        let catching_up = self.pick(&members, members.len().saturating_sub(lagging));
+        for own in catching_up {
+            self.catch_up(&own);
         }
     }
 
-    fn learn(&mut self, own: &Member) {
+    fn catch_up(&mut self, own: &Member) {
         let list = self.list.clone();
         let before = list.before.clone();
-        // The fewest that are enough, in a drawn order.
+        // The fewest members that are enough, taken in random order.
         let order = self.pick(&before, before.len());
         let mut answered: Vec<Member> = Vec::new();
         for from in order {
@@ -157,14 +157,14 @@
             return;
         }
         let ready = self.replica(own).ready;
-        let learn_scope = scope(&list, own, ready, LOSSES);
+        let copy_scope = scope(&list, own, ready, LOSSES);
         let known: Vec<u64> = answered
             .iter()
             .flat_map(|from| self.replica(from).keys.clone())
             .collect();
         for number in known {
-            let needed_here = match learn_scope {
-                Scope::All => must_hold(&list, &list.previous(), own, key(number), LOSSES),
+            let needed_here = match copy_scope {
+                Scope::All => must_copy(&list, &list.previous(), own, key(number), LOSSES),
                 Scope::Gained => gained_keys(&list, &[key(number)], LOSSES)
                     .iter()
                     .any(|(vm, _)| *vm == own.vm),
@@ -176,7 +176,7 @@
         self.replica(own).ready = list.version;
     }
 
-    /// Writes (0), adds a member (1) or takes one off the list (2).
+    /// Writes a record (0), adds a member (1) or removes one from the list (2).
     fn step(&mut self, (action, number, lagging): (u8, u8, usize)) {
         let own = member(number);
         let listed = self.list.has_member(&own);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Enough members have learnt that the list may change again.
+    /// Tells whether enough members have caught up for the list to change again.
     fn may_change(&self) -> bool {
         let ready: Vec<&Member> = self.ready().collect();
         let needed = list::blocking_size(self.list.group_size(LOSSES));
@@ -211,7 +211,7 @@
         })
     }
 
-    /// Yields a fact that a majority of its group, all of them ready, would call absent.
+    /// Returns a record that a majority of its group, all of them caught up, would call absent.
     fn lost_record(&self) -> Option<u64> {
         let ready: Vec<&Member> = self.ready().collect();
         self.acknowledged.iter().copied().find(|number| {
@@ -227,11 +227,11 @@
 }
 
 proptest! {
-    /// A caller's turn was answered whole. Then VMs with a disk come and go, one after the other,
-    /// some of them before all have learnt; and a caller that goes on from the turn is told that
-    /// there is no such turn. That takes a majority of ready members without it.
+    /// VMs with a disk join and leave one after the other, some before all members have caught up.
+    /// Guards against a caller that continues an acknowledged turn being told that there is no such
+    /// turn, which happens when a majority of caught-up members lacks it.
     #[test]
-    fn what_was_acknowledged_outlasts_changes_of_the_list(
+    fn acknowledged_records_survive_list_changes(
         members in 4_u8..12,
         seed in any::<u64>(),
         steps in prop::collection::vec((0_u8..3, 0_u8..14, 0_usize..3), 1..24),
@@ -243,7 +243,7 @@
         }
     }
 
-    /// A change moves few keys; a member that has to ask for all of them would hold reads up.
+    /// A change moves few keys. A member that had to ask for all keys would delay reads.
     #[test]
     fn a_change_moves_few_keys(members in 8_u8..13, removed in 0_u8..8) {
         prop_assume!(removed < members);
@@ -254,11 +254,11 @@
     }
 }
 
-/// Three VMs with a disk come and go while one member is late: it learns for the eleventh list without
-/// having learnt for the tenth. Another late one then learns from it, taking it for a member that
-/// holds the tenth list's share, and an acknowledged turn is called absent by a majority.
+/// Three VMs with a disk join and leave while one member is slow: it catches up with the eleventh
+/// list without having caught up with the tenth. Another slow member then copies from it, assuming
+/// that it holds its keys of the tenth list, and a majority calls an acknowledged turn absent.
 #[test]
-fn a_member_that_missed_a_list_is_no_gap_for_those_who_learn_from_it() {
+fn a_member_that_skipped_a_list_also_holds_its_keys_for_others() {
     let steps = [
         (1, 9, 0),
         (1, 6, 0),
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -1,4 +1,4 @@
-//! The readers' and writers' side: asks the members of a group and judges their answers.
+//! Client of the replicas: asks the members of a group and evaluates their answers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -28,20 +28,20 @@
 use crate::record::Reservation;
 use crate::record::Settlement;
 
-/// How long the last members are waited for once a majority has a reservation. All members' answers
-/// save a second round; a member that is down or cut off mustn't cost more than that round.
+/// How long to wait for the last members once a majority has a reservation. Answers from all
+/// members save a second round; a member that is down or cut off mustn't cost more than that round.
 const STRAGGLER_WAIT: Duration = Duration::from_millis(6);
-/// How long the member nearby may take over a chain before the others are asked as well.
+/// How long the nearby member may take to return a chain before the whole group is asked.
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
-/// How often a request is tried again after a change of the list.
+/// How many times a request is sent at most when the list changes in between.
 const MAX_TRIES: usize = 3;
-/// The pause before members that are still learning are asked again, and how often they are: a
-/// change of the list takes them some tens of milliseconds, a new disk asks nothing of the others.
+/// The pause before asking members again that are still catching up. A change of the list takes
+/// them some tens of milliseconds; a new disk requires nothing of the others.
 const CATCH_UP_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// See [`CATCH_UP_RETRY_DELAY`].
+/// How many times such members are asked again. See [`CATCH_UP_RETRY_DELAY`].
 const CATCH_UP_RETRIES: usize = 8;
 
-/// Why the members gave no answer that can be relied on.
+/// Why the members gave no reliable answer.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
     /// Too few members answered.
@@ -50,18 +50,18 @@
     /// No list of members is known yet.
     #[display("no list of members is known")]
     NoList,
-    /// The members haven't yet learnt all that was acknowledged before their list.
-    #[display("the members with a disk are still learning")]
+    /// The members don't yet hold everything that was acknowledged before their list.
+    #[display("the members with a disk are still catching up")]
     CatchingUp,
-    /// The list changed too often meanwhile.
+    /// The list changed too often during the request.
     #[display("the list of members changed meanwhile")]
     ListChanged,
 }
 
-/// The outcome of asking the members.
+/// The result of asking the members.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// The members as one VM asks them.
+/// The client of one VM.
 #[derive(Debug)]
 pub struct Replicas {
     http: Arc<Client>,
@@ -70,29 +70,30 @@
     losses: usize,
 }
 
-/// Whether the members can be relied on.
+/// Which members answer, and whether they are enough.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reach {
     /// Whether a majority answers for every key.
     pub enough: bool,
-    /// How many answer.
+    /// How many members answer.
     pub answered: usize,
-    /// The VMs of those that don't.
+    /// The VMs of the members that don't answer.
     pub silent: Vec<String>,
-    /// How many there are.
+    /// How many members the list has.
     pub members: usize,
 }
 
-/// A chain of turns, or a part of it.
+/// The result of looking up a chain of turns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Turns from the one asked for backwards, and the next one beyond, if the chain goes on.
+    /// Turns from the requested one backwards, and the key of the next earlier turn if the chain
+    /// continues.
     Part(Vec<Link>, Option<Key>),
     /// No such turn was ever acknowledged, or it has been dropped.
     Absent,
 }
 
-/// How often a caller has asked again already.
+/// Counts the retries of one request by their reason.
 #[derive(Debug, Default)]
 struct Retries {
     list_changes: usize,
@@ -100,7 +101,7 @@
 }
 
 impl Retries {
-    /// Returns when asking again makes sense, or gives the fault back.
+    /// Returns once the request may be sent again, or returns the fault if it may not.
     async fn wait_or_fail(&mut self, fault: Fault) -> Result<()> {
         match fault {
             Fault::ListChanged if self.list_changes + 1 < MAX_TRIES => self.list_changes += 1,
@@ -115,7 +116,7 @@
 }
 
 impl Replicas {
-    /// Makes a client for a VM in this data centre; `losses` members may be lost at once.
+    /// Creates a client for a VM in this data centre. `losses` members may be lost at once.
     #[must_use]
     pub fn new(http: Arc<Client>, centre: &str, losses: usize) -> Self {
         Self {
@@ -126,14 +127,14 @@
         }
     }
 
-    /// Yields the list in use.
+    /// Returns the list in use.
     #[must_use]
     pub fn list(&self) -> Arc<List> {
         let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         list.clone()
     }
 
-    /// Takes a newer list over.
+    /// Adopts a list if it is newer.
     pub fn adopt(&self, list: List) {
         let mut own = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         if list.version <= own.version {
@@ -143,11 +144,11 @@
         *own = Arc::new(list);
     }
 
-    /// Syncs facts to a majority of the group of `key`.
+    /// Syncs records to a majority of the group of `key`.
     ///
     /// # Errors
     ///
-    /// Fails where no majority can be had; the facts may still be on some members.
+    /// Fails if no majority can be reached; the records may still be on some members.
     pub async fn apply(&self, key: Key, records: Vec<Record>) -> Result<()> {
         for _ in 0..MAX_TRIES {
             let (list, group) = self.group(key)?;
@@ -179,11 +180,11 @@
         Err(Fault::ListChanged)
     }
 
-    /// Sets tokens aside, if the program's budget holds them.
+    /// Reserves tokens if they fit the program's budget.
     ///
     /// # Errors
     ///
-    /// Fails where no majority can be had; the reservation may then count against the budget.
+    /// Fails if no majority can be reached; the reservation may then count against the budget.
     pub async fn reserve(&self, reservation: Reservation, budget: u64) -> Result<Verdict> {
         let mut retries = Retries::default();
         loop {
@@ -203,7 +204,7 @@
         let mut list_changed = false;
         let mut deadline = Instant::now() + call::ANSWER_TIMEOUT * 2;
         let mut state = quorum::WriteState::Waiting;
-        // Ends early where the stragglers' time is over.
+        // Ends early when the time for the stragglers is over.
         while let Ok(Some(answer)) = timeout_at(deadline, answers.recv()).await {
             match answer {
                 Some(Answer::Applied(entries)) => known.push(entries),
@@ -273,21 +274,21 @@
         Err(fault)
     }
 
-    /// Notes what an attempt used.
+    /// Records what an attempt used.
     ///
     /// # Errors
     ///
-    /// Fails where no majority can be had; the reservation then counts for its most.
+    /// Fails if no majority can be reached; all reserved tokens then count against the budget.
     pub async fn settle(&self, settlement: Settlement) -> Result<()> {
         self.apply(settlement.program, vec![Record::Settle(settlement)])
             .await
     }
 
-    /// Finds a turn and what it continued from.
+    /// Finds a turn and the turns that it continues.
     ///
     /// # Errors
     ///
-    /// Fails where too few members answered to be certain that there is no such turn.
+    /// Fails if too few members answer to be certain that there is no such turn.
     pub async fn chain(&self, key: Key) -> Result<Found> {
         let mut retries = Retries::default();
         loop {
@@ -331,7 +332,8 @@
         Err(fault)
     }
 
-    /// Tells whether enough members answer for every key within `limit`, and which don't.
+    /// Tells whether enough members answer within `limit` to serve every key, and which members
+    /// don't.
     pub async fn reachable(&self, limit: Duration) -> Reach {
         let list = self.list();
         let mut answered = Vec::new();
@@ -371,8 +373,8 @@
         Ok((list, group))
     }
 
-    /// Asks members at the same time; each answer comes as it arrives, `None` for a failure. They
-    /// are asked to the end also where the receiver is dropped, so that every copy is written.
+    /// Asks members concurrently. Each answer is sent as it arrives, `None` for a failure. The
+    /// requests run to the end even if the receiver is dropped, so that every copy is written.
     fn ask_all(
         &self,
         list: &Arc<List>,
@@ -386,7 +388,7 @@
             let (member, bytes, sender) = (member.clone(), bytes.clone(), sender.clone());
             tokio::spawn(async move {
                 let answer = call::ask_with_list(&http, &member, &list, bytes).await;
-                // The receiver may have enough answers already.
+                // The receiver may already have enough answers and be dropped.
                 let _receiver_gone = sender.send(answer).await;
             });
         }
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -1,8 +1,9 @@
-//! A member's disk: segments of frames, synced in groups, and a small file of what it is.
+//! A member's disk: segments of frames, synced in groups, and a small file with the member's
+//! identity.
 //!
-//! A thread of its own writes: it takes all that waits, writes it, syncs once, and answers each.
+//! A dedicated thread writes: it takes all queued jobs, writes them, syncs once, and answers each.
 //! A power loss tears at most what was not yet answered; checksums tell a torn end from a record.
-//! After a start a new segment is begun, so nothing is ever written behind a torn end.
+//! Each start begins a new segment, so nothing is ever written after a torn end.
 
 use std::fs;
 use std::fs::File;
@@ -30,31 +31,32 @@
 use crate::record::Parsed;
 use crate::record::Record;
 
-/// A segment is closed at this length; whole segments are removed when they are no longer needed.
+/// The length in bytes at which a segment is closed. Only whole segments are removed when the disk
+/// fills.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
-/// The share of the disk that is used before the oldest segments go, in hundredths: the rest is
-/// room for the segments under way.
+/// Percentage of the disk that is used before the oldest segments are removed. The rest is room for
+/// segments that are being written.
 const FILL_PERCENT: u64 = 85;
-/// The file of what the member is.
+/// Name of the identity file.
 const IDENTITY_FILE: &str = "identity";
 
-/// What a member keeps beside the records.
+/// What a member stores beside the records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The disk's number.
     pub disk: u64,
-    /// The list that the member goes by.
+    /// The list in use.
     pub list: List,
-    /// The version up to which it has learnt all that was acknowledged.
+    /// The list version up to which the member holds everything that was acknowledged.
     pub ready: u64,
 }
 
-/// A record found at the start, and where it lies.
+/// A record found when the folder was opened.
 #[derive(Debug)]
 pub struct FoundRecord {
     /// The record.
     pub record: Record,
-    /// Where it lies.
+    /// Where its frame is stored.
     pub location: Location,
 }
 
@@ -63,12 +65,13 @@
 pub struct Disk {
     folder: PathBuf,
     jobs: mpsc::Sender<Job>,
+    /// Segments that are open for reading, sorted by number.
     files: Mutex<Vec<(u64, Arc<File>)>>,
 }
 
-/// Where an append's frames lie, for who asked for it.
+/// Receives the locations of an append's frames.
 type Reply = oneshot::Sender<io::Result<Vec<Location>>>;
-/// An append that was written and waits for its sync.
+/// An append that was written and waits for the sync.
 type PendingReply = (io::Result<Vec<Location>>, Reply);
 
 enum Job {
@@ -78,41 +81,44 @@
 
 struct Writer {
     folder: PathBuf,
-    /// Closed segments with their lengths, the oldest first.
+    /// Numbers and lengths of the closed segments, the oldest first.
     closed: Vec<(u64, u64)>,
+    /// The open segment's number.
     number: u64,
     file: File,
+    /// The open segment's length in bytes.
     length: u64,
+    /// The oldest segments are removed to keep all of them below this.
     limit_bytes: u64,
     events: mpsc::Sender<SegmentEvent>,
 }
 
-/// What the writer did on its own.
+/// What the writer thread did to its segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SegmentEvent {
-    /// It began this segment.
+    /// It created this segment.
     Created(u64),
-    /// It removed this segment, the oldest, as the disk fills.
+    /// It removed this segment, the oldest, because the disk was filling.
     Removed(u64),
 }
 
-/// What opening a folder yields.
+/// The result of opening a folder.
 #[derive(Debug)]
 pub struct Opened {
     /// The disk.
     pub disk: Disk,
-    /// What the member is; `None` where the folder was empty.
+    /// The member's identity; `None` if the folder was empty.
     pub identity: Option<Identity>,
-    /// What the writer does on its own.
+    /// Segments that the writer creates and removes.
     pub events: mpsc::Receiver<SegmentEvent>,
 }
 
-/// Opens a folder, yields each record to `found`, and starts the writer. `bytes` is the disk's
-/// size.
+/// Opens a folder, passes each record to `on_record`, and starts the writer thread. `bytes` is the
+/// size of the disk.
 ///
 /// # Errors
 ///
-/// Fails where the folder can't be read or written.
+/// Fails if the folder can't be read or written.
 pub fn open(
     folder: &Path,
     bytes: u64,
@@ -152,7 +158,7 @@
     })
 }
 
-/// Logs that the disk failed.
+/// Logs a failure of the disk.
 pub fn log_failed(fault: &io::Error) {
     log::error!(
         "event=E{} text=\"{}\" fault=\"{fault}\"",
@@ -194,12 +200,13 @@
         .create(true)
         .append(true)
         .open(segment_path(folder, number))?;
-    // Without it the whole file may be gone after a power loss, synced records and all.
+    // Without syncing the folder, the whole file with its synced records may be gone after a power
+    // loss.
     File::open(folder)?.sync_all()?;
     Ok(file)
 }
 
-/// Reads a segment up to its end or to the first torn frame, and yields the length read.
+/// Reads a segment up to its end or the first torn frame, and returns the length read.
 fn scan_segment(
     folder: &Path,
     number: u64,
@@ -237,22 +244,22 @@
 }
 
 impl Disk {
-    /// Writes and syncs frames, and yields where they lie.
+    /// Writes and syncs frames, and returns their locations.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does.
+    /// Fails if the disk does.
     pub async fn append(&self, frames: Vec<Vec<u8>>) -> io::Result<Vec<Location>> {
         let (reply, answer) = oneshot::channel();
         self.send_job(Job::Append(frames, reply))?;
         answer.await.map_err(io::Error::other)?
     }
 
-    /// Writes and syncs what the member is.
+    /// Writes and syncs the member's identity.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does.
+    /// Fails if the disk does.
     pub async fn write_identity(&self, identity: &Identity) -> io::Result<()> {
         let (reply, answer) = oneshot::channel();
         self.send_job(Job::WriteIdentity(Box::new(identity.clone()), reply))?;
@@ -261,21 +268,23 @@
 
     fn send_job(&self, job: Job) -> io::Result<()> {
         let sent = self.jobs.send(job);
-        sent.map_err(|_| io::Error::other("the disk's thread has ended"))
+        sent.map_err(|_| io::Error::other("the disk writer thread has ended"))
     }
 
-    /// Reads the record at a place.
+    /// Reads the record at a location.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does, or no record lies there.
+    /// Fails if the disk does, or if no valid record is stored there.
     pub fn read(&self, location: Location) -> io::Result<Record> {
         let file = self.file(location.segment)?;
         let mut frame = vec![0; location.length as usize];
         file.read_exact_at(&mut frame, location.offset)?;
         match record::parse_frame(&frame) {
             Parsed::Record(record, _) => Ok(record),
-            Parsed::Incomplete | Parsed::Torn => Err(io::Error::other("no record lies there")),
+            Parsed::Incomplete | Parsed::Torn => {
+                Err(io::Error::other("no valid record at this location"))
+            }
         }
     }
 
@@ -291,7 +300,7 @@
         }
     }
 
-    /// Closes the file of a segment that was removed.
+    /// Closes the file of a removed segment.
     pub fn close_segment(&self, segment: u64) {
         let mut files = self.files.lock().unwrap_or_else(PoisonError::into_inner);
         files.retain(|(number, _)| *number != segment);
@@ -310,7 +319,7 @@
                         pending.push((written, reply));
                     }
                     Job::WriteIdentity(identity, reply) => {
-                        // A sender that has gone needs no answer.
+                        // The receiver may be gone and needs no answer then.
                         let _gone = reply.send(self.write_identity(&identity));
                     }
                 }
@@ -320,7 +329,7 @@
         }
     }
 
-    /// Syncs once for all that was written, and answers each.
+    /// Syncs once for everything that was written, and answers each append.
     fn sync_and_reply(&mut self, pending: Vec<PendingReply>) {
         if pending.is_empty() {
             return;
@@ -331,21 +340,21 @@
                 Ok(()) => written,
                 Err(fault) => Err(io::Error::other(fault.to_string())),
             };
-            // A sender that has gone needs no answer.
+            // The receiver may be gone and needs no answer then.
             let _gone = reply.send(outcome);
         }
         if self.length < SEGMENT_BYTES {
             return;
         }
         if let Err(fault) = self.roll_segment() {
-            log::error!("text=\"can't begin a segment\" fault=\"{fault}\"");
+            log::error!("text=\"can't create a segment\" fault=\"{fault}\"");
         }
     }
 
     fn write(&mut self, frames: &[Vec<u8>]) -> io::Result<Vec<Location>> {
         let written = self.write_frames(frames);
         if written.is_err() {
-            // What was half written is a torn frame; nothing may follow it in this segment.
+            // A partly written frame is torn, so nothing may follow it in this segment.
             self.length = self.length.max(SEGMENT_BYTES);
         }
         written
@@ -386,7 +395,7 @@
     }
 
     fn emit(&self, event: SegmentEvent) {
-        // Where nobody listens any more the process is ending.
+        // The receiver is gone only when the process is ending.
         let _ending = self.events.send(event);
     }
 
--- a/crates/replica/src/disk/tests.rs
+++ b/crates/replica/src/disk/tests.rs
@@ -45,7 +45,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // Left behind only where the test failed early.
+        // Left behind only if the test failed early.
         let _absent = fs::remove_dir_all(&self.0);
     }
 }
@@ -67,15 +67,15 @@
     }
 }
 
-/// The power goes while a record is written: its end is missing, or other bytes stand there. What
-/// had been answered is there after the start, the torn record isn't, and what is written after the
-/// start is found again after the next one.
+/// The power fails while a record is written, so that its end is missing or replaced by other
+/// bytes. After the start, everything that was answered is there and the torn record isn't. What is
+/// written after that start is found after the next one.
 #[rstest]
 #[case::cut_short("cut", |bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 7))]
 #[case::zeroes("zeroes", |bytes: &mut Vec<u8>| { let at = bytes.len() - 100; bytes[at..].fill(0); })]
 #[case::one_byte("byte", |bytes: &mut Vec<u8>| { let at = bytes.len() - 1; bytes[at] ^= 1; })]
 #[tokio::test]
-async fn a_torn_end_is_no_record(#[case] name: &str, #[case] tear: fn(&mut Vec<u8>)) {
+async fn torn_end_is_not_read_as_a_record(#[case] name: &str, #[case] tear: fn(&mut Vec<u8>)) {
     let folder = Folder::new(name);
     write(&folder, 0..4).await;
     let segment = folder.segments().pop().unwrap();
@@ -90,9 +90,9 @@
     );
 }
 
-/// Bytes of no record at all are behind the last one, as after a power loss in a later write.
+/// Bytes that are no record follow the last one, as after a power loss during a later write.
 #[tokio::test]
-async fn rubbish_behind_the_end_is_passed_over() {
+async fn garbage_after_the_last_record_is_skipped() {
     let folder = Folder::new("rubbish");
     write(&folder, 0..2).await;
     let segment = folder.segments().pop().unwrap();
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn what_a_member_is_outlasts_its_process() {
+async fn identity_survives_a_restart() {
     let folder = Folder::new("identity");
     let identity = Identity {
         disk: 7,
@@ -116,9 +116,10 @@
     assert_eq!(opened.identity, Some(identity));
 }
 
-/// The disk fills. The oldest records go, as nobody goes on from them any more, and writing goes on.
+/// The disk fills. The oldest records, which nobody continues any more, are removed and writing
+/// goes on.
 #[tokio::test]
-async fn the_oldest_segments_make_room() {
+async fn oldest_segments_are_removed_when_the_disk_fills() {
     let folder = Folder::new("full");
     let opened = open(&folder.0, 30_000_000, &mut |_| {}).unwrap();
     for number in 0..40 {
--- a/crates/replica/src/index.rs
+++ b/crates/replica/src/index.rs
@@ -1,37 +1,37 @@
-//! Where each kept turn lies on a member's disk.
+//! Index of the turns stored on a member's disk.
 
 use std::collections::HashMap;
 
 use crate::record::Key;
 
-/// Where a frame lies.
+/// The location of a frame on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     /// The segment's number.
     pub segment: u64,
-    /// The frame's place in it, in bytes.
+    /// The frame's offset in the segment, in bytes.
     pub offset: u64,
-    /// The frame's length.
+    /// The frame's length in bytes.
     pub length: u32,
 }
 
-/// A turn as the index knows it.
+/// A turn in the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexEntry {
-    /// The turn that it continued from.
+    /// The turn that it continues.
     pub previous: Option<Key>,
-    /// Where it lies.
+    /// Where it is stored.
     pub location: Location,
 }
 
-/// The turns of a member. A map, as tens of thousands come in no order of their keys.
+/// The turns of a member. It is a map because tens of thousands arrive in no order of their keys.
 #[derive(Debug, Default)]
 pub struct Index {
     turns: HashMap<Key, IndexEntry>,
 }
 
 impl Index {
-    /// Notes a turn.
+    /// Adds a turn.
     pub fn insert(&mut self, key: Key, entry: IndexEntry) {
         self.turns.insert(key, entry);
     }
@@ -42,19 +42,19 @@
         self.turns.get(&key).copied()
     }
 
-    /// Counts the turns.
+    /// Returns the number of turns.
     #[must_use]
     pub fn count(&self) -> usize {
         self.turns.len()
     }
 
-    /// Yields all turns, for another member.
+    /// Returns the keys of all turns, for another member.
     #[must_use]
     pub fn keys(&self) -> Vec<Key> {
         self.turns.keys().copied().collect()
     }
 
-    /// Forgets the turns of a segment that was removed.
+    /// Removes the turns of a segment that was removed.
     pub fn remove_segment(&mut self, segment: u64) {
         self.turns
             .retain(|_, entry| entry.location.segment != segment);
--- a/crates/replica/src/ledger.rs
+++ b/crates/replica/src/ledger.rs
@@ -1,7 +1,8 @@
-//! What each program has set aside and used of its tokens, as one member knows it.
+//! Tokens that each program has reserved and used, as one member knows them.
 //!
-//! Entries only grow in number, and an entry changes once, from reserved to settled, so the union
-//! of two members' entries is again a ledger: whatever order facts arrive in, and however often.
+//! Entries are only added, and an entry changes once, from reserved to settled. The union of two
+//! members' entries is therefore a ledger again, whatever the order in which records arrive and
+//! however often they do.
 
 use std::collections::HashMap;
 
@@ -13,23 +14,25 @@
 use crate::record::Reservation;
 use crate::record::Settlement;
 
-/// How long a program's entries are kept after its last one. A program that was stopped may come
-/// back for as long as its turns are kept, a minute as deployed; five leave room for slow programs.
+/// How long a program's entries are kept after its last one. A stopped program may continue for as
+/// long as its turns are kept, which is one minute as deployed; five minutes leave room for slow
+/// programs.
 pub const RETENTION: Millis = Millis::new(300_000);
 
-/// One attempt's tokens.
+/// The tokens of one attempt at a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The attempt.
     pub turn: Key,
-    /// What was set aside.
+    /// Tokens reserved.
     pub most: u32,
-    /// What was used, once that is known.
+    /// Tokens used, once that is known.
     pub used: Option<u32>,
 }
 
 impl Entry {
-    /// Yields what the attempt counts for: all that was set aside until it is settled.
+    /// Returns the tokens charged to the budget: all that were reserved until the attempt is
+    /// settled.
     #[must_use]
     pub fn charged(&self) -> u64 {
         u64::from(self.used.unwrap_or(self.most))
@@ -41,12 +44,12 @@
 pub struct Account {
     /// The program.
     pub program: Key,
-    /// Its entries, in the order of their attempts' keys.
+    /// Its entries, sorted by the keys of their attempts.
     pub entries: Vec<Entry>,
 }
 
-/// The accounts of a member. A map, as programs come and go by the tens of a second, and a sorted
-/// vector would move all entries behind each.
+/// The accounts of a member. It is a map because tens of programs start and end per second, and a
+/// sorted vector would move all entries behind each.
 #[derive(Debug, Default)]
 pub struct Ledger {
     accounts: HashMap<Key, StoredAccount>,
@@ -59,27 +62,27 @@
 }
 
 impl Ledger {
-    /// Notes a reservation; one that is known changes nothing.
-    pub fn reserve(&mut self, fact: &Reservation, now: Millis) {
+    /// Adds a reservation. Has no effect if it is already known.
+    pub fn reserve(&mut self, reservation: &Reservation, now: Millis) {
         let entry = Entry {
-            turn: fact.turn,
-            most: fact.most,
+            turn: reservation.turn,
+            most: reservation.most,
             used: None,
         };
-        self.merge(fact.program, &[entry], now);
+        self.merge(reservation.program, &[entry], now);
     }
 
-    /// Notes what an attempt used.
-    pub fn settle(&mut self, fact: &Settlement, now: Millis) {
+    /// Records what an attempt used.
+    pub fn settle(&mut self, settlement: &Settlement, now: Millis) {
         let entry = Entry {
-            turn: fact.turn,
-            most: fact.used,
-            used: Some(fact.used),
+            turn: settlement.turn,
+            most: settlement.used,
+            used: Some(settlement.used),
         };
-        self.merge(fact.program, &[entry], now);
+        self.merge(settlement.program, &[entry], now);
     }
 
-    /// Takes in entries that another member knows.
+    /// Merges entries that another member knows.
     pub fn merge(&mut self, program: Key, entries: &[Entry], now: Millis) {
         let stored = self
             .accounts
@@ -92,7 +95,7 @@
         merge_entries(&mut stored.entries, entries);
     }
 
-    /// Yields a program's entries.
+    /// Returns a program's entries.
     #[must_use]
     pub fn entries(&self, program: Key) -> &[Entry] {
         self.accounts
@@ -106,13 +109,13 @@
         self.accounts.len()
     }
 
-    /// Yields all programs.
+    /// Returns all programs.
     #[must_use]
     pub fn programs(&self) -> Vec<Key> {
         self.accounts.keys().copied().collect()
     }
 
-    /// Yields all accounts, for another member.
+    /// Returns all accounts, to send to another member.
     #[must_use]
     pub fn accounts(&self) -> Vec<Account> {
         let account = |(program, stored): (&Key, &StoredAccount)| Account {
@@ -122,14 +125,14 @@
         self.accounts.iter().map(account).collect()
     }
 
-    /// Forgets programs that have been quiet for [`RETENTION`].
+    /// Drops programs without an update for [`RETENTION`].
     pub fn sweep(&mut self, now: Millis) {
         self.accounts
             .retain(|_, stored| now.since(stored.updated_at) < RETENTION);
     }
 }
 
-/// Adds to sorted entries what `more` knows beyond them.
+/// Merges `more` into sorted entries.
 pub fn merge_entries(entries: &mut Vec<Entry>, more: &[Entry]) {
     for entry in more {
         match entries.binary_search_by_key(&entry.turn, |known| known.turn) {
@@ -143,7 +146,7 @@
     }
 }
 
-/// Yields what all entries count for.
+/// Returns the tokens charged for all entries.
 #[must_use]
 pub fn total(entries: &[Entry]) -> u64 {
     entries.iter().map(Entry::charged).sum()
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,12 +1,14 @@
-//! Kept turns and spent tokens, replicated over the VMs that have a disk.
+//! Stored turns and spent tokens, replicated over the VMs that have a disk.
 //!
-//! Both are sets of facts that never change once written: a turn's text, a reservation of tokens,
-//! what of it was used. Copies of such facts can't conflict, so no VM leads: a writer sends a fact
-//! to all members of a group and goes on when a majority has synced it; a reader that hears enough
-//! members to meet every majority has seen every fact that was acknowledged before it asked.
-//! What has to be agreed is only who the members are: one small document with a version, changed by
-//! compare-and-swap in the platform's key-value service. A member refuses requests under another
-//! version than its own, so no majority of an old list forms once a new one is in use.
+//! Both are sets of records that never change once written: the text of a turn, a reservation of
+//! tokens, and how many of the reserved tokens were used. Copies of such records can't conflict, so
+//! there is no leader. A writer sends a record to all members of a group and continues when a
+//! majority has synced it. A reader that hears from enough members to intersect every majority has
+//! seen every record that was acknowledged before it asked.
+//!
+//! Only the set of members needs agreement. It is one small document with a version, changed by
+//! compare-and-swap in the platform's key-value service. A member refuses requests made under a
+//! version other than its own, so no majority of an old list forms once a new one is in use.
 
 pub mod call;
 pub mod catch_up;
--- a/crates/replica/src/list.rs
+++ b/crates/replica/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of members, and which of them hold what.
+//! The list of members, and which members hold which keys.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -17,37 +17,39 @@
     pub vm: String,
     /// Its data centre.
     pub centre: String,
-    /// Where it answers.
+    /// The address at which it serves other VMs.
     pub address: SocketAddr,
-    /// Drawn when the disk was found empty, so a VM whose disk was lost is another member.
+    /// Random number drawn when the disk was found empty. A VM whose disk was lost is therefore a
+    /// different member.
     pub disk: u64,
 }
 
-/// The members, agreed in the platform's key-value service.
+/// The members, agreed on in the platform's key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Grows by one with each change.
+    /// Increases by one with each change.
     pub version: u64,
-    /// The members, in the order of their VMs' names.
+    /// The members, sorted by VM name.
     pub members: Vec<Member>,
-    /// The members of the version before, from whom the present ones learn what was acknowledged.
+    /// The members of the previous version. The present members copy what was acknowledged from
+    /// them.
     pub before: Vec<Member>,
 }
 
 impl List {
-    /// Finds a VM's place.
+    /// Finds a VM's entry.
     #[must_use]
     pub fn find(&self, vm: &str) -> Option<&Member> {
         self.members.iter().find(|member| member.vm == vm)
     }
 
-    /// Tells whether this disk of this VM is a member, at this address.
+    /// Tells whether this disk of this VM is a member at this address.
     #[must_use]
     pub fn has_member(&self, member: &Member) -> bool {
         self.members.contains(member)
     }
 
-    /// Yields the members of the version before as a list.
+    /// Returns the members of the previous version as a list.
     #[must_use]
     pub fn previous(&self) -> Self {
         Self {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Builds the next version, in which `member` takes the place of an earlier disk of its VM.
+    /// Builds the next version with `member` added. It replaces an earlier disk of the same VM.
     #[must_use]
     pub fn with(&self, member: &Member) -> Self {
         let mut members = self.members_except(&member.vm);
@@ -65,7 +67,7 @@
         self.next(members)
     }
 
-    /// Builds the next version, without a VM.
+    /// Builds the next version without a VM.
     #[must_use]
     pub fn without(&self, vm: &str) -> Self {
         self.next(self.members_except(vm))
@@ -84,11 +86,12 @@
         }
     }
 
-    /// Yields the members that hold a key, so many that `losses` of them may be lost.
+    /// Returns the members that hold a key: enough of them that `losses` may be lost.
     ///
-    /// They are spread over the data centres also where few more members would make it simpler for
-    /// all to hold everything: with four members, two of them in one data centre, neither side of a
-    /// cut around that one has three of four.
+    /// They are spread over the data centres even if there are only a few more members than a group
+    /// needs, when it would be simpler for all to hold everything. With four members that hold
+    /// everything, two of them in one data centre, neither side of a partition around that data
+    /// centre has three of four.
     #[must_use]
     pub fn group(&self, key: Key, losses: usize) -> Vec<&Member> {
         let size = self.group_size(losses);
@@ -101,18 +104,19 @@
         spread_over_centres(&ranked, size)
     }
 
-    /// Yields how many members hold each key.
+    /// Returns how many members hold each key.
     #[must_use]
     pub fn group_size(&self, losses: usize) -> usize {
         (2 * losses + 1).min(self.members.len())
     }
 
-    /// Tells whether `some` of the members have at least `needed` of the group of every key.
+    /// Tells whether `subset` contains at least `needed` members of the group of every key.
     ///
-    /// Those that meet every majority leave the others too few for one: these can neither keep a
-    /// turn nor be certain that one is absent.
-    /// The bound is safe, not exact: no group has more members of a data centre than its even share
-    /// and what other data centres leave free.
+    /// Members that intersect every majority leave the others too few for one: those can neither
+    /// store a turn nor be certain that one is absent.
+    ///
+    /// The bound is conservative, not exact: no group has more members of a data centre than its
+    /// even share plus what the other data centres leave free.
     #[must_use]
     pub fn covers(&self, subset: &[&Member], losses: usize, needed: usize) -> bool {
         let size = self.group_size(losses);
@@ -133,8 +137,9 @@
     }
 }
 
-/// Yields the most members of one data centre that a group of this size has: the round in which
-/// [`spread_over_centres`] has taken enough.
+/// Returns the most members of one data centre in a group of this size: the round in which
+/// [`spread_over_centres`] has taken enough. `centres` holds each data centre's name, how many
+/// members it has and how many of them are missing.
 fn max_per_centre(centres: &[(&str, usize, usize)], size: usize) -> usize {
     let taken = |rounds: usize| -> usize { centres.iter().map(|entry| entry.1.min(rounds)).sum() };
     (1..=size)
@@ -142,8 +147,8 @@
         .unwrap_or(size)
 }
 
-/// Takes the first of each data centre before a second of any, so that a lost data centre takes as
-/// few copies as can be.
+/// Takes the first member of each data centre before a second of any, so that a lost data centre
+/// costs as few copies as possible.
 fn spread_over_centres<'a>(ranked: &[(u64, &'a Member)], size: usize) -> Vec<&'a Member> {
     let mut taken: Vec<&Member> = Vec::with_capacity(size);
     let mut used = vec![false; ranked.len()];
@@ -162,11 +167,11 @@
     taken
 }
 
-/// The longest VM name that is ranked without an allocation: a group is worked out for each of some
+/// The longest VM name that is ranked without an allocation. A group is computed for each of about
 /// ten thousand keys when the list changes.
 const STACK_NAME_BYTES: usize = 112;
 
-/// Ranks a member for a key by rendezvous hashing: a change of the list moves few keys.
+/// Ranks a member for a key by rendezvous hashing, so that a change of the list moves few keys.
 fn rendezvous_weight(key: Key, member: &Member) -> u64 {
     let name = member.vm.as_bytes();
     let key = key.0.to_le_bytes();
@@ -180,7 +185,7 @@
     xxh3_64(&buffer[..end])
 }
 
-/// Logs that a list is in force after the one of version `before`.
+/// Logs that a list has replaced the one of version `before`.
 pub fn log_list_change(list: &List, before: u64) {
     log::info!(
         "event=E{} text=\"{}\" version={} before={before} members={}",
@@ -191,13 +196,13 @@
     );
 }
 
-/// Yields how many of a group make a majority.
+/// Returns how many members of a group make a majority.
 #[must_use]
 pub const fn majority(group: usize) -> usize {
     group / 2 + 1
 }
 
-/// Yields how many of a group meet every majority of it.
+/// Returns how many members of a group it takes to intersect every majority of it.
 #[must_use]
 pub const fn blocking_size(group: usize) -> usize {
     group.div_ceil(2)
--- a/crates/replica/src/list/tests.rs
+++ b/crates/replica/src/list/tests.rs
@@ -35,12 +35,12 @@
 }
 
 proptest! {
-    /// A caller's turn was answered whole under a new list, and the next one is told that there is
-    /// no such turn. The members on the other side of a cut never learnt of the new list; they are
-    /// enough to say "absent" under the old one. So an absence takes a majority, and the members
-    /// that a new list waits for must leave the others too few of every group for one.
+    /// Members on the other side of a partition may never have heard of a new list. If enough of
+    /// them could say "absent" under the old list, a caller would be told that a turn doesn't exist
+    /// which was answered under the new one. So an absence takes a majority, and the members that a
+    /// new list waits for must leave the others too few for a majority of any group.
     #[test]
-    fn those_not_heard_can_do_nothing_alone(
+    fn members_outside_a_covering_subset_have_no_majority(
         list in lists(),
         included in prop::collection::vec(any::<bool>(), 9),
         key in any::<u128>(),
@@ -56,7 +56,7 @@
     }
 
     #[test]
-    fn a_majority_is_met(group in 1_usize..20) {
+    fn blocking_size_intersects_every_majority(group in 1_usize..20) {
         prop_assert!(majority(group) + blocking_size(group) > group);
         prop_assert!(blocking_size(group) <= majority(group));
     }
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_change_of_the_list_remembers_the_members_before() {
+fn a_changed_list_holds_the_previous_members() {
     let first = list(&["a", "b", "c"]);
     let wiped = Member {
         disk: 77,
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -1,9 +1,10 @@
-//! How a VM with a disk joins the list, learns what was acknowledged before, and leaves.
+//! How a VM with a disk joins the list, catches up with the records acknowledged before, and
+//! leaves.
 //!
-//! One change of the list at a time: the next one is proposed only when enough members have learnt
-//! all that was acknowledged under the present one. A member that joins is in the list first, which
-//! makes the others refuse requests under the old list, and only then asks for what they hold; so
-//! whatever was acknowledged under the old list is in what they hold.
+//! The list changes one step at a time: the next change is proposed only when enough members hold
+//! everything acknowledged under the present list. A joining member is first added to the list,
+//! which makes the others refuse requests under the old list, and only then asks for what they
+//! hold. What they hold then includes everything acknowledged under the old list.
 
 use std::io;
 use std::sync::Arc;
@@ -39,48 +40,49 @@
 use crate::server::Member;
 use crate::unresponsive::UnresponsiveMembers;
 
-/// How often the member looks at its own state.
+/// How often the driver runs.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
-/// How often a member reads the list from the key-value service. Changes come with other VMs'
-/// requests; this is for a member that none of them reaches.
+/// How often a member reads the list from the key-value service. Other VMs' requests announce
+/// changes; this is for a member that none of them reaches.
 const LIST_READ_INTERVAL: Millis = Millis::new(5_000);
-/// How often a VM does that has to change the list: a tenth of the time in which one with an empty
-/// disk has to be a full copy again.
+/// How often a VM that has to change the list reads it: a tenth of the time within which a VM with
+/// an empty disk has to be a full copy again.
 const LIST_READ_INTERVAL_PENDING: Millis = Millis::new(500);
-/// Without a request for this long a member was cut off, frozen or idle; it then asks what it
-/// missed.
+/// A member without write requests for this long was cut off, frozen or idle. It then compares its
+/// records with the other members to get what it missed.
 const IDLE_BEFORE_COMPARE: Millis = Millis::new(1_000);
-/// Turns that are fetched in one request: half a megabyte of usual ones, as much as an answer has.
+/// Turns fetched in one request: typical ones add up to half a megabyte, which is what an answer
+/// holds.
 const FETCH_BATCH_TURNS: usize = 32;
 
-/// Where a member stands.
+/// Where a member is in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It belongs to the list, or is about to.
+    /// It is in the list or is about to join.
     Member,
-    /// It leaves: others take over what it holds.
+    /// It is leaving: others copy what it holds.
     Leaving,
-    /// Everything that it held is elsewhere.
+    /// Others hold everything that it held.
     Left,
 }
 
-/// What drives a member.
+/// Runs a member: keeps its list up to date, catches up, joins, evicts others and leaves.
 pub struct Driver {
     /// The member.
     pub member: Arc<Member>,
-    /// For the other members.
+    /// Client for requests to the other members.
     pub http: Arc<Client>,
-    /// Where the list is agreed.
+    /// Platform whose key-value service stores the list.
     pub platform: Arc<dyn Platform>,
-    /// The list's key there.
+    /// The list's key in the key-value service.
     pub key: String,
-    /// The member's line of the list.
+    /// The member's entry in the list.
     pub own: list::Member,
     /// How many members may be lost at once.
     pub losses: usize,
     /// The time.
     pub clock: Clock,
-    /// Whether operators want the VM emptied, and what has come of it.
+    /// `Leaving` when operators want the VM emptied, `Left` once it is.
     pub phase: watch::Sender<Phase>,
 }
 
@@ -90,13 +92,15 @@
     revision: u64,
     list_read_at: Option<Millis>,
     unresponsive: UnresponsiveMembers,
-    /// Whether what others hold was compared since the start or the last quiet spell.
+    /// Whether records were compared with the other members since the start or the last idle
+    /// period.
     compared: bool,
+    /// Whether the last read of the key-value service failed.
     in_outage: bool,
 }
 
 impl Driver {
-    /// Drives the member for as long as it is polled.
+    /// Runs the member for as long as the future is polled.
     pub async fn run(self) {
         let mut state = DriverState::default();
         loop {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Reads the list from the key-value service, where that answers.
+    /// Reads the list from the key-value service if the last read is long enough ago.
     async fn refresh_list(&self, state: &mut DriverState) {
         let now = self.clock.now();
         let is_stable = self.member.identity().list.has_member(&self.own)
@@ -182,7 +186,9 @@
         state.revision = entry.revision;
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => self.adopt(&list).await,
-            Err(fault) => log::error!("text=\"the list can't be read\" fault=\"{fault}\""),
+            Err(fault) => {
+                log::error!("text=\"the list of members can't be decoded\" fault=\"{fault}\"")
+            }
         }
     }
 
@@ -192,7 +198,7 @@
         }
     }
 
-    /// Proposes the next list, once enough members have learnt all of the present one.
+    /// Proposes the next list once enough members have caught up with the present one.
     async fn propose(&self, state: &mut DriverState, list: &List, next: &List) {
         if next.members.is_empty() {
             return;
@@ -213,7 +219,7 @@
         let value = match rmp_serde::to_vec(next) {
             Ok(value) => value,
             Err(fault) => {
-                log::error!("text=\"the list can't be encoded\" fault=\"{fault}\"");
+                log::error!("text=\"the list of members can't be encoded\" fault=\"{fault}\"");
                 return;
             }
         };
@@ -234,11 +240,11 @@
                 self.adopt(next).await;
             }
             Ok(Outcome::Refused(_)) | Err(Fault::Unknown(_)) => state.list_read_at = None,
-            Err(fault) => log::warn!("text=\"list not written\" fault=\"{fault}\""),
+            Err(fault) => log::warn!("text=\"list of members not written\" fault=\"{fault}\""),
         }
     }
 
-    /// Yields the members that have learnt all that was acknowledged before the list.
+    /// Returns the members that hold everything acknowledged before the list.
     async fn ready_members<'a>(&self, list: &'a List) -> Vec<&'a list::Member> {
         let mut ready = Vec::new();
         for member in &list.members {
@@ -266,12 +272,13 @@
         call::ask(&self.http, member.address, version, body).await
     }
 
-    /// Learns all that was acknowledged before this list.
+    /// Copies everything that was acknowledged before this list.
     ///
-    /// Needs, by [`catch_up::has_enough_sources`], so many of every group of the list before that they meet every majority of it: they
-    /// hold whatever was acknowledged, and their refusal of requests under that list leaves the
-    /// others too few to keep a turn or to be certain of an absent one, so nobody goes on with the
-    /// old list beside the new one. At least one of every group must have learnt all before.
+    /// By [`catch_up::has_enough_sources`], the members that answer must intersect every majority
+    /// of every group of the previous list. They then hold whatever was acknowledged. Because they
+    /// refuse requests under the previous list, the others are too few to store a turn or to be
+    /// certain that one is absent, so nobody continues with the old list beside the new one. At
+    /// least one member of every group must itself have caught up before.
     async fn catch_up(&self, list: &List) {
         let started = self.clock.now();
         let mut answered = Vec::new();
@@ -286,10 +293,10 @@
         }
         let before = list.previous();
         for (member, holdings) in self.fetch_holdings(&list.before, list, scope).await {
-            let wanted = |key| catch_up::must_hold(list, &before, &self.own, key, self.losses);
+            let wanted = |key| catch_up::must_copy(list, &before, &self.own, key, self.losses);
             if let Err(fault) = self.copy_missing(member, list, &holdings, wanted).await {
                 log::warn!(
-                    "text=\"a member's records not learnt\" member={} fault=\"{fault}\"",
+                    "text=\"a member's records not copied\" member={} fault=\"{fault}\"",
                     member.vm
                 );
                 continue;
@@ -327,8 +334,8 @@
         );
     }
 
-    /// Asks the other members at the same time for what they hold, and yields what was answered:
-    /// those that don't answer cost their time once, not one after the other.
+    /// Asks the other members concurrently for what they hold and returns the answers. Concurrent
+    /// requests cost one time-out in total when several members don't answer.
     async fn fetch_holdings<'a>(
         &self,
         members: &'a [list::Member],
@@ -388,7 +395,7 @@
                 return Err(io::Error::other("no answer"));
             };
             if turns.is_empty() {
-                // The member has dropped them meanwhile.
+                // The member has dropped these turns in the meantime.
                 missing.drain(..batch.len());
                 continue;
             }
@@ -402,8 +409,9 @@
         Ok(())
     }
 
-    /// Compares with the other members after the start and after each quiet spell: facts that a
-    /// majority got while this member was away are copied to it, so that they bear the next loss.
+    /// Compares records with the other members after the start and after each idle period. Copies
+    /// records that a majority got while this member was away, so that they survive the next loss
+    /// of a member.
     async fn compare(&self, state: &mut DriverState, list: &List) {
         if self.member.idle_for() >= IDLE_BEFORE_COMPARE {
             state.compared = false;
@@ -424,7 +432,8 @@
         }
     }
 
-    /// Takes a silent member off a list that is longer than needed.
+    /// Proposes to remove an unresponsive member if the list has more members than it needs, or
+    /// exactly two.
     async fn evict(&self, state: &mut DriverState, list: &List) {
         let has_spare = list.members.len() > 2 * self.losses + 1;
         if !has_spare && list.members.len() != 2 {
@@ -440,9 +449,10 @@
         let now = self.clock.now();
         let answered: Vec<&str> = responsive.iter().map(|member| member.vm.as_str()).collect();
         state.unresponsive.record_answers(list, &answered, now);
-        // A side of a cut that has too few members keeps the list; the other side returns. Of two
-        // members each holds everything, as a write needs both; neither can go on without the
-        // other until the list says so, and only one of them can change it.
+        // In a partition, the side with too few members leaves the list alone because the other
+        // side will come back. In a list of two, each member holds everything because a write needs
+        // both; neither can continue without the other until the list changes, and only one of them
+        // can change it.
         let enough = responsive.len() > 2 * self.losses || list.members.len() == 2;
         if !enough || responsive.first().is_none_or(|first| **first != self.own) {
             return;
@@ -458,7 +468,8 @@
         }
     }
 
-    /// Has left the list: waits until the others have all that this member held.
+    /// Completes leaving the list once the remaining members have caught up and so hold all that
+    /// this member held.
     async fn leave(&self, list: &List) {
         if self.ready_members(list).await.len() < list.members.len() {
             return;
--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -1,7 +1,7 @@
-//! What members are asked, and what they answer.
+//! Requests to members, and their answers.
 //!
-//! Each message goes as the body of a POST in `MessagePack`. Requests name the version of the list
-//! that the sender goes by; a member that goes by another one says so and does nothing.
+//! Each message is the body of a POST, encoded as `MessagePack`. Requests name the version of the
+//! list that the sender uses; a member that uses another one answers so and does nothing.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -14,7 +14,7 @@
 use crate::record::Record;
 use crate::record::Turn;
 
-/// The path of the only call.
+/// The path of the only HTTP endpoint.
 pub const PATH: &str = "/replica";
 
 /// A request to a member.
@@ -22,41 +22,41 @@
 pub struct Ask {
     /// The sender's version of the list.
     pub version: u64,
-    /// What is asked.
+    /// The request itself.
     pub body: Body,
 }
 
-/// What a member is asked.
+/// What a member is asked to do.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// To sync these facts, and to tell the accounts of the programs that they concern.
+    /// Sync these records, and return the accounts of the programs that they concern.
     Apply(Vec<Record>),
-    /// For a turn and as much of what it continued from as the member holds.
+    /// Return a turn and as much of the chain that it continues as the member holds.
     Chain(Key),
-    /// For a program's entries.
+    /// Return a program's entries.
     Account(Key),
-    /// To take over this list, if it is newer.
+    /// Adopt this list if it is newer.
     Adopt(List),
-    /// For the keys of all that the member holds.
+    /// Return the keys of everything that the member holds.
     Keys,
-    /// For the keys of what the member holds and a VM has to hold only since the latest change of
-    /// the list, where so many members may be lost at once.
+    /// Return the keys that the member holds and a VM has to hold only since the latest change of
+    /// the list, given how many members may be lost at once.
     Gained {
         /// The VM.
         vm: String,
-        /// How many members may be lost.
+        /// How many members may be lost at once.
         losses: usize,
     },
-    /// For these turns.
+    /// Return these turns.
     Fetch(Vec<Key>),
-    /// For the member's state.
+    /// Return the member's state.
     Status,
 }
 
 /// A member's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The facts are on disk; the entries of the program that a reservation was for.
+    /// The records are on disk. Holds the entries of the program that a reservation was for.
     Applied(Vec<Entry>),
     /// The turns found, the newest first.
     Chain(Chain),
@@ -64,15 +64,15 @@
     Account(Vec<Entry>),
     /// What the member holds.
     Keys(Holdings),
-    /// The turns asked for, as far as they are there and fit an answer.
+    /// The requested turns, as far as the member holds them and they fit an answer.
     Turns(Vec<Turn>),
     /// The member's state.
     Status(Status),
-    /// The member goes by a newer list: this one.
+    /// The member uses a newer list: this one.
     Newer(List),
-    /// The member goes by an older list and has to be told the sender's.
+    /// The member uses an older list and has to be sent the sender's.
     Older,
-    /// The member hasn't yet learnt all that was acknowledged before its list.
+    /// The member doesn't yet hold everything that was acknowledged before its list.
     NotReady,
     /// The member's disk failed.
     Failed(String),
@@ -83,8 +83,8 @@
 pub struct Chain {
     /// The turns found, the newest first.
     pub turns: Vec<Link>,
-    /// Where the chain goes on, if it does: a turn that the member doesn't hold, or that no longer
-    /// fitted the answer.
+    /// The next earlier turn, if the chain continues: one that the member doesn't hold or that no
+    /// longer fitted the answer.
     pub next: Option<Key>,
 }
 
@@ -100,9 +100,9 @@
 /// What a member holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
-    /// The version up to which it has learnt all that was acknowledged.
+    /// The list version up to which it holds everything that was acknowledged.
     pub ready: u64,
-    /// Its turns.
+    /// The keys of its turns.
     pub turns: Vec<Key>,
     /// Its accounts.
     pub accounts: Vec<Account>,
@@ -113,8 +113,8 @@
 pub struct Status {
     /// The disk's number.
     pub disk: u64,
-    /// The version of the list that it goes by.
+    /// The version of the list that it uses.
     pub version: u64,
-    /// The version up to which it has learnt all that was acknowledged.
+    /// The list version up to which it holds everything that was acknowledged.
     pub ready: u64,
 }
--- a/crates/replica/src/quorum.rs
+++ b/crates/replica/src/quorum.rs
@@ -1,23 +1,23 @@
-//! When enough members have answered, as pure decisions over the answers so far.
+//! Pure functions that decide from the answers so far whether enough members have answered.
 
 use crate::ledger;
 use crate::ledger::Entry;
 use crate::list;
 
-/// Where a write to a group stands.
+/// State of a write to a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteState {
     /// More answers are needed.
     Waiting,
-    /// A majority has it, and more members may still answer.
+    /// A majority has it; more members may still answer.
     Majority,
     /// Every member has it.
     All,
-    /// No majority can be had any more.
+    /// A majority can no longer be reached.
     Failed,
 }
 
-/// Judges a write by the members that have it and those that failed.
+/// Returns the state of a write, given how many members have it and how many failed.
 #[must_use]
 pub const fn write_state(group: usize, done: usize, failed: usize) -> WriteState {
     if group > 0 && done == group {
@@ -37,16 +37,17 @@
 pub enum Verdict {
     /// The turn may run.
     Fits,
-    /// The turn may not run; what is spent and set aside without it.
+    /// The turn may not run. Holds the tokens that are spent or reserved without it.
     Spent(u64),
 }
 
-/// Judges a reservation by the entries that members know, its own among them.
+/// Decides whether a reservation fits the budget, given the entries that members know, including
+/// the reservation's own entry.
 ///
-/// Two concurrent reservations each see the other and may both be refused where one would have
-/// fitted; both running could break the budget. Members that were asked after a majority had the
-/// reservation, or all members, are enough: of any set of reservations that got through, the one
-/// whose write was complete last has then seen all others.
+/// Two concurrent reservations each see the other, and both may be refused where one would have
+/// fitted; running both could exceed the budget. It is enough to ask either all members, or a
+/// majority after a majority has the reservation: of any set of reservations that were accepted,
+/// the one whose write completed last has then seen all others.
 #[must_use]
 pub fn check_budget(entries: &[Entry], own: &Entry, budget: u64) -> Verdict {
     let others = entries.iter().filter(|entry| entry.turn != own.turn);
@@ -57,7 +58,7 @@
     Verdict::Spent(spent)
 }
 
-/// Yields the union of what members know.
+/// Returns the union of what the members know.
 #[must_use]
 pub fn union(known: &[Vec<Entry>]) -> Vec<Entry> {
     let mut all = Vec::new();
--- a/crates/replica/src/quorum/tests.rs
+++ b/crates/replica/src/quorum/tests.rs
@@ -23,7 +23,7 @@
 const MEMBERS: usize = 3;
 const PROGRAM: Key = Key(1);
 const BUDGET: u64 = 250;
-const MOST: u32 = 100;
+const RESERVED_TOKENS: u32 = 100;
 
 #[rstest]
 #[case(3, 1, 0, WriteState::Waiting)]
@@ -43,20 +43,20 @@
     assert_eq!(write_state(group, done, failed), expected);
 }
 
-/// A step of one VM's reservation, or a loss.
+/// A step of one VM's reservation, or the restart of a member.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The reservation of this turn reaches a member, which answers.
     Write { turn: usize, member: usize },
-    /// After a majority has it: a member answers with the account.
+    /// After a majority has the reservation, a member answers with the account.
     Read { turn: usize, member: usize },
-    /// A turn that runs ends and is settled at a member.
+    /// A finished turn is settled at a member.
     Settle { turn: usize, member: usize },
-    /// A member dies and comes back with its disk: what it answered is there.
+    /// A member dies and restarts with its disk, so what it answered is still there.
     Restart { member: usize },
 }
 
-/// One VM's view of a reservation.
+/// One VM's view of its reservation.
 #[derive(Clone, Debug, Default)]
 struct Attempt {
     written: Vec<usize>,
@@ -79,7 +79,7 @@
 fn entry(turn: usize) -> Entry {
     Entry {
         turn: Key(turn as u128),
-        most: MOST,
+        most: RESERVED_TOKENS,
         used: None,
     }
 }
@@ -90,7 +90,7 @@
             let record = Reservation {
                 program: PROGRAM,
                 turn: Key(turn as u128),
-                most: MOST,
+                most: RESERVED_TOKENS,
             };
             members[member].reserve(&record, Millis::ZERO);
             let attempt = &mut attempts[turn];
@@ -118,9 +118,9 @@
             }
         }
         Step::Settle { turn, member } => {
-            // One that was refused gives all back; one that runs may have used all.
+            // A refused turn gives all its tokens back; one that runs may have used all of them.
             let used = match attempts[turn].verdict {
-                Some(Verdict::Fits) => MOST,
+                Some(Verdict::Fits) => RESERVED_TOKENS,
                 Some(Verdict::Spent(_)) => 0,
                 None => return,
             };
@@ -143,9 +143,9 @@
 proptest! {
     #![proptest_config(proptest::test_runner::Config::with_cases(4_000))]
 
-    /// Five turns of one program start at five VMs at the same time, and their messages arrive in
-    /// any order at any two or three of the members. A program that got more than its budget would
-    /// have been told of too few of the others.
+    /// Five turns of one program start on five VMs at the same time, and their messages arrive in
+    /// any order at any two or three of the members. A reservation that saw too few of the others
+    /// would let the program exceed its budget.
     #[test]
     fn turns_that_run_stay_within_the_budget(steps in vec(steps(), 1..80)) {
         let mut members: Vec<Ledger> = (0..MEMBERS).map(|_| Ledger::default()).collect();
@@ -153,12 +153,12 @@
         for step in steps {
             apply_step(&mut members, &mut attempts, step);
             let running = attempts.iter().filter(|attempt| attempt.verdict == Some(Verdict::Fits));
-            let tokens = running.count() as u64 * u64::from(MOST);
+            let tokens = running.count() as u64 * u64::from(RESERVED_TOKENS);
             prop_assert!(tokens <= BUDGET, "{tokens} tokens: {attempts:?}");
         }
     }
 
-    /// Facts arrive in any order and more than once; two members that have the same ones agree.
+    /// Records arrive in any order and more than once; two members with the same records agree.
     #[test]
     fn accounts_do_not_depend_on_the_order(records in vec((0..4_u128, any::<bool>()), 0..20)) {
         let apply = |ledger: &mut Ledger, (turn, settles): (u128, bool)| {
@@ -183,7 +183,7 @@
     }
 }
 
-/// The state of three concurrent reservations, for the exhaustive search: turns are bits.
+/// The state of three concurrent reservations in the exhaustive search. Turns are bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct SearchState {
     /// Which turns each member knows.
@@ -199,7 +199,9 @@
     verdict: Option<Verdict>,
 }
 
-/// How many members are read once a majority has the reservation.
+/// Searches all orders of messages for one that exceeds the budget, and returns the state in which
+/// it does, or else the number of states. `reads` members are asked once a majority has the
+/// reservation.
 fn search(reads: u32) -> Result<usize, SearchState> {
     let mut seen = HashSet::from([SearchState::default()]);
     let mut queue = vec![SearchState::default()];
@@ -208,7 +210,7 @@
             .turns
             .iter()
             .filter(|turn| turn.verdict == Some(Verdict::Fits));
-        if running.count() as u64 * u64::from(MOST) > BUDGET {
+        if running.count() as u64 * u64::from(RESERVED_TOKENS) > BUDGET {
             return Err(state);
         }
         for turn in 0..3 {
@@ -265,11 +267,11 @@
     state
 }
 
-/// Three turns of a program whose budget holds two start at once, and each reaches another two of
-/// three members: each member knows two of them. Without a second round, or with one member asked in
-/// it, all three run. Searched over every order of messages.
+/// Three turns of a program whose budget fits two start at once, and each reaches a different pair
+/// of the three members, so that each member knows two of them. Without a second round, or with
+/// only one member asked in it, all three run. The test searches every order of messages.
 #[test]
-fn a_second_round_at_a_majority_is_needed_and_enough() {
+fn a_second_round_at_a_majority_is_necessary_and_sufficient() {
     assert!(search(2).is_ok());
     assert!(search(1).is_err());
     assert!(search(0).is_err());
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -1,4 +1,4 @@
-//! The facts that are kept, and their form on disk.
+//! The records that members store, and their form on disk.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -6,32 +6,32 @@
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A frame's head: the payload's length and its checksum.
+/// Length of a frame's header in bytes: the payload's length and its checksum.
 pub const HEADER_BYTES: usize = 12;
-/// The longest payload in bytes. A longer length in a head is a torn write.
+/// The longest payload in bytes. A longer length in a header is a torn write.
 pub const MAX_PAYLOAD_BYTES: usize = 32 * 1024 * 1024;
 
-/// Names a turn or a program: a digest of its id, 128 bits wide, so that two ids of all that a
-/// deployment ever sees don't meet.
+/// Identifies a turn or a program: a digest of its id, 128 bits wide so that no two ids in a
+/// deployment's lifetime collide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u128);
 
 impl Key {
-    /// Digests an id.
+    /// Computes the key of an id.
     #[must_use]
     pub fn of(id: &str) -> Self {
         Self(xxh3_128(id.as_bytes()))
     }
 }
 
-/// A fact.
+/// An immutable record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A turn that was answered whole.
+    /// A turn that was answered completely.
     Turn(Turn),
-    /// Tokens set aside for a turn before it runs.
+    /// Tokens reserved for a turn before it runs.
     Reserve(Reservation),
-    /// What a turn used of its reservation; nothing more comes of it.
+    /// What a turn used of its reservation. No further record follows it.
     Settle(Settlement),
 }
 
@@ -40,39 +40,39 @@
 pub struct Turn {
     /// The turn.
     pub key: Key,
-    /// The turn that it continued from.
+    /// The turn that it continues.
     pub previous: Option<Key>,
-    /// Its input and its output, as a later turn's prompt repeats them.
+    /// Its input and output, as the prompt of a later turn repeats them.
     pub text: Bytes,
 }
 
-/// Tokens set aside.
+/// A reservation of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The program whose budget it is.
+    /// The program whose budget is charged.
     pub program: Key,
     /// The attempt at a turn.
     pub turn: Key,
-    /// The most that it can use.
+    /// The most tokens that it can use.
     pub most: u32,
 }
 
-/// Tokens used.
+/// The tokens used of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The program whose budget it is.
+    /// The program whose budget is charged.
     pub program: Key,
     /// The attempt at a turn.
     pub turn: Key,
-    /// What it used.
+    /// The tokens that it used.
     pub used: u32,
 }
 
-/// Renders a record as a frame: length, checksum, payload.
+/// Encodes a record as a frame: length, checksum, payload.
 ///
 /// # Errors
 ///
-/// Fails where the record can't be encoded.
+/// Fails if the record can't be encoded.
 pub fn encode_frame(record: &Record) -> Result<Vec<u8>, rmp_serde::encode::Error> {
     let payload = rmp_serde::to_vec(record)?;
     let mut out = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -83,19 +83,19 @@
     Ok(out)
 }
 
-/// What stands at the head of some bytes.
+/// What the start of a byte sequence was parsed as.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed {
-    /// A whole record, and its frame's length.
+    /// A whole record, and the length of its frame.
     Record(Record, usize),
-    /// The bytes end within a frame; at a file's end that is a torn write.
+    /// The bytes end within a frame. At the end of a file that is a torn write.
     Incomplete,
-    /// The bytes are no frame: a torn write.
+    /// The bytes are not a valid frame: a torn write.
     Torn,
 }
 
-/// Parses the frame at the head of `bytes`. A torn write has another checksum, so it is never
-/// taken for a record.
+/// Parses the frame at the start of `bytes`. The checksum of a torn write doesn't match, so it is
+/// never taken for a record.
 #[must_use]
 pub fn parse_frame(bytes: &[u8]) -> Parsed {
     let Some((header, rest)) = bytes.split_at_checked(HEADER_BYTES) else {
--- a/crates/replica/src/server.rs
+++ b/crates/replica/src/server.rs
@@ -1,4 +1,4 @@
-//! A member: what it holds, and how it answers.
+//! A member: the state that it holds, and how it answers requests.
 
 mod gained;
 mod read;
@@ -49,11 +49,12 @@
     disk: Disk,
     state: Mutex<State>,
     events: Mutex<mpsc::Receiver<SegmentEvent>>,
+    /// Cached for the list version that it was computed for.
     gained: tokio::sync::Mutex<GainedKeys>,
     clock: Clock,
-    /// Writes that were taken and aren't answered yet; closed when the process stops.
+    /// Accepted writes that aren't answered yet; closed when the process stops.
     writes: TaskTracker,
-    /// Rung when the list changes.
+    /// Notified when the list changes.
     pub list_changed: Notify,
 }
 
@@ -62,17 +63,17 @@
     identity: Identity,
     index: Index,
     ledger: Ledger,
-    /// Segments begun since the accounts were written anew.
+    /// Segments created since the accounts were last rewritten.
     segments_since_rewrite: u64,
-    /// When another VM last asked for something to be synced.
+    /// When another VM last sent a write.
     last_write: Millis,
 }
 
-/// Opens a member's folder. `new_disk` is the number that an empty disk gets.
+/// Opens a member's folder. An empty disk gets the number `new_disk`.
 ///
 /// # Errors
 ///
-/// Fails where the disk can't be read or written.
+/// Fails if the disk can't be read or written.
 pub async fn open(
     folder: &std::path::Path,
     bytes: u64,
@@ -92,8 +93,8 @@
                 };
                 state.index.insert(turn.key, entry);
             }
-            Record::Reserve(record) => state.ledger.reserve(&record, now),
-            Record::Settle(record) => state.ledger.settle(&record, now),
+            Record::Reserve(reservation) => state.ledger.reserve(&reservation, now),
+            Record::Settle(settlement) => state.ledger.settle(&settlement, now),
         }
     })?;
     state.identity = if let Some(identity) = opened.identity {
@@ -128,13 +129,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields what the member is.
+    /// Returns the disk's number, the list in use and the version up to which the member has caught
+    /// up.
     #[must_use]
     pub fn identity(&self) -> Identity {
         self.lock().identity.clone()
     }
 
-    /// Yields the member's state.
+    /// Returns the member's state as other VMs see it.
     #[must_use]
     pub fn status(&self) -> Status {
         let state = self.lock();
@@ -145,12 +147,12 @@
         }
     }
 
-    /// Takes a newer list over. From then on requests under an older one are refused, also after a
-    /// restart, as the list is on disk before this returns.
+    /// Adopts a list if it is newer. From then on the member refuses requests under an older list,
+    /// also after a restart, because the list is on disk before this returns.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does.
+    /// Fails if the disk does.
     pub async fn adopt(&self, list: &List) -> io::Result<()> {
         let identity = {
             let mut state = self.lock();
@@ -165,17 +167,17 @@
         self.disk.write_identity(&identity).await
     }
 
-    /// Yields for how long no other VM has asked for anything to be synced.
+    /// Returns how long ago another VM last sent a write.
     #[must_use]
     pub fn idle_for(&self) -> Millis {
         self.clock.now().since(self.lock().last_write)
     }
 
-    /// Notes that all that was acknowledged before version `ready` is here.
+    /// Records that the member holds everything acknowledged before list version `ready`.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does.
+    /// Fails if the disk does.
     pub async fn set_ready(&self, ready: u64) -> io::Result<()> {
         let identity = {
             let mut state = self.lock();
@@ -185,22 +187,22 @@
         self.disk.write_identity(&identity).await
     }
 
-    /// Refuses writes from now on, as the process stops: a writer that waits for one that it may not
-    /// finish loses time in which the other members decide.
+    /// Refuses writes from now on because the process is stopping. A writer that waited for a write
+    /// that may not finish would lose time in which the other members decide.
     pub fn refuse_writes(&self) {
         self.writes.close();
     }
 
-    /// Waits until the writes that were taken before [`Self::refuse_writes`] have their answers.
+    /// Waits until the writes accepted before [`Self::refuse_writes`] have been answered.
     pub async fn wait_for_writes(&self) {
         self.writes.wait().await;
     }
 
     /// Answers a request.
     pub async fn answer(&self, ask: Ask) -> Answer {
-        // Counted before it is looked whether writes are still taken: the process would else end
-        // between the two.
-        let _taken = matches!(ask.body, Body::Apply(_)).then(|| self.writes.token());
+        // The write is counted before the check whether writes are still accepted. Otherwise the
+        // process could end between the two.
+        let _write = matches!(ask.body, Body::Apply(_)).then(|| self.writes.token());
         if let Some(answer) = self.refusal(&ask) {
             return answer;
         }
@@ -208,9 +210,9 @@
             Body::Apply(records) => {
                 self.lock().last_write = self.clock.now();
                 let answer = self.apply(records).await;
-                // The list may have changed while the disk was synced. Members that learn by the
-                // new one may have been told what is here without these facts, so they don't count
-                // by the old one; the sender comes again.
+                // The list may have changed during the sync. Members that catch up with the new
+                // list may already have been told what this member holds, without these records, so
+                // the records don't count under the old list; the sender sends them again.
                 self.list_newer_than(ask.version).unwrap_or(answer)
             }
             Body::Chain(key) => self.chain(key),
@@ -226,9 +228,10 @@
         }
     }
 
-    /// Refuses what goes by another list, writes while the process stops, with the question that tells
-    /// whether writes can be had, and reads before the member has learnt all: others might
-    /// take an absence or a sum that it tells for the truth.
+    /// Returns the refusal of a request, if it is refused. Refused are requests under another
+    /// version of the list; while the process stops, writes and also status requests, because they
+    /// tell whether writes are possible; and reads before the member has caught up, because the
+    /// sender would trust an absence or a sum that may be wrong.
     fn refusal(&self, ask: &Ask) -> Option<Answer> {
         if self.writes.is_closed() && matches!(ask.body, Body::Apply(_) | Body::Status) {
             return Some(Answer::Failed("stopping".to_owned()));
@@ -245,7 +248,8 @@
             return Some(Answer::Older);
         }
         let needs_all = match ask.body {
-            // A turn never changes: one that is here may be told also while others may be missing.
+            // A turn never changes, so one that is here can be returned while others may be
+            // missing.
             Body::Chain(key) => state.index.find(key).is_none(),
             Body::Account(_) => true,
             _ => false,
@@ -259,7 +263,7 @@
         (version < own.version).then(|| Answer::Newer(own.clone()))
     }
 
-    /// Counts the turns and accounts that the member holds.
+    /// Returns how many turns and how many accounts the member holds.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let state = self.lock();
@@ -272,7 +276,7 @@
     Answer::Failed(fault.to_string())
 }
 
-/// Serves a request of another VM.
+/// Handles an HTTP request from another VM.
 pub async fn serve(member: Arc<Member>, request: Request<Incoming>) -> Response<ResponseBody> {
     let bytes = match body::read(request.into_body(), MAX_REQUEST_BYTES).await {
         Ok(bytes) => bytes,
--- a/crates/replica/src/server/gained.rs
+++ b/crates/replica/src/server/gained.rs
@@ -1,4 +1,4 @@
-//! What others have to learn from a member after a change of the list.
+//! Answers which keys another member gained by the latest change of the list.
 
 use crate::catch_up;
 use crate::ledger::Account;
@@ -7,11 +7,12 @@
 use crate::record::Key;
 use crate::server::Member;
 
-/// Keys that are looked at before other requests get their turn: under a millisecond on a third of
-/// a core.
+/// Keys that are handled before other requests get to run: under a millisecond on a third of a
+/// core.
 const KEYS_PER_YIELD: usize = 200;
 
-/// What members got by the latest change of the list, of what this one holds; in the order of VMs.
+/// The keys that members gained by the latest change of the list, as far as this member holds them;
+/// sorted by VM.
 #[derive(Debug, Default)]
 pub(super) struct GainedKeys {
     version: u64,
@@ -19,7 +20,7 @@
     programs: Vec<(String, Key)>,
 }
 
-/// Works out gains some at a time, so that requests are answered meanwhile.
+/// Computes the gained keys in chunks, so that requests are answered in between.
 async fn gained_keys(list: &List, keys: &[Key], losses: usize) -> Vec<(String, Key)> {
     let mut all = Vec::new();
     for chunk in keys.chunks(KEYS_PER_YIELD) {
@@ -31,9 +32,11 @@
 }
 
 impl Member {
-    /// Yields what the member holds and `vm` has to hold only since the latest change of the list.
+    /// Returns what this member holds and `vm` has to hold only since the latest change of the
+    /// list.
     pub(super) async fn gained(&self, vm: &str, losses: usize) -> Holdings {
-        // Held while the gains are worked out, so that members that ask at once share the work.
+        // The lock is held during the computation, so that members that ask at the same time share
+        // the result.
         let mut cached = self.gained.lock().await;
         let list = self.identity().list;
         if cached.version != list.version {
--- a/crates/replica/src/server/read.rs
+++ b/crates/replica/src/server/read.rs
@@ -1,4 +1,4 @@
-//! What a member tells of what it holds.
+//! How a member answers requests for what it holds.
 
 use crate::message::Answer;
 use crate::message::Chain;
@@ -10,7 +10,8 @@
 use crate::server::Member;
 use crate::server::disk_failed;
 
-/// How much text an answer holds before it stops: a part of what a small VM can buffer.
+/// An answer gets no more turns once its text exceeds this length. It is a part of what a small VM
+/// can buffer.
 const MAX_TEXT_BYTES: usize = 512 * 1024;
 
 impl Member {
@@ -34,7 +35,7 @@
                     });
                     next = turn.previous;
                 }
-                Ok(_) => return Answer::Failed("another record lies there".to_owned()),
+                Ok(_) => return Answer::Failed("the stored record is no turn".to_owned()),
                 Err(fault) => return disk_failed(&fault),
             }
         }
@@ -42,7 +43,7 @@
         Answer::Chain(chain)
     }
 
-    /// Yields what the member holds, for one that has to learn it.
+    /// Returns what the member holds, for a member that has to copy it.
     #[must_use]
     pub(super) fn holdings(&self) -> Holdings {
         let state = self.lock();
@@ -75,7 +76,7 @@
         turns
     }
 
-    /// Yields which of these turns aren't here.
+    /// Returns which of these turns the member doesn't hold.
     #[must_use]
     pub fn missing(&self, keys: &[Key]) -> Vec<Key> {
         let state = self.lock();
--- a/crates/replica/src/server/write.rs
+++ b/crates/replica/src/server/write.rs
@@ -1,4 +1,4 @@
-//! What a member takes in, and how it lies on its disk.
+//! How a member stores records and other members' accounts.
 
 use std::io;
 use std::sync::PoisonError;
@@ -16,13 +16,13 @@
 use crate::server::Member;
 use crate::server::disk_failed;
 
-/// Accounts are written anew after so many segments, far fewer than fit the smallest disk, so that
-/// no program's entries go with the oldest segment.
+/// All accounts are rewritten after this many new segments, so that no program's entries are
+/// removed with the oldest segment. The smallest disk fits far more segments.
 const REWRITE_AFTER_SEGMENTS: u64 = 8;
 
 impl Member {
-    /// Syncs facts. Reservations count from here on, before they are on disk: another reservation
-    /// that is answered meanwhile must see them.
+    /// Syncs records. Reservations count at once, before they are on disk, because another
+    /// reservation that is answered in the meantime must see them.
     pub async fn apply(&self, records: Vec<Record>) -> Answer {
         let now = self.clock.now();
         let mut frames = Vec::with_capacity(records.len());
@@ -34,11 +34,11 @@
                 match record {
                     Record::Turn(turn) if state.index.find(turn.key).is_some() => continue,
                     Record::Turn(turn) => turns.push((frames.len(), turn.key, turn.previous)),
-                    Record::Reserve(record) => {
-                        state.ledger.reserve(record, now);
-                        program = Some(record.program);
+                    Record::Reserve(reservation) => {
+                        state.ledger.reserve(reservation, now);
+                        program = Some(reservation.program);
                     }
-                    Record::Settle(record) => state.ledger.settle(record, now),
+                    Record::Settle(settlement) => state.ledger.settle(settlement, now),
                 }
                 match record::encode_frame(record) {
                     Ok(frame) => frames.push(frame),
@@ -59,11 +59,11 @@
         Answer::Applied(entries)
     }
 
-    /// Takes in another member's accounts.
+    /// Merges and stores another member's accounts.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does.
+    /// Fails if the disk does.
     pub async fn merge_accounts(&self, accounts: &[Account]) -> io::Result<()> {
         let now = self.clock.now();
         let mut records = Vec::new();
@@ -92,12 +92,12 @@
         self.disk.append(frames).await.map(drop)
     }
 
-    /// Forgets what the disk no longer holds, and writes the accounts anew now and then. To be
-    /// called about once a second.
+    /// Drops what the disk no longer holds, and rewrites the accounts from time to time. Should be
+    /// called at least about once a second.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does.
+    /// Fails if the disk does.
     pub async fn sweep(&self) -> io::Result<()> {
         let events: Vec<SegmentEvent> = {
             let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
@@ -122,12 +122,12 @@
             state.ledger.accounts()
         };
         let records: Vec<Record> = accounts.iter().flat_map(account_records).collect();
-        log::info!("text=\"accounts written anew\" entries={}", records.len());
+        log::info!("text=\"accounts rewritten\" entries={}", records.len());
         self.write_records(&records).await
     }
 }
 
-/// Yields the entries that say more than those known.
+/// Returns the entries that are new or settle a known one.
 fn added_entries(known: &[Entry], entries: &[Entry]) -> Vec<Entry> {
     let says_more = |entry: &&Entry| match known.iter().find(|other| other.turn == entry.turn) {
         Some(other) => other.used.is_none() && entry.used.is_some(),
--- a/crates/replica/src/unresponsive.rs
+++ b/crates/replica/src/unresponsive.rs
@@ -1,36 +1,37 @@
-//! Which members of the list don't answer, and since when.
+//! Tracks which members of the list don't answer, and since when.
 
 use wire::clock::Millis;
 
 use crate::list::List;
 use crate::list::Member;
 
-/// How long a member may be silent before it is taken off a list that has more members than it
-/// needs. Until then its groups bear one loss less, so it is well below the time after which a
-/// removed VM's successor counts; and longer than a restart or a short cut, as each change of the list
-/// has all members compare what they hold.
+/// How long a member may be unresponsive before it is removed from a list that has more members
+/// than it needs. Until then its groups tolerate one loss less, so this is well below the time
+/// after which the replacement of a removed VM counts. It is longer than a restart or a short
+/// network cut, because each change of the list makes all members compare what they hold.
 const EVICT_AFTER: Millis = Millis::new(3_000);
-/// The same for the other one of two members. Each write needs both, so that turns wait for it.
+/// The same for the other one of two members. It is shorter because each write needs both, so turns
+/// wait for it.
 const EVICT_AFTER_OF_TWO: Millis = Millis::new(1_500);
 
-/// The same where all members of a data centre are silent, of which it has several: it is cut off
-/// or has lost its power, which the groups bear, and its members will be back together. Taken off
-/// and back on one by one, they would have all members learn for seconds. Longer than a cut; one
-/// that is gone for good is taken off then.
+/// The same where a data centre has several members and all of them are unresponsive. It is cut off
+/// or has lost its power, which the groups tolerate, and its members will come back together.
+/// Removing and re-adding them one by one would keep all members busy catching up for seconds. This
+/// is longer than a network cut; a data centre that is gone for good is removed after it.
 const EVICT_AFTER_WHOLE_CENTRE: Millis = Millis::new(30_000);
 
 /// The members that don't answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnresponsiveMembers {
-    /// In the order in which they fell silent.
+    /// VMs in the order in which they stopped answering, with the times at which they did.
     members: Vec<(String, Millis)>,
 }
 
 impl UnresponsiveMembers {
-    /// Notes which members of the list have just answered.
+    /// Records which members of the list have just answered.
     ///
-    /// One that isn't in the list any more is forgotten. Remembered, it would be taken off again
-    /// and again: each time the list's version grows, and all members learn anew.
+    /// Members that are no longer in the list are forgotten. Otherwise they would be removed again
+    /// and again, each time with a new version of the list that all members have to catch up with.
     pub fn record_answers(&mut self, list: &List, answered: &[&str], now: Millis) {
         self.members.retain(|(vm, _)| {
             let listed = list.find(vm).is_some();
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Yields the member that has been silent longest, if that is too long.
+    /// Returns the member that has been unresponsive longest among those that exceed their limit.
     #[must_use]
     pub fn to_evict(&self, list: &List, now: Millis) -> Option<&str> {
         let is_overdue =
@@ -54,7 +55,7 @@
         Some(vm)
     }
 
-    /// Yields how long a member may be silent.
+    /// Returns how long a member may be unresponsive.
     fn timeout(&self, list: &List, vm: &str) -> Millis {
         if list.members.len() == 2 {
             return EVICT_AFTER_OF_TWO;
@@ -70,7 +71,7 @@
         EVICT_AFTER
     }
 
-    /// Forgets all.
+    /// Forgets all members.
     pub fn clear(&mut self) {
         self.members.clear();
     }
--- a/crates/replica/src/unresponsive/tests.rs
+++ b/crates/replica/src/unresponsive/tests.rs
@@ -17,8 +17,8 @@
         .fold(List::default(), |list, vm| list.with(&member(vm)))
 }
 
-/// A data centre is cut off for some seconds, with all of its members. They stay on the list: each
-/// that was taken off and came back would have all members learn, while callers wait.
+/// A data centre with all of its members is cut off for some seconds. The members stay on the list:
+/// each one that is removed and comes back makes all members catch up while callers wait.
 #[test]
 fn a_data_centre_that_is_cut_off_stays_on_the_list() {
     let mut unresponsive = UnresponsiveMembers::default();
@@ -36,11 +36,11 @@
     assert_eq!(unresponsive.to_evict(&six, long), Some("b2"));
 }
 
-/// A member is gone for good and is taken off the list. If it were remembered as silent, the list
-/// would change again every few hundred milliseconds, and callers would wait for members that learn
-/// without end.
+/// A member is gone for good and is removed from the list. If it were still tracked as
+/// unresponsive, the list would change again every few hundred milliseconds, and callers would wait
+/// endlessly for members that catch up.
 #[test]
-fn a_member_that_was_taken_off_is_not_taken_off_again() {
+fn an_evicted_member_is_not_evicted_again() {
     let mut unresponsive = UnresponsiveMembers::default();
     let four = list(&["a", "b", "c", "d"]);
     unresponsive.record_answers(&four, &["a", "b", "c"], NOW);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_restart_takes_no_member_off() {
+fn a_restarting_member_is_not_evicted() {
     let mut unresponsive = UnresponsiveMembers::default();
     let four = list(&["a", "b", "c", "d"]);
     unresponsive.record_answers(&four, &["a", "b", "c"], NOW);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_other_one_of_two_is_taken_off_sooner() {
+fn one_of_two_members_is_evicted_sooner() {
     let mut unresponsive = UnresponsiveMembers::default();
     let two = list(&["a", "b"]);
     unresponsive.record_answers(&two, &["a"], NOW);
--- a/crates/replica/tests/relisted.rs
+++ b/crates/replica/tests/list_changes.rs
@@ -1,4 +1,4 @@
-//! Readers and writers that go by an older list than the members.
+//! Requests made under an older list than the members use, or while members catch up.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // Left behind only where the test failed early.
+        // Left behind only if the test failed early.
         let _absent = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -44,7 +44,7 @@
     Replicas::new(http, "a", 1)
 }
 
-/// Starts a member that goes by the second version of a list of itself.
+/// Starts a member that uses the second version of a list that contains only itself.
 async fn member(folder: &Folder) -> (Arc<server::Member>, List, List) {
     let member = server::open(&folder.0, 500_000_000, 7, Clock::System)
         .await
@@ -73,10 +73,11 @@
     (member, first, second)
 }
 
-/// A VM joins the list. A caller that goes on from a kept turn just then, at a VM that hasn't heard
-/// of the change, is served as any other: the members tell the new list, and the VM asks again.
+/// A VM joins the list while a caller continues a stored turn at a VM that hasn't heard of the
+/// change. The caller is served as usual: the members return the new list, and the VM sends the
+/// request again.
 #[tokio::test]
-async fn a_changed_list_costs_no_caller_its_turn() {
+async fn requests_under_an_old_list_are_sent_again() {
     let folder = Folder(std::env::temp_dir().join(format!("replica-{}", std::process::id())));
     let (_member, first, second) = member(&folder).await;
     let writer = replicas();
@@ -92,29 +93,35 @@
     let reader = replicas();
     reader.adopt(first.clone());
     let Found::Part(links, None) = reader.chain(key).await.unwrap() else {
-        panic!("the turn isn't found");
+        panic!("the turn wasn't found");
     };
     assert_eq!(links[0].text, "one");
 
-    let payer = replicas();
-    payer.adopt(first);
-    let fact = Reservation {
+    let reserver = replicas();
+    reserver.adopt(first);
+    let reservation = Reservation {
         program: Key::of("p1"),
         turn: key,
         most: 50,
     };
-    assert_eq!(payer.reserve(fact, 60).await.unwrap(), Verdict::Fits);
+    assert_eq!(
+        reserver.reserve(reservation, 60).await.unwrap(),
+        Verdict::Fits
+    );
     let next = Reservation {
         turn: Key::of("t2"),
-        ..fact
+        ..reservation
     };
-    assert_eq!(payer.reserve(next, 60).await.unwrap(), Verdict::Spent(50));
+    assert_eq!(
+        reserver.reserve(next, 60).await.unwrap(),
+        Verdict::Spent(50)
+    );
 }
 
-/// The list has just changed and the members compare what they hold. A caller that goes on from a
-/// kept turn meanwhile waits some milliseconds instead of being refused.
+/// The list has just changed and the members compare what they hold. A caller that continues a
+/// stored turn in the meantime waits some milliseconds instead of being refused.
 #[tokio::test]
-async fn members_that_still_learn_cost_no_caller_its_turn() {
+async fn a_read_waits_for_members_that_catch_up() {
     let folder = Folder(std::env::temp_dir().join(format!("replica-l-{}", std::process::id())));
     let (member, _first, second) = member(&folder).await;
     let own = second.members[0].clone();
@@ -122,20 +129,20 @@
     member.adopt(&third).await.unwrap();
     let reader = replicas();
     reader.adopt(third.clone());
-    let learnt = tokio::spawn(async move {
+    let caught_up = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
         member.set_ready(third.version).await.unwrap();
     });
     assert_eq!(reader.chain(Key::of("never")).await.unwrap(), Found::Absent);
-    learnt.await.unwrap();
+    caught_up.await.unwrap();
 }
 
-/// The list changes while a member syncs a turn that was sent under the old one. Members that learn
-/// by the new list may have been told what it holds without the turn; if it counted all the same,
-/// a caller with the turn's end would be told later that there is no such turn. The sender hears of
-/// the new list instead and sends it again.
+/// The list changes while a member syncs a turn that was sent under the old list. Members that
+/// catch up with the new list may already have been told what this member holds, without the turn.
+/// If the write counted anyway, a caller that has the turn's answer would later be told that there
+/// is no such turn. So the sender gets the new list and sends the turn again.
 #[tokio::test]
-async fn a_turn_that_is_synced_while_the_list_changes_is_sent_again() {
+async fn a_write_synced_during_a_list_change_is_answered_with_the_new_list() {
     let folder = Folder(std::env::temp_dir().join(format!("replica-r-{}", std::process::id())));
     let (member, _first, second) = member(&folder).await;
     let turn = Turn {
@@ -158,10 +165,10 @@
     assert_eq!(answer.await, Answer::Newer(third));
 }
 
-/// The list has just changed and a member still learns. A caller that goes on from a turn which the
-/// member has is served at once: a turn never changes, so only an absence can't be told yet.
+/// The list has just changed and a member is still catching up. A turn that the member holds is
+/// returned at once: a turn never changes, so only an absence can't be told yet.
 #[tokio::test]
-async fn a_turn_that_is_there_is_told_while_a_member_learns() {
+async fn a_stored_turn_is_returned_while_a_member_catches_up() {
     let folder = Folder(std::env::temp_dir().join(format!("replica-t-{}", std::process::id())));
     let (member, _first, second) = member(&folder).await;
     let key = Key::of("t1");
@@ -175,9 +182,9 @@
     assert_eq!(written.await, Answer::Applied(Vec::new()));
     let third = second.with(&second.members[0].clone());
     member.adopt(&third).await.unwrap();
-    let told = member.answer(ask(third.version, Body::Chain(key))).await;
-    let Answer::Chain(chain) = told else {
-        panic!("{told:?}");
+    let answer = member.answer(ask(third.version, Body::Chain(key))).await;
+    let Answer::Chain(chain) = answer else {
+        panic!("{answer:?}");
     };
     assert_eq!(chain.turns.len(), 1);
     let absent = ask(third.version, Body::Chain(Key::of("never")));
