--- a/crates/replica/src/catch_up/tests.rs
+++ b/crates/replica/src/catch_up/tests.rs
@@ -45,7 +45,7 @@
 }
 
 impl Model {
-    fn new(members: u8, seed: u64) -> Self {
+    fn new(members: u8, random_state: u64) -> Self {
         let list = (0..members).fold(List::default(), |list, at| list.with(&member(at)));
         let empty = Replica {
             keys: Vec::new(),
@@ -59,7 +59,7 @@
             replicas: replicas.collect(),
             list,
             acknowledged: Vec::new(),
-            random_state: seed,
+            random_state,
         }
     }
 
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -120,7 +120,7 @@
         let identity = self.member.identity();
         let list = identity.list;
         if list.version > identity.ready && list.has_member(&self.own) {
-            self.catch_up(&list).await;
+            self.catch_up_with(&list).await;
             return;
         }
         let phase = *self.phase.borrow();
@@ -186,9 +186,7 @@
         state.revision = entry.revision;
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => self.adopt(&list).await,
-            Err(fault) => {
-                log::error!("text=\"the list of members can't be decoded\" fault=\"{fault}\"")
-            }
+            Err(fault) => log::error!("text=\"the list can't be decoded\" fault=\"{fault}\""),
         }
     }
 
@@ -279,7 +277,7 @@
     /// refuse requests under the previous list, the others are too few to store a turn or to be
     /// certain that one is absent, so nobody continues with the old list beside the new one. At
     /// least one member of every group must itself have caught up before.
-    async fn catch_up(&self, list: &List) {
+    async fn catch_up_with(&self, list: &List) {
         let started = self.clock.now();
         let mut answered = Vec::new();
         let mut caught_up = Vec::new();
--- a/crates/replica/src/server.rs
+++ b/crates/replica/src/server.rs
@@ -49,8 +49,8 @@
     disk: Disk,
     state: Mutex<State>,
     events: Mutex<mpsc::Receiver<SegmentEvent>>,
-    /// Cached for the list version that it was computed for.
-    gained: tokio::sync::Mutex<GainedKeys>,
+    /// Computed once for each version of the list.
+    gained_cache: tokio::sync::Mutex<GainedKeys>,
     clock: Clock,
     /// Accepted writes that aren't answered yet; closed when the process stops.
     writes: TaskTracker,
@@ -117,7 +117,7 @@
         disk: opened.disk,
         state: Mutex::new(state),
         events: Mutex::new(opened.events),
-        gained: tokio::sync::Mutex::default(),
+        gained_cache: tokio::sync::Mutex::default(),
         clock,
         writes: TaskTracker::new(),
         list_changed: Notify::new(),
--- a/crates/replica/src/server/gained.rs
+++ b/crates/replica/src/server/gained.rs
@@ -37,7 +37,7 @@
     pub(super) async fn gained(&self, vm: &str, losses: usize) -> Holdings {
         // The lock is held during the computation, so that members that ask at the same time share
         // the result.
-        let mut cached = self.gained.lock().await;
+        let mut cached = self.gained_cache.lock().await;
         let list = self.identity().list;
         if cached.version != list.version {
             *cached = self.compute_gained(&list, losses).await;
