--- a/crates/replica/src/index.rs
+++ b/crates/replica/src/index.rs
@@ -1,61 +1,62 @@
-//! Where each kept turn lies on a member's disk.
+//! Index of the turns stored on a member's disk.
 
 use std::collections::HashMap;
 
 use crate::record::Key;
 
-/// Where a frame lies.
+/// The location of a frame on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The segment's number.
     pub segment: u64,
-    /// The frame's place in it, in bytes.
+    /// The frame's offset in the segment, in bytes.
     pub offset: u64,
-    /// The frame's length.
+    /// The frame's length in bytes.
     pub length: u32,
 }
 
-/// A turn as the index knows it.
+/// A turn in the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Line {
-    /// The turn that it continued from.
+pub struct IndexEntry {
+    /// The turn that it continues.
     pub previous: Option<Key>,
-    /// Where it lies.
-    pub place: Place,
+    /// Where it is stored.
+    pub location: Location,
 }
 
-/// The turns of a member. A map, as tens of thousands come in no order of their keys.
+/// The turns of a member. It is a map because tens of thousands arrive in no order of their keys.
 #[derive(Debug, Default)]
 pub struct Index {
-    turns: HashMap<Key, Line>,
+    turns: HashMap<Key, IndexEntry>,
 }
 
 impl Index {
-    /// Notes a turn.
-    pub fn insert(&mut self, key: Key, line: Line) {
-        self.turns.insert(key, line);
+    /// Adds a turn.
+    pub fn insert(&mut self, key: Key, entry: IndexEntry) {
+        self.turns.insert(key, entry);
     }
 
     /// Finds a turn.
     #[must_use]
-    pub fn find(&self, key: Key) -> Option<Line> {
+    pub fn find(&self, key: Key) -> Option<IndexEntry> {
         self.turns.get(&key).copied()
     }
 
-    /// Counts the turns.
+    /// Returns the number of turns.
     #[must_use]
     pub fn count(&self) -> usize {
         self.turns.len()
     }
 
-    /// Yields all turns, for another member.
+    /// Returns the keys of all turns, for another member.
     #[must_use]
     pub fn keys(&self) -> Vec<Key> {
         self.turns.keys().copied().collect()
     }
 
-    /// Forgets the turns of a segment that was removed.
-    pub fn forget(&mut self, segment: u64) {
-        self.turns.retain(|_, line| line.place.segment != segment);
+    /// Removes the turns of a segment that was removed.
+    pub fn remove_segment(&mut self, segment: u64) {
+        self.turns
+            .retain(|_, entry| entry.location.segment != segment);
     }
 }
--- a/crates/replica/src/list.rs
+++ b/crates/replica/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of members, and which of them hold what.
+//! The list of members, and which members hold which keys.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -17,61 +17,63 @@
     pub vm: String,
     /// Its data centre.
     pub centre: String,
-    /// Where it answers.
+    /// The address at which it serves other VMs.
     pub address: SocketAddr,
-    /// Drawn when the disk was found empty, so a VM whose disk was lost is another member.
+    /// Random number drawn when the disk was found empty. A VM whose disk was lost is therefore a
+    /// different member.
     pub disk: u64,
 }
 
-/// The members, agreed in the platform's key-value service.
+/// The members, agreed on in the platform's key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Grows by one with each change.
+    /// Increases by one with each change.
     pub version: u64,
-    /// The members, in the order of their VMs' names.
+    /// The members, sorted by VM name.
     pub members: Vec<Member>,
-    /// The members of the version before, from whom the present ones learn what was acknowledged.
+    /// The members of the previous version. The present members copy what was acknowledged from
+    /// them.
     pub before: Vec<Member>,
 }
 
 impl List {
-    /// Finds a VM's place.
+    /// Finds a VM's entry.
     #[must_use]
     pub fn find(&self, vm: &str) -> Option<&Member> {
         self.members.iter().find(|member| member.vm == vm)
     }
 
-    /// Tells whether this disk of this VM is a member, at this address.
+    /// Tells whether this disk of this VM is a member at this address.
     #[must_use]
-    pub fn holds(&self, member: &Member) -> bool {
+    pub fn has_member(&self, member: &Member) -> bool {
         self.members.contains(member)
     }
 
-    /// Yields the members of the version before as a list.
+    /// Returns the members of the previous version as a list.
     #[must_use]
-    pub fn earlier(&self) -> Self {
+    pub fn previous(&self) -> Self {
         Self {
             members: self.before.clone(),
             ..Self::default()
         }
     }
 
-    /// Builds the next version, in which `member` takes the place of an earlier disk of its VM.
+    /// Builds the next version with `member` added. It replaces an earlier disk of the same VM.
     #[must_use]
     pub fn with(&self, member: &Member) -> Self {
-        let mut members = self.without_members(&member.vm);
+        let mut members = self.members_except(&member.vm);
         members.push(member.clone());
         members.sort_by(|a, b| a.vm.cmp(&b.vm));
         self.next(members)
     }
 
-    /// Builds the next version, without a VM.
+    /// Builds the next version without a VM.
     #[must_use]
     pub fn without(&self, vm: &str) -> Self {
-        self.next(self.without_members(vm))
+        self.next(self.members_except(vm))
     }
 
-    fn without_members(&self, vm: &str) -> Vec<Member> {
+    fn members_except(&self, vm: &str) -> Vec<Member> {
         let others = self.members.iter().filter(|member| member.vm != vm);
         others.cloned().collect()
     }
@@ -84,67 +86,70 @@
         }
     }
 
-    /// Yields the members that hold a key, so many that `losses` of them may be lost.
+    /// Returns the members that hold a key: enough of them that `losses` may be lost.
     ///
-    /// They are spread over the data centres also where few more members would make it simpler for
-    /// all to hold everything: with four members, two of them in one data centre, neither side of a
-    /// cut around that one has three of four.
+    /// They are spread over the data centres even if there are only a few more members than a group
+    /// needs, when it would be simpler for all to hold everything. With four members that hold
+    /// everything, two of them in one data centre, neither side of a partition around that data
+    /// centre has three of four.
     #[must_use]
     pub fn group(&self, key: Key, losses: usize) -> Vec<&Member> {
         let size = self.group_size(losses);
         let mut ranked: Vec<(u64, &Member)> = self
             .members
             .iter()
-            .map(|member| (weight(key, member), member))
+            .map(|member| (rendezvous_weight(key, member), member))
             .collect();
         ranked.sort_by_key(|(weight, _)| Reverse(*weight));
-        spread(&ranked, size)
+        spread_over_centres(&ranked, size)
     }
 
-    /// Yields how many members hold each key.
+    /// Returns how many members hold each key.
     #[must_use]
     pub fn group_size(&self, losses: usize) -> usize {
         (2 * losses + 1).min(self.members.len())
     }
 
-    /// Tells whether `some` of the members have at least `needed` of the group of every key.
+    /// Tells whether `subset` contains at least `needed` members of the group of every key.
     ///
-    /// Those that meet every majority leave the others too few for one: these can neither keep a
-    /// turn nor be certain that one is absent.
-    /// The bound is safe, not exact: no group has more members of a data centre than its even share
-    /// and what other data centres leave free.
+    /// Members that intersect every majority leave the others too few for one: those can neither
+    /// store a turn nor be certain that one is absent.
+    ///
+    /// The bound is conservative, not exact: no group has more members of a data centre than its
+    /// even share plus what the other data centres leave free.
     #[must_use]
-    pub fn covers(&self, some: &[&Member], losses: usize, needed: usize) -> bool {
+    pub fn covers(&self, subset: &[&Member], losses: usize, needed: usize) -> bool {
         let size = self.group_size(losses);
         let mut centres: Vec<(&str, usize, usize)> = Vec::new();
         for member in &self.members {
-            let missing = usize::from(!some.contains(&member));
-            match centres.iter_mut().find(|line| line.0 == member.centre) {
-                Some(line) => {
-                    line.1 += 1;
-                    line.2 += missing;
+            let missing = usize::from(!subset.contains(&member));
+            match centres.iter_mut().find(|entry| entry.0 == member.centre) {
+                Some(entry) => {
+                    entry.1 += 1;
+                    entry.2 += missing;
                 }
                 None => centres.push((&member.centre, 1, missing)),
             }
         }
-        let cap = deepest(&centres, size);
-        let lost: usize = centres.iter().map(|line| line.2.min(cap)).sum();
+        let max_in_centre = max_per_centre(&centres, size);
+        let lost: usize = centres.iter().map(|entry| entry.2.min(max_in_centre)).sum();
         size.saturating_sub(lost) >= needed
     }
 }
 
-/// Yields the most members of one data centre that a group of this size has: the round in which
-/// [`spread`] has taken enough.
-fn deepest(centres: &[(&str, usize, usize)], size: usize) -> usize {
-    let taken = |rounds: usize| -> usize { centres.iter().map(|line| line.1.min(rounds)).sum() };
+/// Returns the most members of one data centre in a group of this size: the round in which
+/// [`spread_over_centres`] has taken enough. `centres` holds each data centre's name, how many
+/// members it has and how many of them are missing.
+fn max_per_centre(centres: &[(&str, usize, usize)], size: usize) -> usize {
+    let taken = |rounds: usize| -> usize { centres.iter().map(|entry| entry.1.min(rounds)).sum() };
     (1..=size)
         .find(|rounds| taken(*rounds) >= size)
         .unwrap_or(size)
 }
 
-/// Takes the first of each data centre before a second of any, so that a lost data centre takes as
-/// few copies as can be.
-fn spread<'a>(ranked: &[(u64, &'a Member)], size: usize) -> Vec<&'a Member> {
+/// Takes the first member of each data centre before a second of any, so that a lost data centre
+/// costs as few copies as possible.
+fn spread_over_centres<'a>(ranked: &[(u64, &'a Member)], size: usize) -> Vec<&'a Member> {
     let mut taken: Vec<&Member> = Vec::with_capacity(size);
     let mut used = vec![false; ranked.len()];
     for rounds in 1..=size {
@@ -162,26 +167,26 @@
     taken
 }
 
-/// The longest VM name that is ranked without an allocation: a group is worked out for each of some
+/// The longest VM name that is ranked without an allocation. A group is computed for each of about
 /// ten thousand keys when the list changes.
-const USUAL_NAME: usize = 112;
+const STACK_NAME_BYTES: usize = 112;
 
-/// Ranks a member for a key by rendezvous hashing: a change of the list moves few keys.
-fn weight(key: Key, member: &Member) -> u64 {
+/// Ranks a member for a key by rendezvous hashing, so that a change of the list moves few keys.
+fn rendezvous_weight(key: Key, member: &Member) -> u64 {
     let name = member.vm.as_bytes();
     let key = key.0.to_le_bytes();
-    if name.len() > USUAL_NAME {
+    if name.len() > STACK_NAME_BYTES {
         return xxh3_64(&[name, key.as_slice()].concat());
     }
-    let mut text = [0; USUAL_NAME + 16];
+    let mut buffer = [0; STACK_NAME_BYTES + 16];
     let end = name.len() + key.len();
-    text[..name.len()].copy_from_slice(name);
-    text[name.len()..end].copy_from_slice(&key);
-    xxh3_64(&text[..end])
+    buffer[..name.len()].copy_from_slice(name);
+    buffer[name.len()..end].copy_from_slice(&key);
+    xxh3_64(&buffer[..end])
 }
 
-/// Logs that a list is in force after the one of version `before`.
-pub fn log_in_force(list: &List, before: u64) {
+/// Logs that a list has replaced the one of version `before`.
+pub fn log_list_change(list: &List, before: u64) {
     log::info!(
         "event=E{} text=\"{}\" version={} before={before} members={}",
         Event::MembersChanged.number(),
@@ -191,15 +196,15 @@
     );
 }
 
-/// Yields how many of a group make a majority.
+/// Returns how many members of a group make a majority.
 #[must_use]
 pub const fn majority(group: usize) -> usize {
     group / 2 + 1
 }
 
-/// Yields how many of a group meet every majority of it.
+/// Returns how many members of a group it takes to intersect every majority of it.
 #[must_use]
-pub const fn meeting(group: usize) -> usize {
+pub const fn blocking_size(group: usize) -> usize {
     group.div_ceil(2)
 }
 
--- a/crates/replica/src/list/tests.rs
+++ b/crates/replica/src/list/tests.rs
@@ -7,8 +7,8 @@
 
 use super::List;
 use super::Member;
+use super::blocking_size;
 use super::majority;
-use super::meeting;
 use crate::record::Key;
 
 fn member(number: usize, centre: &str) -> Member {
@@ -35,30 +35,30 @@
 }
 
 proptest! {
-    /// A caller's turn was answered whole under a new list, and the next one is told that there is
-    /// no such turn. The members on the other side of a cut never learnt of the new list; they are
-    /// enough to say "absent" under the old one. So an absence takes a majority, and the members
-    /// that a new list waits for must leave the others too few of every group for one.
+    /// Members on the other side of a partition may never have heard of a new list. If enough of
+    /// them could say "absent" under the old list, a caller would be told that a turn doesn't exist
+    /// which was answered under the new one. So an absence takes a majority, and the members that a
+    /// new list waits for must leave the others too few for a majority of any group.
     #[test]
-    fn those_not_heard_can_do_nothing_alone(
+    fn members_outside_a_covering_subset_have_no_majority(
         list in lists(),
-        heard in prop::collection::vec(any::<bool>(), 9),
+        included in prop::collection::vec(any::<bool>(), 9),
         key in any::<u128>(),
         losses in 1_usize..3,
     ) {
-        let some: Vec<&Member> = list.members.iter().zip(&heard).filter(|(_, heard)| **heard).map(|(member, _)| member).collect();
+        let subset: Vec<&Member> = list.members.iter().zip(&included).filter(|(_, included)| **included).map(|(member, _)| member).collect();
         let group = list.group(Key(key), losses);
-        let needed = meeting(list.group_size(losses));
-        if list.covers(&some, losses, needed) {
-            let others = group.iter().filter(|member| !some.contains(member)).count();
+        let needed = blocking_size(list.group_size(losses));
+        if list.covers(&subset, losses, needed) {
+            let others = group.iter().filter(|member| !subset.contains(member)).count();
             prop_assert!(others < majority(group.len()), "{others} of {}", group.len());
         }
     }
 
     #[test]
-    fn a_majority_is_met(group in 1_usize..20) {
-        prop_assert!(majority(group) + meeting(group) > group);
-        prop_assert!(meeting(group) <= majority(group));
+    fn blocking_size_intersects_every_majority(group in 1_usize..20) {
+        prop_assert!(majority(group) + blocking_size(group) > group);
+        prop_assert!(blocking_size(group) <= majority(group));
     }
 }
 
@@ -68,12 +68,12 @@
 #[case(&["a", "a", "b", "b", "c", "c"], "b")]
 fn a_lost_data_centre_leaves_a_majority(#[case] centres: &[&str], #[case] lost: &str) {
     let list = list(centres);
-    let some: Vec<&Member> = list
+    let subset: Vec<&Member> = list
         .members
         .iter()
         .filter(|member| member.centre != lost)
         .collect();
-    assert!(list.covers(&some, 1, majority(list.group_size(1))));
+    assert!(list.covers(&subset, 1, majority(list.group_size(1))));
     for key in 0..100 {
         let group = list.group(Key(key), 1);
         let left = group.iter().filter(|member| member.centre != lost);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_change_of_the_list_remembers_the_members_before() {
+fn a_changed_list_holds_the_previous_members() {
     let first = list(&["a", "b", "c"]);
     let wiped = Member {
         disk: 77,
@@ -92,6 +92,6 @@
     assert_eq!(next.version, 2);
     assert_eq!(next.before, first.members);
     assert_eq!(next.members.len(), 3);
-    assert!(next.holds(&wiped));
+    assert!(next.has_member(&wiped));
     assert!(!next.without("vm-01").members.contains(&wiped));
 }
