--- a/crates/relay/src/account.rs
+++ b/crates/relay/src/account.rs
@@ -14,9 +14,9 @@
 use wire::event::Event;
 
 use crate::job::Job;
+use crate::member_health;
 use crate::metrics::Counter;
 use crate::node::Node;
-use crate::records;
 use crate::work;
 
 /// How long after a refusal for want of tokens the account is looked at once more: two turns that
@@ -54,7 +54,9 @@
     let Some(account) = account else {
         return Ok(());
     };
-    job.node.wait_at_start(Node::has_records, job.until).await;
+    job.node
+        .wait_at_start(Node::can_serve_turns, job.until)
+        .await;
     reachable(job)?;
     let fact = Reservation {
         program: account.program,
@@ -70,7 +72,7 @@
         let verdict = match reserved.await {
             Ok(Ok(verdict)) => verdict,
             Ok(Err(fault)) => {
-                let _late = timeout_at(job.until, records::doubt(&job.node, &fault)).await;
+                let _late = timeout_at(job.until, member_health::suspect(&job.node, &fault)).await;
                 let refusal = Refusal::new(Code::RecordsUnreachable, &fault.to_string());
                 return Err(refusal.retry_after(retry(job)));
             }
@@ -92,7 +94,7 @@
 /// Refuses at once what is known to need VMs that can't be reached: waiting for them would only
 /// cost the client the time in which another VM could serve it.
 fn reachable(job: &Job) -> Result<(), Refusal> {
-    if job.node.has_records() {
+    if job.node.can_serve_turns() {
         return Ok(());
     }
     let refusal = Refusal::new(Code::RecordsUnreachable, "known before the turn came");
@@ -101,7 +103,7 @@
 
 fn retry(job: &Job) -> Millis {
     let now = job.node.clock.now();
-    job.node.records().retry(now)
+    job.node.member_health().retry_after(now)
 }
 
 /// Yields the tokens of so many events.
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -23,11 +23,11 @@
 use crate::exchange;
 use crate::fleet;
 use crate::follow;
+use crate::member_health;
+use crate::member_health::Check;
 use crate::node::Node;
 use crate::probe;
 use crate::reach;
-use crate::records;
-use crate::records::Look;
 use crate::register;
 use crate::subject::Subject;
 
@@ -182,9 +182,9 @@
 /// Asks the members with a disk whether enough of them answer.
 async fn ping(node: Arc<Node>) {
     loop {
-        let pause = match records::look(&node).await {
-            Look::Enough => PING,
-            Look::TooFew => PING_SOON,
+        let pause = match member_health::check(&node).await {
+            Check::Enough => PING,
+            Check::TooFew => PING_SOON,
         };
         sleep(pause).await;
     }
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -9,8 +9,8 @@
 use wire::code::Code;
 use wire::code::Refusal;
 
+use crate::member_health;
 use crate::node::Node;
-use crate::records;
 
 /// When a turn whose history couldn't be read may come again: about the time in which a VM with a
 /// disk restarts or a cut is noticed, and short beside a program's time.
@@ -51,7 +51,7 @@
             Err(fault) => {
                 // The next turns are refused at once where the members are lost, and the log names
                 // them before it has this refusal.
-                records::doubt(node, &fault).await;
+                member_health::suspect(node, &fault).await;
                 let refusal = Refusal::new(Code::RecordsUnreachable, &fault.to_string());
                 return Err(refusal.retry_after(RETRY));
             }
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/member_health.rs
@@ -38,7 +38,7 @@
 
 /// What one look at the members found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Check {
     /// Enough of them answer for every key.
     Enough,
     /// They don't.
@@ -46,28 +46,28 @@
 }
 
 /// Looks whether enough members answer, and tells the log where that is news.
-pub async fn look(node: &Node) -> Look {
+pub async fn check(node: &Node) -> Check {
     let reach = node.replicas.reachable(PATIENCE).await;
-    let look = if reach.enough {
-        Look::Enough
+    let check = if reach.enough {
+        Check::Enough
     } else {
-        Look::TooFew
+        Check::TooFew
     };
-    let news = node.records().note(look, node.clock.now());
-    match look {
-        Look::Enough if news => log_reach(Event::MembersRegained, &reach),
-        Look::TooFew if reach.members > 0 && node.records().is_to_name() => {
+    let news = node.member_health().record_check(check, node.clock.now());
+    match check {
+        Check::Enough if news => log_reach(Event::MembersRegained, &reach),
+        Check::TooFew if reach.members > 0 && node.member_health().is_to_name() => {
             log_reach(Event::MembersLost, &reach);
         }
-        Look::Enough | Look::TooFew => {}
+        Check::Enough | Check::TooFew => {}
     }
-    look
+    check
 }
 
 /// Notes that a turn found too few members, and returns when a look has settled whether they are lost:
 /// one look for all turns that have the doubt at the time.
-pub async fn doubt(node: &Node, fault: &Fault) {
-    let lost = node.records().doubt(node.clock.now());
+pub async fn suspect(node: &Node, fault: &Fault) {
+    let lost = node.member_health().suspect(node.clock.now());
     if lost {
         log::warn!(
             "event=E{} text=\"{}\" why=\"a turn's tokens could not be set aside: {fault}\"",
@@ -76,9 +76,9 @@
         );
         return;
     }
-    let _one = node.settling.lock().await;
-    if node.records().is_doubted() {
-        look(node).await;
+    let _one = node.suspicion_check.lock().await;
+    if node.member_health().is_suspected() {
+        check(node).await;
     }
 }
 
@@ -117,7 +117,7 @@
 
 /// What the looks at the members found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Records {
+pub struct MemberHealth {
     service: Service,
     /// Looks that failed since the last one that didn't.
     failed: u32,
@@ -129,18 +129,18 @@
     since: Millis,
 }
 
-impl Records {
+impl MemberHealth {
     /// Notes what a look found; tells whether turns are served from now on where they weren't, or
     /// the other way round.
-    pub fn note(&mut self, look: Look, now: Millis) -> bool {
-        match look {
-            Look::Enough => {
+    pub fn record_check(&mut self, check: Check, now: Millis) -> bool {
+        match check {
+            Check::Enough => {
                 self.failed = 0;
                 self.doubted = false;
                 self.named = false;
                 std::mem::replace(&mut self.service, Service::Served) != Service::Served
             }
-            Look::TooFew => {
+            Check::TooFew => {
                 self.note_since(now);
                 let doubts = u32::from(std::mem::take(&mut self.doubted));
                 self.failed = self.failed.saturating_add(1 + doubts);
@@ -151,7 +151,7 @@
 
     /// Notes that a turn found too few members; tells whether turns are refused from now on where
     /// they were served.
-    pub fn doubt(&mut self, now: Millis) -> bool {
+    pub fn suspect(&mut self, now: Millis) -> bool {
         self.note_since(now);
         self.doubted = true;
         self.judge()
@@ -159,13 +159,13 @@
 
     /// Tells whether a turn has found too few members since the last look.
     #[must_use]
-    pub const fn is_doubted(&self) -> bool {
+    pub const fn is_suspected(&self) -> bool {
         self.doubted
     }
 
     /// Tells once whether the members are lost and the log lacks their names.
     fn is_to_name(&mut self) -> bool {
-        !self.serves() && !std::mem::replace(&mut self.named, true)
+        !self.serves_turns() && !std::mem::replace(&mut self.named, true)
     }
 
     fn note_since(&mut self, now: Millis) {
@@ -176,7 +176,7 @@
 
     fn judge(&mut self) -> bool {
         let looks = self.failed.saturating_add(u32::from(self.doubted));
-        let lost = looks >= LOST_AFTER && self.serves();
+        let lost = looks >= LOST_AFTER && self.serves_turns();
         if lost {
             self.service = Service::Lost;
         }
@@ -185,20 +185,20 @@
 
     /// Tells whether turns are served.
     #[must_use]
-    pub const fn serves(&self) -> bool {
+    pub const fn serves_turns(&self) -> bool {
         matches!(self.service, Service::Served)
     }
 
     /// Tells whether turns aren't served, and haven't been for longer than a restart takes.
     #[must_use]
     pub fn is_outage(&self, now: Millis) -> bool {
-        !self.serves() && now.since(self.since) > RESTART
+        !self.serves_turns() && now.since(self.since) > RESTART
     }
 
     /// Tells whether the balancer should send turns here.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
-        self.serves() && self.failed == 0 && !self.doubted
+        self.serves_turns() && self.failed == 0 && !self.doubted
     }
 
     /// Yields when a turn that is refused may come again: when the balancer is expected to send it
@@ -206,7 +206,7 @@
     /// VM that has just started needs some milliseconds more, not another VM, and neither does one
     /// whose members answer but are slow.
     #[must_use]
-    pub fn retry(&self, now: Millis) -> Millis {
+    pub fn retry_after(&self, now: Millis) -> Millis {
         if self.service == Service::Starting || self.is_ready() {
             return RETRY;
         }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -21,9 +21,9 @@
 use wire::clock::Millis;
 
 use crate::fleet::Fleet;
+use crate::member_health::MemberHealth;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::records::Records;
 use crate::roster::Roster;
 use crate::subject;
 use crate::subject::Source;
@@ -91,9 +91,9 @@
     /// Set once the process stops.
     stop: watch::Sender<Option<Stop>>,
     /// Whether enough VMs with a disk answer.
-    records: Mutex<Records>,
+    member_health: Mutex<MemberHealth>,
     /// Held while a doubt of that is settled.
-    pub settling: tokio::sync::Mutex<()>,
+    pub suspicion_check: tokio::sync::Mutex<()>,
     /// When the runners' list was last known to be current.
     runners_at: AtomicU64,
     /// When the configuration in force was last known to be current.
@@ -134,8 +134,8 @@
             fleet: Mutex::default(),
             roster: Mutex::default(),
             stop: watch::Sender::default(),
-            records: Mutex::default(),
-            settling: tokio::sync::Mutex::default(),
+            member_health: Mutex::default(),
+            suspicion_check: tokio::sync::Mutex::default(),
             runners_at: AtomicU64::new(0),
             config_at: AtomicU64::new(0),
             work: Arc::default(),
@@ -229,14 +229,16 @@
     }
 
     /// Yields whether enough VMs with a disk answer.
-    pub fn records(&self) -> MutexGuard<'_, Records> {
-        self.records.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn member_health(&self) -> MutexGuard<'_, MemberHealth> {
+        self.member_health
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tells whether turns can be served, as far as the VMs with a disk go.
     #[must_use]
-    pub fn has_records(&self) -> bool {
-        self.records().serves()
+    pub fn can_serve_turns(&self) -> bool {
+        self.member_health().serves_turns()
     }
 
     /// Notes that the runners' list is current.
@@ -301,6 +303,6 @@
         if !self.can_route() || self.stop().is_some() {
             return false;
         }
-        !table.has_streams() || self.records().is_ready()
+        !table.has_streams() || self.member_health().is_ready()
     }
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -504,7 +504,7 @@
             ),
             Err(_) => return false,
         }
-        if job.node.records().is_outage(job.node.clock.now()) {
+        if job.node.member_health().is_outage(job.node.clock.now()) {
             // The cut or outage lasts, so it is no restart of two members: the client comes again
             // sooner where the stream breaks off now than where it waits for an end that doesn't come.
             return false;
--- a/crates/relay/tests/keeping.rs
+++ b/crates/relay/tests/keeping.rs
@@ -8,8 +8,8 @@
 use adapter::settings;
 use http_body_util::BodyExt;
 use hyper::StatusCode;
+use relay::member_health::Check;
 use relay::node::Node;
-use relay::records::Look;
 use relay::stream;
 use relay::work::Kind;
 use tokio::io::AsyncReadExt;
@@ -51,10 +51,10 @@
     );
     let entry = support::entry(runner().await);
     node.fleet().set("i-1", entry, 0);
-    for look in [Look::Enough, Look::TooFew, Look::TooFew] {
-        node.records().note(look, node.clock.now());
+    for look in [Check::Enough, Check::TooFew, Check::TooFew] {
+        node.member_health().record_check(look, node.clock.now());
     }
-    assert!(!node.has_records());
+    assert!(!node.can_serve_turns());
     let lost = Instant::now();
     let table = support::table("stream", r#","retain":true"#);
     let job = support::job(&node, &table, "q-1");
--- a/crates/relay/tests/lost.rs
+++ b/crates/relay/tests/lost.rs
@@ -7,9 +7,9 @@
 use log::Log;
 use log::Metadata;
 use log::Record;
+use relay::member_health;
+use relay::member_health::Check;
 use relay::node::Node;
-use relay::records;
-use relay::records::Look;
 use replica::client::Fault;
 use wire::clock::Clock;
 use wire::event::Event;
@@ -43,9 +43,9 @@
         Clock::System,
     );
     let now = node.clock.now();
-    assert!(node.records().note(Look::Enough, now));
-    assert!(!node.records().note(Look::TooFew, now));
-    records::doubt(&node, &Fault::Learning).await;
+    assert!(node.member_health().record_check(Check::Enough, now));
+    assert!(!node.member_health().record_check(Check::TooFew, now));
+    member_health::suspect(&node, &Fault::Learning).await;
     let lines = LINES.0.lock().unwrap();
     let event = format!("event=E{} ", Event::MembersLost.number());
     let told: Vec<&String> = lines.iter().filter(|line| line.contains(&event)).collect();
