--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -29,7 +29,7 @@
 
 /// Renders an answer of a runner as it came.
 #[must_use]
-pub fn passed_on(status: StatusCode, headers: &HeaderMap, body: Body) -> Response<Body> {
+pub fn forwarded(status: StatusCode, headers: &HeaderMap, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = header::end_to_end(headers);
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -133,7 +133,7 @@
         route,
         until,
     } = routed;
-    let service = table::draw(&route, rand::rng().random::<f64>());
+    let service = table::pick_service(&route, rand::rng().random::<f64>());
     let service = service.ok_or_else(|| Refusal::new(Code::NoEndpoint, "no service"))?;
     let parts = call.parts.iter();
     let prompt = parts.map(|part| prefix::Part {
@@ -188,7 +188,7 @@
     node.wait_at_start(Node::can_route, arrived + patience.as_duration())
         .await;
     let table = node.table();
-    if !table.known {
+    if !table.loaded {
         let refusal = Refusal::new(Code::NoConfiguration, "");
         return Err(refusal.retry_after(refuse::RETRY));
     }
--- a/crates/relay/src/exchange/hear.rs
+++ b/crates/relay/src/exchange/hear.rs
@@ -7,10 +7,10 @@
 
 use crate::exchange::tell::Message;
 use crate::fleet;
+use crate::ingest;
 use crate::node::Node;
 use crate::peers::Told;
 use crate::roster::Roster;
-use crate::take;
 
 /// Takes a message in.
 pub fn message(node: &Arc<Node>, told: Message) {
@@ -23,7 +23,7 @@
     node.peers().hear(&told.vm, of_itself, now);
     node.fleet().hear(&told.origin, &told.tallies, now);
     if let Some(document) = &told.document {
-        take::document(node, document);
+        ingest::document(node, document);
     }
     if let Some(entries) = told.entries {
         take_over(node, &told.vm, entries);
@@ -40,11 +40,11 @@
         return;
     }
     let listed: Vec<String> = entries.entries.iter().map(|(id, _)| id.clone()).collect();
-    take::drop_missing(node, &listed, &format!("heard_from={vm}"));
+    ingest::drop_missing(node, &listed, &format!("heard_from={vm}"));
     for (id, bytes) in &entries.entries {
         if let Some(entry) = runner::decode(bytes) {
             let line = format!("runner={id} service={} heard_from={vm}", entry.service);
-            let change = take::set_runner(node, id, entry);
+            let change = ingest::set_runner(node, id, entry);
             fleet::log_change(&change, &line);
         }
     }
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -9,11 +9,11 @@
 use platform::edge;
 
 use crate::follow::away::Away;
+use crate::ingest;
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::subject::Source;
 use crate::subject::Subject;
-use crate::take;
 
 /// The pause between two watches of the runners. Their entries change at each heartbeat, so that a
 /// watch returns at once; the pause gathers changes, and keeps a leaving runner from being used
@@ -111,7 +111,7 @@
             Ok(listing) => {
                 self.answered(node);
                 let revision = listing.revision;
-                take::listing(node, self.subject, listing);
+                ingest::listing(node, self.subject, listing);
                 match source {
                     Source::Copy => own_pause(node) + self.away.pause(self.subject, node),
                     Source::Store | Source::Peers => {
@@ -137,7 +137,7 @@
                 self.answered(node);
                 self.phase = Phase::Watched(next.max(revision));
                 for change in changes {
-                    take::change(node, self.subject, change);
+                    ingest::change(node, self.subject, change);
                 }
                 self.pause_between(node)
             }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -41,7 +41,7 @@
 /// a restart of all VMs the clients' next tries come within some hundred milliseconds.
 const PING_SOON: Duration = Duration::from_millis(50);
 /// How often connections, runners and entries are looked over.
-pub const SWEEP: Duration = Duration::from_millis(250);
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why the process can't run.
 #[derive(Debug, Display, Error, From)]
@@ -67,7 +67,7 @@
 ///
 /// Fails where the settings can't be used or a listener can't be bound.
 pub async fn run(settings: Settings, metrics: u16) -> Result<()> {
-    run_until(settings, metrics, stopped()).await
+    run_until(settings, metrics, stop_signal()).await
 }
 
 /// Runs the process until `stop` ends, and then lets running requests end.
@@ -152,7 +152,7 @@
 /// # Errors
 ///
 /// Fails where the signals can't be caught.
-pub async fn stopped() -> Result<()> {
+pub async fn stop_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
@@ -193,7 +193,7 @@
 /// Looks over connections and runners.
 async fn sweep(node: Arc<Node>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         node.runners.sweep();
         node.vms.sweep();
         let now = node.clock.now();
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/ingest.rs
@@ -110,7 +110,8 @@
     let before = node.table().version;
     if node.set_table(Table::new(config, bytes)) {
         let table = node.table();
-        node.fleet().learn_memory(|service| table.memory(service));
+        node.fleet()
+            .learn_memory(|service| table.memory_tokens(service));
         log::info!(
             "event=E{} text=\"{}\" revision={version} before={before} routes={routes}",
             Event::RevisionApplied.number(),
@@ -152,7 +153,7 @@
 
 /// Takes a runner's entry in, wherever it came from.
 pub fn set_runner(node: &Arc<Node>, id: &str, entry: runner::Entry) -> fleet::Change {
-    let memory = node.table().memory(&entry.service);
+    let memory = node.table().memory_tokens(&entry.service);
     node.fleet().set(id, entry, memory)
 }
 
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -156,7 +156,7 @@
     /// Puts a configuration in force, unless a newer one is.
     pub fn set_table(&self, table: Table) -> bool {
         let mut own = self.table.lock().unwrap_or_else(PoisonError::into_inner);
-        if own.known && table.version <= own.version {
+        if own.loaded && table.version <= own.version {
             return false;
         }
         *own = Arc::new(table);
@@ -198,7 +198,7 @@
     /// Tells whether a configuration and runners are known.
     #[must_use]
     pub fn can_route(&self) -> bool {
-        self.table().known && !self.fleet().runners().is_empty()
+        self.table().loaded && !self.fleet().runners().is_empty()
     }
 
     /// Notes that the process stops from now on, and yields how.
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -179,7 +179,7 @@
     job.note_wait(&attempt);
     job.node.metrics.time(Span::Whole, job.age());
     job.log_answered(&attempt.runner.id, head.status.as_u16(), 0, None);
-    Ok(answer::passed_on(
+    Ok(answer::forwarded(
         head.status,
         &head.headers,
         Body::whole(body),
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -110,7 +110,7 @@
     };
     tokio::spawn(driver.run());
     tokio::spawn(retire(kv, settings.vm.clone(), phase, phases));
-    front::stopped().await?;
+    front::stop_signal().await?;
     log::info!(
         "event=E{} text=\"{}\"",
         Event::NodeStopping.number(),
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -228,7 +228,7 @@
 ) {
     let (sender, receiver) = mpsc::channel(DEPTH);
     let status = reply.head.status;
-    let response = answer::passed_on(status, &reply.head.headers, Body::Parts(receiver));
+    let response = answer::forwarded(status, &reply.head.headers, Body::Parts(receiver));
     let mut response = response;
     // The end is the system's to send, so the length isn't the runner's to announce.
     response.headers_mut().remove(hyper::header::CONTENT_LENGTH);
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -13,7 +13,7 @@
     /// The version.
     pub version: u64,
     /// Whether a configuration has been read at all.
-    pub known: bool,
+    pub loaded: bool,
     /// How long a client's connection may stay idle, in milliseconds.
     pub idle_ms: u64,
     /// The largest body in bytes.
@@ -36,7 +36,7 @@
         services.sort_by(|a, b| a.name.cmp(&b.name));
         Self {
             version: config.version,
-            known: true,
+            loaded: true,
             idle_ms: config.idle.as_u64(),
             body_bytes: config.body_bytes,
             document: document.to_vec(),
@@ -76,7 +76,7 @@
     /// Yields how much memory a service's engines have, in tokens; 0 for plain services and unknown
     /// ones.
     #[must_use]
-    pub fn memory(&self, service: &str) -> u64 {
+    pub fn memory_tokens(&self, service: &str) -> u64 {
         let engine = self.engine(service);
         engine.map_or(0, |engine| engine.memory_tokens)
     }
@@ -94,11 +94,11 @@
     }
 }
 
-/// Draws a route's service for a request by the services' weights; `draw` is in [0, 1).
+/// Draws a route's service for a request by the services' weights; `sample` is in [0, 1).
 #[must_use]
-pub fn draw(route: &Route, draw: f64) -> Option<&str> {
+pub fn pick_service(route: &Route, sample: f64) -> Option<&str> {
     let total: u32 = route.services.iter().map(|share| share.weight).sum();
-    let mut left = draw * f64::from(total);
+    let mut left = sample * f64::from(total);
     for share in &route.services {
         left -= f64::from(share.weight);
         if left < 0.0 {
--- a/crates/relay/src/table/tests.rs
+++ b/crates/relay/src/table/tests.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 
 use super::Table;
-use super::draw;
+use super::pick_service;
 
 const DOCUMENT: &str = r#"{"version":3,"services":[],"routes":[
  {"name":"short","host":"h","prefix":"/a/","kind":"idempotent","timeoutMs":1,"sloMs":1,"priority":0,"service":"s"},
@@ -38,5 +38,5 @@
 fn a_split_follows_its_weights(#[case] drawn: f64, #[case] wanted: &str) {
     let table = table();
     let route = table.find("h", "/a/b/c").unwrap();
-    assert_eq!(draw(route, drawn), Some(wanted));
+    assert_eq!(pick_service(route, drawn), Some(wanted));
 }
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -9,7 +9,7 @@
 /// Turns at hand, the oldest dropped first. A map, as turns come in no order of their keys.
 #[derive(Debug, Default)]
 pub struct Cache {
-    turns: HashMap<Key, Kept>,
+    turns: HashMap<Key, CachedTurn>,
     order: VecDeque<Key>,
     bytes: usize,
     room: usize,
@@ -17,7 +17,7 @@
 
 /// A turn at hand.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct CachedTurn {
     /// Its input and output.
     pub text: Bytes,
     /// The turn that it continued from.
@@ -40,7 +40,7 @@
             return;
         }
         self.bytes += text.len();
-        self.turns.insert(key, Kept { text, previous });
+        self.turns.insert(key, CachedTurn { text, previous });
         self.order.push_back(key);
         while self.bytes > self.room {
             let Some(oldest) = self.order.pop_front() else {
@@ -54,7 +54,7 @@
 
     /// Finds a turn.
     #[must_use]
-    pub fn find(&self, key: Key) -> Option<Kept> {
+    pub fn find(&self, key: Key) -> Option<CachedTurn> {
         self.turns.get(&key).cloned()
     }
 }
--- a/crates/relay/tests/fleet_model/play.rs
+++ b/crates/relay/tests/fleet_model/play.rs
@@ -88,7 +88,11 @@
             Step::Sweep => {
                 let node = &self.process(vm).node;
                 let _gone = node.fleet().sweep(node.clock.now());
-                self.later(vm, Millis::from(front::SWEEP).as_u64(), Step::Sweep);
+                self.later(
+                    vm,
+                    Millis::from(front::SWEEP_INTERVAL).as_u64(),
+                    Step::Sweep,
+                );
             }
             Step::Load => self.change_load(vm),
         }
