--- a/crates/relay/src/account.rs
+++ b/crates/relay/src/account.rs
@@ -1,4 +1,5 @@
-//! A turn's account: tokens set aside before it runs, and what of them it used.
+//! Token accounting for a turn: tokens are reserved before it runs, and settled to what it used
+//! afterwards.
 
 use std::time::Duration;
 
@@ -19,64 +20,68 @@
 use crate::node::Node;
 use crate::work;
 
-/// How long after a refusal for want of tokens the account is looked at once more: two turns that
-/// start at the same time each see the other's reservation, and a turn that has just ended is
-/// settled within this time.
-const SECOND_LOOK: Duration = Duration::from_millis(30);
+/// How long after a refusal for lack of tokens the reservation is tried once more. Two turns that
+/// start at the same time see each other's reservation, and a turn that has just ended is settled
+/// within this time.
+const RECHECK_DELAY: Duration = Duration::from_millis(30);
 
-/// A turn's account of tokens.
+/// The token account of a turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Account {
     program: Key,
     turn: Key,
-    most: u32,
+    max_tokens: u32,
     budget: u64,
 }
 
-/// Yields the account of a turn whose program has a budget.
+/// Returns the account of a turn; `None` if its program has no budget.
 #[must_use]
 pub fn of(job: &Job) -> Option<Account> {
     let program = job.call.program.as_ref()?;
     Some(Account {
         program: Key::of(program),
         turn: Key::of(&job.call.id),
-        most: u32::try_from(job.call.most_tokens).unwrap_or(u32::MAX),
+        max_tokens: u32::try_from(job.call.most_tokens).unwrap_or(u32::MAX),
         budget: job.call.budget?,
     })
 }
 
-/// Sets the most that the turn can use aside.
+/// Reserves the most tokens that the turn can use.
 ///
 /// # Errors
 ///
-/// Refuses where the budget doesn't hold it, or where that can't be told.
+/// Refuses if the budget doesn't cover them, or if this can't be determined.
 pub async fn reserve(job: &Job, account: Option<Account>) -> Result<(), Refusal> {
     let Some(account) = account else {
         return Ok(());
     };
     job.node
-        .wait_at_start(Node::can_serve_turns, job.until)
+        .wait_at_start(Node::can_serve_turns, job.deadline)
         .await;
-    reachable(job)?;
-    let fact = Reservation {
+    check_reachable(job)?;
+    let reservation = Reservation {
         program: account.program,
         turn: account.turn,
-        most: account.most,
+        most: account.max_tokens,
     };
     let mut spent = 0;
-    for look in 0..2 {
-        if look > 0 {
-            sleep(SECOND_LOOK).await;
+    for round in 0..2 {
+        if round > 0 {
+            sleep(RECHECK_DELAY).await;
         }
-        let reserved = timeout_at(job.until, job.node.replicas.reserve(fact, account.budget));
+        let reserved = timeout_at(
+            job.deadline,
+            job.node.replicas.reserve(reservation, account.budget),
+        );
         let verdict = match reserved.await {
             Ok(Ok(verdict)) => verdict,
             Ok(Err(fault)) => {
-                let _late = timeout_at(job.until, member_health::suspect(&job.node, &fault)).await;
+                let _late =
+                    timeout_at(job.deadline, member_health::suspect(&job.node, &fault)).await;
                 let refusal = Refusal::new(Code::RecordsUnreachable, &fault.to_string());
-                return Err(refusal.retry_after(retry(job)));
+                return Err(refusal.retry_after(delay(job)));
             }
-            Err(_) => return Err(Refusal::new(Code::WaitedTooLong, "").retry_after(retry(job))),
+            Err(_) => return Err(Refusal::new(Code::WaitedTooLong, "").retry_after(delay(job))),
         };
         match verdict {
             Verdict::Fits => return Ok(()),
@@ -85,43 +90,47 @@
     }
     job.node.metrics.count(Counter::OverBudget);
     let detail = format!(
-        "{spent} of {} spent, {} asked",
-        account.budget, account.most
+        "{spent} of {} tokens spent, {} requested",
+        account.budget, account.max_tokens
     );
     Err(Refusal::new(Code::TokensSpent, &detail))
 }
 
-/// Refuses at once what is known to need VMs that can't be reached: waiting for them would only
-/// cost the client the time in which another VM could serve it.
-fn reachable(job: &Job) -> Result<(), Refusal> {
+/// Refuses a turn at once if it is known that too few members can be reached. Waiting for them
+/// would only cost the caller time in which another VM could serve the turn.
+fn check_reachable(job: &Job) -> Result<(), Refusal> {
     if job.node.can_serve_turns() {
         return Ok(());
     }
-    let refusal = Refusal::new(Code::RecordsUnreachable, "known before the turn came");
-    Err(refusal.retry_after(retry(job)))
+    let refusal = Refusal::new(
+        Code::RecordsUnreachable,
+        "already known when the turn arrived",
+    );
+    Err(refusal.retry_after(delay(job)))
 }
 
-fn retry(job: &Job) -> Millis {
+fn delay(job: &Job) -> Millis {
     let now = job.node.clock.now();
     job.node.member_health().retry_after(now)
 }
 
-/// Yields the tokens of so many events.
+/// Returns the number of tokens in `events` events, at most what was reserved.
 #[must_use]
 pub fn used(job: &Job, account: Option<Account>, events: u64) -> u32 {
     let engine = job.table.engine(&job.service);
     let tokens = engine.map_or(1, |engine| engine.event_tokens) * events;
-    let most = account.map_or(u32::MAX, |account| account.most);
-    u32::try_from(tokens).unwrap_or(u32::MAX).min(most)
+    let max_tokens = account.map_or(u32::MAX, |account| account.max_tokens);
+    u32::try_from(tokens).unwrap_or(u32::MAX).min(max_tokens)
 }
 
-/// Settles a turn's tokens. No client waits for it: until then the turn counts for its most. The
-/// process waits when it stops, as the turn would count for its most for good.
+/// Settles a turn's tokens. No caller waits for this: until it is done, the turn counts with its
+/// whole reservation. The process waits for it when it stops, because otherwise the turn would
+/// count with its whole reservation forever.
 pub fn settle(job: &Job, account: Option<Account>, used: u32) {
     let Some(account) = account else {
         return;
     };
-    let fact = Settlement {
+    let settlement = Settlement {
         program: account.program,
         turn: account.turn,
         used,
@@ -130,7 +139,7 @@
     let id = job.call.id.clone();
     let guard = node.work.begin(work::Kind::Settlement, &id);
     tokio::spawn(async move {
-        let settled = node.replicas.settle(fact).await;
+        let settled = node.replicas.settle(settlement).await;
         drop(guard);
         if let Err(fault) = settled {
             log::warn!(
--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own: refusals with a code.
+//! Builds HTTP responses: refusals, runners' answers that are passed on, and plain text.
 
 use adapter::header;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use link::body::Body;
 use wire::code::Refusal;
 
-/// Renders a refusal of the request `id`.
+/// Builds the response for a refusal of the request `id`.
 #[must_use]
 pub fn refusal(refusal: &Refusal, id: &str) -> Response<Body> {
     let text = refusal.to_json().to_string();
@@ -27,7 +27,7 @@
     response
 }
 
-/// Renders an answer of a runner as it came.
+/// Builds the response that passes a runner's answer on, with its end-to-end headers only.
 #[must_use]
 pub fn forwarded(status: StatusCode, headers: &HeaderMap, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
@@ -36,7 +36,7 @@
     response
 }
 
-/// Renders plain text.
+/// Builds a plain-text response.
 #[must_use]
 pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Body::whole(body));
@@ -44,7 +44,7 @@
     response
 }
 
-/// Asks the client to take another connection for its next request.
+/// Asks the caller to open another connection for its next request.
 pub fn close(response: &mut Response<Body>) {
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -1,4 +1,4 @@
-//! A request as it arrives: read, routed, and taken or refused.
+//! The arrival of a request: it is read, routed, and accepted or refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,15 +39,15 @@
 use crate::table::Table;
 use crate::work;
 
-/// How long a client waits that doesn't say.
-const PATIENCE: Millis = Millis::new(30_000);
-/// The longest body of a refused request that is read before the configuration tells how long bodies
-/// are, in bytes.
-const DISCARDED: usize = 4 * 1024 * 1024;
+/// The time limit of a request that states none.
+const DEFAULT_TIME_LIMIT: Millis = Millis::new(30_000);
+/// The least limit, in bytes, up to which a refused request's body is read and discarded. Before a
+/// configuration is loaded, it is the only limit.
+const MIN_DISCARD_LIMIT: usize = 4 * 1024 * 1024;
 /// How long the rest of a refused request's body is read.
-const DISCARD: Duration = Duration::from_secs(1);
+const MAX_DISCARD_TIME: Duration = Duration::from_secs(1);
 
-/// Serves a client's request.
+/// Serves a caller's request.
 pub async fn serve(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     node.metrics.count(Counter::Requests);
     let arrived = Instant::now();
@@ -55,22 +55,22 @@
     let id = call.id.clone();
     let program = call.program.clone();
     let guard = node.work.begin(work::Kind::Answer, &id);
-    let asks_first = asks_first(request.headers());
-    let mut response = match read(&node, request, call, arrived).await {
+    let expects_continue = expects_continue(request.headers());
+    let mut response = match read_request(&node, request, call, arrived).await {
         Ok(job) => match job.route.kind {
             Kind::Stream => stream::serve(job, guard).await,
             Kind::Idempotent | Kind::AtMostOnce => plain::serve(job, guard).await,
         },
         Err(refusal) => {
-            let subject = refuse::Subject {
+            let info = refuse::RequestInfo {
                 request: &id,
                 program: program.as_deref().unwrap_or_default(),
                 waited: Millis::from(arrived.elapsed()),
-                ..refuse::Subject::default()
+                ..refuse::RequestInfo::default()
             };
-            let mut response = refuse::answer(&node, &refusal, &subject);
-            if asks_first {
-                // What was not asked for isn't read, which ends the connection.
+            let mut response = refuse::respond(&node, &refusal, &info);
+            if expects_continue {
+                // The body that was not asked for isn't read, which ends the connection.
                 answer::close(&mut response);
             }
             response
@@ -82,59 +82,61 @@
     response
 }
 
-/// Yields how long the rest of a refused body may be read: so that the refusal goes out before the
+/// Returns how long the rest of a refused body may be read, so that the refusal is sent before the
 /// process ends.
-fn discard_time(node: &Node) -> Duration {
+fn discard_timeout(node: &Node) -> Duration {
     let Some(stop) = node.stop() else {
-        return DISCARD;
+        return MAX_DISCARD_TIME;
     };
-    DISCARD.min(stop.left(node.clock.now()).as_duration())
+    MAX_DISCARD_TIME.min(stop.left(node.clock.now()).as_duration())
 }
 
-/// Where a request goes, as its headers tell.
-struct Routed {
+/// A request with the route and deadline that follow from its headers.
+struct RoutedRequest {
     table: Arc<Table>,
     route: Arc<Route>,
-    until: Instant,
+    deadline: Instant,
 }
 
-async fn read(
+async fn read_request(
     node: &Arc<Node>,
     request: Request<Incoming>,
     call: Call,
     arrived: Instant,
 ) -> Result<Job, Refusal> {
     let (head, mut incoming) = request.into_parts();
-    let mut wanted = !asks_first(&head.headers);
+    let mut body_requested = !expects_continue(&head.headers);
     let received = async {
         let routed = route(node, &head, &call, arrived).await?;
-        if !wanted && incoming.size_hint().lower() > routed.table.body_bytes as u64 {
+        if !body_requested && incoming.size_hint().lower() > routed.table.body_bytes as u64 {
             return Err(Refusal::new(Code::BodyTooLarge, ""));
         }
-        wanted = true;
+        body_requested = true;
         let body = receive(node, &routed, &mut incoming).await?;
         Ok::<_, Refusal>((routed, body))
     };
     let (routed, body) = match received.await {
         Ok(received) => received,
-        // The caller no longer waits for the rest to be read.
+        // The caller doesn't wait until the rest is read.
         Err(refusal) if refusal.code == Code::ReadTimeout => return Err(refusal),
-        // Reading would have the caller send the body.
-        Err(refusal) if !wanted => return Err(refusal),
+        // Reading the body would make the caller send it.
+        Err(refusal) if !body_requested => return Err(refusal),
         Err(refusal) => {
-            // The refusal would be lost with the rest of a long body: see `body::discard`.
-            let discarded = body::discard(incoming, node.table().body_bytes.max(DISCARDED));
-            let _too_slow = timeout(discard_time(node), discarded).await;
+            // Without reading the rest of a long body, the refusal would be lost: see
+            // `body::discard`.
+            let discarded = body::discard(incoming, node.table().body_bytes.max(MIN_DISCARD_LIMIT));
+            let _too_slow = timeout(discard_timeout(node), discarded).await;
             return Err(refusal);
         }
     };
-    let Routed {
+    let RoutedRequest {
         table,
         route,
-        until,
+        deadline,
     } = routed;
     let service = table::pick_service(&route, rand::rng().random::<f64>());
-    let service = service.ok_or_else(|| Refusal::new(Code::NoEndpoint, "no service"))?;
+    let service =
+        service.ok_or_else(|| Refusal::new(Code::NoEndpoint, "the route has no service"))?;
     let parts = call.parts.iter();
     let prompt = parts.map(|part| prefix::Part {
         id: part.id,
@@ -155,21 +157,28 @@
         call,
         body,
         arrived,
-        until,
+        deadline,
     })
 }
 
-/// Tells whether the caller waits with the body until it is asked for it.
-fn asks_first(headers: &HeaderMap) -> bool {
+/// Returns whether the caller waits for `100 Continue` before it sends the body.
+fn expects_continue(headers: &HeaderMap) -> bool {
     let expected = headers.get(EXPECT);
     expected.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"))
 }
 
 /// Receives a request's body.
-async fn receive(node: &Node, routed: &Routed, incoming: &mut Incoming) -> Result<Bytes, Refusal> {
-    let read = timeout_at(routed.until, body::read(incoming, routed.table.body_bytes));
-    let ends = stream::ends(&routed.route, routed.until);
-    match shutdown::before(node, ends, read).await? {
+async fn receive(
+    node: &Node,
+    routed: &RoutedRequest,
+    incoming: &mut Incoming,
+) -> Result<Bytes, Refusal> {
+    let read = timeout_at(
+        routed.deadline,
+        body::read(incoming, routed.table.body_bytes),
+    );
+    let latest_end = stream::latest_end(&routed.route, routed.deadline);
+    match shutdown::before(node, latest_end, read).await? {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(body::Fault::TooLong)) => Err(Refusal::new(Code::BodyTooLarge, "")),
         Ok(Err(fault)) => Err(Refusal::new(Code::ReadTimeout, &fault.to_string())),
@@ -177,20 +186,20 @@
     }
 }
 
-/// Finds a request's route and the time that it has.
+/// Finds a request's route and its deadline.
 async fn route(
     node: &Arc<Node>,
     head: &request::Parts,
     call: &Call,
     arrived: Instant,
-) -> Result<Routed, Refusal> {
-    let patience = call.deadline.unwrap_or(PATIENCE);
-    node.wait_at_start(Node::can_route, arrived + patience.as_duration())
+) -> Result<RoutedRequest, Refusal> {
+    let time_limit = call.deadline.unwrap_or(DEFAULT_TIME_LIMIT);
+    node.wait_at_start(Node::can_route, arrived + time_limit.as_duration())
         .await;
     let table = node.table();
     if !table.loaded {
         let refusal = Refusal::new(Code::NoConfiguration, "");
-        return Err(refusal.retry_after(refuse::RETRY));
+        return Err(refusal.retry_after(refuse::RETRY_DELAY));
     }
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
@@ -201,11 +210,11 @@
     if call.id.is_empty() {
         return Err(Refusal::new(Code::BadField, "the request has no id"));
     }
-    let until = arrived + patience.min(route.timeout).as_duration();
-    shutdown::admit(node, stream::ends(&route, until))?;
-    Ok(Routed {
+    let deadline = arrived + time_limit.min(route.timeout).as_duration();
+    shutdown::admit(node, stream::latest_end(&route, deadline))?;
+    Ok(RoutedRequest {
         table,
         route,
-        until,
+        deadline,
     })
 }
--- a/crates/relay/src/events/tests.rs
+++ b/crates/relay/src/events/tests.rs
@@ -1,11 +1,11 @@
 use super::Reader;
 
 #[test]
-fn events_come_whole() {
+fn only_complete_events_are_returned() {
     let mut reader = Reader::default();
     reader.push(b"id: 1\ndata: ab").unwrap();
     assert_eq!(reader.pop(), None);
-    assert!(reader.is_within());
+    assert!(reader.has_partial_event());
     reader.push(b"c\n\nid: 2\ndata: d\n\n").unwrap();
     let first = reader.pop().unwrap();
     assert_eq!((first.id, &first.data[..]), (Some(1), &b"abc"[..]));
@@ -13,7 +13,7 @@
     let second = reader.pop().unwrap();
     assert_eq!((second.id, &second.data[..]), (Some(2), &b"d"[..]));
     assert_eq!(reader.pop(), None);
-    assert!(!reader.is_within());
+    assert!(!reader.has_partial_event());
 }
 
 #[test]
--- a/crates/relay/src/exchange/hear.rs
+++ b/crates/relay/src/exchange/hear.rs
@@ -23,7 +23,7 @@
     node.peers().hear(&told.vm, of_itself, now);
     node.fleet().hear(&told.origin, &told.tallies, now);
     if let Some(document) = &told.document {
-        ingest::document(node, document);
+        ingest::configuration(node, document);
     }
     if let Some(entries) = told.entries {
         take_over(node, &told.vm, entries);
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -1,4 +1,4 @@
-//! The process on VMs that clients reach.
+//! The process on the VMs that callers connect to.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,23 +31,23 @@
 use crate::register;
 use crate::subject::Subject;
 
-/// How long a client's connection may be idle: longer than any limit that operators set, as the
-/// clients leave first.
-const IDLE: Duration = Duration::from_mins(1);
-/// How often members with a disk are asked whether they answer: a cut is noticed before the
-/// balancer asks again, and turns are served again soon after it.
-const PING: Duration = Duration::from_millis(300);
-/// How often they are asked while too few answer: each turn is refused until enough do, and after
-/// a restart of all VMs the clients' next tries come within some hundred milliseconds.
-const PING_SOON: Duration = Duration::from_millis(50);
-/// How often connections, runners and entries are looked over.
+/// How long a caller's connection may be idle: longer than any limit that operators set, because
+/// callers close first.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// How often the members (VMs with a disk) are checked: often enough that a partition is noticed
+/// before the load balancer's next readiness check, and that turns are served again soon after it.
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// How often the members are checked while too few answer. Each turn is refused until enough do,
+/// and after a restart of all VMs the callers retry within some hundred milliseconds.
+const LOST_MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often connections, runners and entries are swept.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why the process can't run.
 #[derive(Debug, Display, Error, From)]
 pub enum Fault {
-    /// The settings lack an address.
-    #[display("CY6101: the settings have faults: no {_0} address")]
+    /// The settings lack a value that this process needs.
+    #[display("CY6101: the settings have faults: no valid value for {_0}")]
     #[from(ignore)]
     Missing(#[error(not(source))] &'static str),
     /// The settings can't be used.
@@ -65,16 +65,16 @@
 ///
 /// # Errors
 ///
-/// Fails where the settings can't be used or a listener can't be bound.
+/// Fails if the settings can't be used or a listener can't be bound.
 pub async fn run(settings: Settings, metrics: u16) -> Result<()> {
     run_until(settings, metrics, stop_signal()).await
 }
 
-/// Runs the process until `stop` ends, and then lets running requests end.
+/// Runs the process until `stop` completes, and then lets requests in progress finish.
 ///
 /// # Errors
 ///
-/// Fails where the settings can't be used, a listener can't be bound, or `stop` fails.
+/// Fails if the settings can't be used, a listener can't be bound, or `stop` fails.
 pub async fn run_until(
     settings: Settings,
     metrics: u16,
@@ -85,19 +85,19 @@
     let callers = settings.callers.ok_or(Fault::Missing("front"))?;
     let ready = settings.ready.ok_or(Fault::Missing("ready"))?;
     let ip = callers.ip();
-    let own = SocketAddr::new(ip, settings.first_port);
+    let peer_address = SocketAddr::new(ip, settings.first_port);
     let door = Arc::new(Door::default());
     let listener = listen_all(
         &node,
         &door,
         callers,
         ready,
-        own,
+        peer_address,
         SocketAddr::new(ip, metrics),
     )
     .await?;
     log::info!(
-        "event=E{} text=\"{}\" vm={} role=front callers={callers} ready={ready} vms={own}",
+        "event=E{} text=\"{}\" vm={} role=front callers={callers} ready={ready} vms={peer_address}",
         Event::NodeStarted.number(),
         Event::NodeStarted.text(),
         settings.vm
@@ -106,52 +106,72 @@
         tokio::spawn(follow::run(node.clone(), subject));
     }
     tokio::spawn(exchange::run(node.clone()));
-    let advertised = settings.advertised.unwrap_or(own);
+    let advertised = settings.advertised.unwrap_or(peer_address);
     tokio::spawn(register::run(node.clone(), advertised));
-    tokio::spawn(ping(node.clone()));
+    tokio::spawn(check_members(node.clone()));
     tokio::spawn(sweep(node.clone()));
     stop.await?;
     drain::run(&node, &door, listener).await;
     Ok(())
 }
 
-/// Opens all listeners; yields the task of the one for clients.
+/// Opens all listeners; returns the task of the listener for callers.
 async fn listen_all(
     node: &Arc<Node>,
     door: &Arc<Door>,
     callers: SocketAddr,
     ready: SocketAddr,
-    own: SocketAddr,
+    peer_address: SocketAddr,
     metrics: SocketAddr,
 ) -> Result<JoinHandle<()>> {
     let shared = node.clone();
     let handler = move |request| arrival::serve(shared.clone(), request);
     let listener = listen::bind(callers).await?;
-    let listening = tokio::spawn(listen::run(listener, door.clone(), IDLE, handler));
+    let listening = tokio::spawn(listen::run(
+        listener,
+        door.clone(),
+        CALLER_IDLE_TIMEOUT,
+        handler,
+    ));
 
     let shared = node.clone();
     let handler = move |_request| std::future::ready(probe::ready(&shared));
     let listener = listen::bind(ready).await?;
-    tokio::spawn(listen::run(listener, Arc::default(), IDLE, handler));
+    tokio::spawn(listen::run(
+        listener,
+        Arc::default(),
+        CALLER_IDLE_TIMEOUT,
+        handler,
+    ));
 
     let shared = node.clone();
     let handler = move |request| exchange::serve(shared.clone(), request);
-    let listener = listen::bind(own).await?;
-    tokio::spawn(listen::run(listener, Arc::default(), IDLE, handler));
+    let listener = listen::bind(peer_address).await?;
+    tokio::spawn(listen::run(
+        listener,
+        Arc::default(),
+        CALLER_IDLE_TIMEOUT,
+        handler,
+    ));
 
     let shared = node.clone();
     let counted = door.clone();
     let handler = move |_request| std::future::ready(probe::metrics(&shared, &counted));
     let listener = listen::bind(metrics).await?;
-    tokio::spawn(listen::run(listener, Arc::default(), IDLE, handler));
+    tokio::spawn(listen::run(
+        listener,
+        Arc::default(),
+        CALLER_IDLE_TIMEOUT,
+        handler,
+    ));
     Ok(listening)
 }
 
-/// Waits for SIGTERM; reads the settings again at SIGHUP.
+/// Waits for SIGTERM or SIGINT; reloads the settings on SIGHUP.
 ///
 /// # Errors
 ///
-/// Fails where the signals can't be caught.
+/// Fails if the signals can't be caught.
 pub async fn stop_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -165,8 +185,8 @@
     }
 }
 
-/// Reads the settings again. What a process does with its settings is fixed at its start, so a
-/// change is only checked and told.
+/// Reads the settings again. The settings that a process uses are fixed at its start, so a change
+/// is only checked and logged.
 fn reload() {
     let outcome = match settings::load() {
         Ok(settings) => format!("vm={} outcome=read", settings.vm),
@@ -179,18 +199,18 @@
     );
 }
 
-/// Asks the members with a disk whether enough of them answer.
-async fn ping(node: Arc<Node>) {
+/// Checks repeatedly whether enough members answer.
+async fn check_members(node: Arc<Node>) {
     loop {
         let pause = match member_health::check(&node).await {
-            Check::Enough => PING,
-            Check::TooFew => PING_SOON,
+            Check::Enough => MEMBER_CHECK_INTERVAL,
+            Check::TooFew => LOST_MEMBER_CHECK_INTERVAL,
         };
         sleep(pause).await;
     }
 }
 
-/// Looks over connections and runners.
+/// Sweeps connections and runners repeatedly, and tries unreachable runners again.
 async fn sweep(node: Arc<Node>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -1,4 +1,4 @@
-//! Histories of kept turns: what is at hand, and the rest from the VMs with a disk.
+//! Reads the history of a turn: cached turns from memory, the others from the VMs with a disk.
 
 use std::sync::Arc;
 
@@ -12,21 +12,21 @@
 use crate::member_health;
 use crate::node::Node;
 
-/// When a turn whose history couldn't be read may come again: about the time in which a VM with a
-/// disk restarts or a cut is noticed, and short beside a program's time.
-const RETRY: Millis = Millis::new(300);
+/// When a turn whose history couldn't be read may be retried: about the time in which a VM with a
+/// disk restarts or a partition is noticed, and short compared to a program's run time.
+const RETRY_DELAY: Millis = Millis::new(300);
 
-/// Puts together the texts of a turn and of all that it continued from, the oldest first.
+/// Returns the texts of a turn and of all turns that it continued from, oldest first.
 ///
 /// # Errors
 ///
-/// Refuses with "no such turn" only where that is certain, and otherwise asks to come again.
-pub async fn whole(node: &Arc<Node>, last: Key) -> Result<Vec<Bytes>, Refusal> {
+/// Refuses with "no such turn" only if that is certain, and otherwise asks the caller to retry.
+pub async fn load(node: &Arc<Node>, last: Key) -> Result<Vec<Bytes>, Refusal> {
     let mut texts = Vec::new();
     let mut next = Some(last);
     while let Some(key) = next {
-        let at_hand = node.turns().find(key);
-        if let Some(kept) = at_hand {
+        let cached = node.turns().find(key);
+        if let Some(kept) = cached {
             texts.push(kept.text);
             next = kept.previous;
             continue;
@@ -46,14 +46,14 @@
             }
             Ok(Found::Absent) => {
                 let refusal = Refusal::new(Code::RecordsUnreachable, "an earlier turn is missing");
-                return Err(refusal.retry_after(RETRY));
+                return Err(refusal.retry_after(RETRY_DELAY));
             }
             Err(fault) => {
-                // The next turns are refused at once where the members are lost, and the log names
-                // them before it has this refusal.
+                // If the members are lost, the following turns are refused at once, and the log
+                // names the members before it has this refusal.
                 member_health::suspect(node, &fault).await;
                 let refusal = Refusal::new(Code::RecordsUnreachable, &fault.to_string());
-                return Err(refusal.retry_after(RETRY));
+                return Err(refusal.retry_after(RETRY_DELAY));
             }
         }
     }
--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -1,4 +1,4 @@
-//! Takes in what operators, runners and VMs write into the key-value service.
+//! Applies what operators, runners and VMs write into the key-value service.
 
 use std::sync::Arc;
 
@@ -18,11 +18,11 @@
 use crate::subject::Subject;
 use crate::table::Table;
 
-/// Takes in all entries of a subject.
+/// Applies a complete listing of a subject's entries.
 pub fn listing(node: &Arc<Node>, subject: Subject, listing: Listing) {
-    let first = subject == Subject::Runners && node.roster().entries.is_empty();
+    let is_first = subject == Subject::Runners && node.roster().entries.is_empty();
     if subject == Subject::Runners {
-        missing(node, &listing);
+        apply_missing(node, &listing);
     }
     if subject == Subject::Own {
         let prefix = subject::vm_prefix();
@@ -35,19 +35,20 @@
     for entry in listing.entries {
         change(node, subject, edge::Change::Set(entry));
     }
-    // An empty list may be one of a service that has lost all entries: others keep theirs.
-    if first && !node.roster().entries.is_empty() {
+    // An empty list may come from a service that has lost all entries, so the roster's revision
+    // stays and other VMs keep their entries.
+    if is_first && !node.roster().entries.is_empty() {
         node.roster().raise(listing.revision);
     }
 }
 
-/// Takes in which runners a list lacks.
+/// Drops the runners that a listing lacks.
 ///
-/// A list that is older than what another VM has told lacks runners that came since; nothing is
-/// dropped for it.
-fn missing(node: &Node, listing: &Listing) {
+/// A listing that is older than what another VM has passed on lacks runners that came since, so
+/// nothing is dropped because of it.
+fn apply_missing(node: &Node, listing: &Listing) {
     let entries = listing.entries.iter();
-    let mut ids: Vec<String> = entries.filter_map(|entry| id(&entry.key)).collect();
+    let mut ids: Vec<String> = entries.filter_map(|entry| runner_id(&entry.key)).collect();
     ids.sort();
     if listing.revision >= node.roster().revision {
         drop_missing(node, &ids, "listed=false");
@@ -56,12 +57,13 @@
     node.set_runners_at(node.clock.now());
 }
 
-/// Drops the runners that aren't listed; `how` tells the log where the list is from.
+/// Drops the runners that aren't listed; `source` says in the log where the list came from.
 ///
-/// Where what was known is too young for entries to have lapsed, they have left: used any longer, they
-/// would get calls after the time in which a leaving runner has to be free of them. Else the service
-/// may have been away and lost entries of runners that live, so they are used a while longer.
-pub fn drop_missing(node: &Node, listed: &[String], how: &str) {
+/// If the last known list is too recent for entries to have lapsed, the runners have left: if they
+/// were used any longer, they would get calls after the time within which a leaving runner has to
+/// be free of them. Otherwise the service may have been away and lost the entries of live runners,
+/// so these runners are used a while longer.
+pub fn drop_missing(node: &Node, listed: &[String], source: &str) {
     if node.may_have_lapsed() {
         let now = node.clock.now();
         node.fleet().note_missing(listed, now);
@@ -69,19 +71,19 @@
     }
     let gone = node.fleet().keep(listed);
     for id in gone {
-        fleet::log_change(&fleet::Change::Gone, &format!("runner={id} {how}"));
+        fleet::log_change(&fleet::Change::Gone, &format!("runner={id} {source}"));
     }
 }
 
-/// Takes in a change of an entry.
+/// Applies a change of one entry.
 pub fn change(node: &Arc<Node>, subject: Subject, change: edge::Change) {
     match (subject, change) {
-        (Subject::Config, edge::Change::Set(entry)) => document(node, &entry.value),
+        (Subject::Config, edge::Change::Set(entry)) => configuration(node, &entry.value),
         (Subject::Runners, edge::Change::Set(entry)) => runner_entry(node, &entry),
         (Subject::Runners, edge::Change::Removed { key, revision }) => {
             drop_runner(node, &key, revision);
         }
-        (Subject::Own, edge::Change::Set(entry)) => own_entry(node, &entry),
+        (Subject::Own, edge::Change::Set(entry)) => system_entry(node, &entry),
         (Subject::Own, edge::Change::Removed { key, .. }) => {
             if let Some(vm) = key.strip_prefix(&subject::vm_prefix()) {
                 let now = node.clock.now();
@@ -92,8 +94,8 @@
     }
 }
 
-/// Puts a configuration in force, wherever it came from.
-pub fn document(node: &Arc<Node>, bytes: &[u8]) {
+/// Puts a configuration in force, whether it came from the key-value service or from another VM.
+pub fn configuration(node: &Arc<Node>, bytes: &[u8]) {
     let config = match config::decode(bytes) {
         Ok(config) => config,
         Err(fault) => {
@@ -120,12 +122,12 @@
     }
 }
 
-fn id(key: &str) -> Option<String> {
+fn runner_id(key: &str) -> Option<String> {
     key.strip_prefix(keys::RUNNERS).map(str::to_owned)
 }
 
 fn runner_entry(node: &Arc<Node>, entry: &Entry) {
-    let Some(id) = id(&entry.key) else {
+    let Some(id) = runner_id(&entry.key) else {
         return;
     };
     let Some(decoded) = runner::decode(&entry.value) else {
@@ -151,25 +153,25 @@
     fleet::log_change(&change, &line);
 }
 
-/// Takes a runner's entry in, wherever it came from.
+/// Applies a runner's entry, whether it came from the key-value service or from another VM.
 pub fn set_runner(node: &Arc<Node>, id: &str, entry: runner::Entry) -> fleet::Change {
     let memory = node.table().memory_tokens(&entry.service);
     node.fleet().set(id, entry, memory)
 }
 
 fn drop_runner(node: &Arc<Node>, key: &str, revision: u64) {
-    if let Some(id) = id(key) {
+    if let Some(id) = runner_id(key) {
         node.roster().remove(&id, revision);
         let change = node.fleet().remove(&id);
         fleet::log_change(&change, &format!("runner={id}"));
     }
 }
 
-fn own_entry(node: &Arc<Node>, entry: &Entry) {
+fn system_entry(node: &Arc<Node>, entry: &Entry) {
     if entry.key == subject::list_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
-            Err(fault) => log::error!("text=\"the list can't be read\" fault=\"{fault}\""),
+            Err(fault) => log::error!("text=\"can't decode the member list\" fault=\"{fault}\""),
         }
         return;
     }
@@ -183,7 +185,7 @@
                 node.peers().set(vm, centre, address, now);
             }
             Some(_) => {}
-            None => log::warn!("text=\"a VM's entry can't be read\" key={}", entry.key),
+            None => log::warn!("text=\"a VM's entry can't be decoded\" key={}", entry.key),
         }
     }
 }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way, and what its attempts at runners share.
+//! A request in progress, and what its attempts at runners share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,58 +32,59 @@
 use crate::metrics::Span;
 use crate::node::Node;
 use crate::reach;
-use crate::refuse::Subject;
+use crate::refuse::RequestInfo;
 use crate::stream;
 use crate::table::Table;
 
-/// How many runners a request is offered to at most, those that turned it away included. With the
-/// load known to within a few requests, a fourth refusal means that all are full.
-pub const OFFERS: usize = 4;
-/// The longest that an unused connection is kept where its runner tells that it keeps it longer:
-/// over the pauses of a busy minute, without holding many of its connections for nothing.
-const KEEP_TOLD: Millis = Millis::new(20_000);
-/// The longest refusal of a runner that is read, in bytes, so that its connection can be kept.
-const REFUSAL: usize = 64 * 1024;
-/// How long it may take to come. A request that nobody has waits meanwhile; a new connection costs less
-/// than more of this.
-const REFUSAL_TIME: Duration = Duration::from_millis(50);
+/// The most runners that a request is offered to, including those that turn it away. The load is
+/// known to within a few requests, so a fourth refusal means that all runners are full.
+pub const MAX_OFFERS: usize = 4;
+/// The longest time that an unused connection is kept if its runner announces a longer idle time.
+/// It covers the pauses of a busy minute without holding many of the runner's connections unused.
+const MAX_IDLE_TIME: Millis = Millis::new(20_000);
+/// The longest refusal body of a runner that is read, in bytes, so that the connection can be
+/// reused.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
+/// How long a refusal's body may take to arrive. A request that no runner has waits meanwhile, and
+/// a new connection costs less than a longer wait.
+const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A request that was read and routed.
 #[derive(Debug)]
 pub struct Job {
-    /// The process.
+    /// The process's shared state.
     pub node: Arc<Node>,
-    /// The configuration that it goes by.
+    /// The configuration that applies to the request.
     pub table: Arc<Table>,
-    /// Its route.
+    /// The request's route.
     pub route: Arc<Route>,
-    /// The service drawn for it.
+    /// The service picked for the request.
     pub service: String,
-    /// What the client says of it.
+    /// What the caller states in the headers.
     pub call: Call,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub path: String,
-    /// Its headers.
+    /// The request's headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request's body.
     pub body: Bytes,
-    /// Its prompt's parts.
+    /// The parts of the prompt.
     pub prompt: Vec<prefix::Part>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When it has to have its answer.
-    pub until: Instant,
+    /// When the answer has to be complete.
+    pub deadline: Instant,
 }
 
-/// An attempt of a request at a runner.
+/// An attempt to run a request at a runner.
 #[derive(Debug)]
 pub struct Attempt {
     /// The runner.
     pub runner: Chosen,
-    /// When it was sent.
-    pub sent: Instant,
+    /// When the attempt was sent.
+    pub sent_at: Instant,
     node: Arc<Node>,
 }
 
@@ -95,54 +96,54 @@
     }
 }
 
-/// What became of an attempt before its answer's body.
+/// The outcome of an attempt, up to the head of the answer.
 #[derive(Debug)]
-pub enum Sent {
-    /// The runner answers; the answer is passed on whatever it says.
-    Answers(Box<Reply>, Attempt),
-    /// The runner has not run it and never will.
+pub enum SendOutcome {
+    /// The runner answered; the answer is passed on whatever its status is.
+    Answered(Box<Reply>, Attempt),
+    /// The runner has not run the request and never will.
     NotRun,
-    /// The runner may have run it.
+    /// The runner may have run the request; holds the reason for the failure.
     Unknown(String),
-    /// The time is over; the runner may have run it.
-    Late,
+    /// No answer came before the deadline; the runner may have run the request.
+    TimedOut,
 }
 
-/// Renders a span for the log; nothing where there is none.
+/// Formats a span in milliseconds for the log; empty for `None`.
 #[must_use]
-pub fn told(span: Option<Millis>) -> String {
+pub fn format_span(span: Option<Millis>) -> String {
     span.map_or_else(String::new, |span| span.as_u64().to_string())
 }
 
 impl Job {
-    /// Yields the time left.
+    /// Returns the time left until the deadline.
     #[must_use]
-    pub fn left(&self) -> Millis {
-        Millis::from(self.until.saturating_duration_since(Instant::now()))
+    pub fn time_left(&self) -> Millis {
+        Millis::from(self.deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Yields when it is over at the latest.
+    /// Returns the latest time at which the request ends.
     #[must_use]
-    pub fn ends(&self) -> Instant {
-        stream::ends(&self.route, self.until)
+    pub fn latest_end(&self) -> Instant {
+        stream::latest_end(&self.route, self.deadline)
     }
 
-    /// Yields the time since the request arrived.
+    /// Returns the time since the request arrived.
     #[must_use]
     pub fn age(&self) -> Millis {
         Millis::from(self.arrived.elapsed())
     }
 
-    /// Notes how long it took until the runner that answers had it.
-    pub fn note_wait(&self, attempt: &Attempt) {
-        let waited = attempt.sent.saturating_duration_since(self.arrived);
+    /// Records the time from the request's arrival until it was sent to the runner that answers.
+    pub fn record_wait(&self, attempt: &Attempt) {
+        let waited = attempt.sent_at.saturating_duration_since(self.arrived);
         self.node.metrics.time(Span::Wait, Millis::from(waited));
     }
 
-    /// Yields what a refusal of it tells.
+    /// Returns the details of this request that go with a refusal.
     #[must_use]
-    pub fn subject(&self) -> Subject<'_> {
-        Subject {
+    pub fn request_info(&self) -> RequestInfo<'_> {
+        RequestInfo {
             request: &self.call.id,
             program: self.call.program.as_deref().unwrap_or_default(),
             route: &self.route.name,
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Chooses a runner, apart from those in `not`.
+    /// Chooses a runner that is not in `not`.
     #[must_use]
     pub fn choose(&self, not: &[String]) -> Option<Chosen> {
         let engine = self.table.engine(&self.service);
@@ -177,18 +178,19 @@
         self.node.fleet().choose(&want)
     }
 
-    /// Sends the request to a runner and waits for the head of its answer, until `until`.
+    /// Sends the request to a runner and waits for the head of its answer, at most until
+    /// `deadline`.
     pub async fn send(
         &self,
         runner: Chosen,
         payload: Payload,
         last_event: Option<u64>,
-        until: Instant,
-    ) -> Sent {
-        let attempt = self.begin(runner);
+        deadline: Instant,
+    ) -> SendOutcome {
+        let attempt = self.begin_attempt(runner);
         let runner = &attempt.runner;
         let onward = Onward {
-            left: Millis::from(self.until.saturating_duration_since(Instant::now())),
+            left: Millis::from(self.deadline.saturating_duration_since(Instant::now())),
             instance: &runner.id,
             priority: self.priority(),
             last_event,
@@ -198,29 +200,29 @@
         *request.headers_mut() = header::onward(&self.headers, &onward);
         match self.path.parse() {
             Ok(uri) => *request.uri_mut() = uri,
-            Err(fault) => return Sent::Unknown(format!("the path can't be sent: {fault}")),
+            Err(fault) => return SendOutcome::Unknown(format!("the path isn't a URI: {fault}")),
         }
         let sent = self.node.runners.send(runner.address, request);
-        let Ok(sent) = timeout_at(until, sent).await else {
-            return Sent::Late;
+        let Ok(sent) = timeout_at(deadline, sent).await else {
+            return SendOutcome::TimedOut;
         };
         match sent {
-            Ok(reply) => self.judge(reply, attempt).await,
+            Ok(reply) => self.classify_reply(reply, attempt).await,
             Err(fault) => {
                 let runner = &attempt.runner;
                 reach::note_broken(&self.node, &runner.id, runner.address);
                 match fault {
                     client::Fault::Silent(_) | client::Fault::NotSent(_) => {
                         self.log_retry(&runner.id, &fault.to_string());
-                        Sent::NotRun
+                        SendOutcome::NotRun
                     }
-                    client::Fault::Broken(why) => Sent::Unknown(why),
+                    client::Fault::Broken(why) => SendOutcome::Unknown(why),
                 }
             }
         }
     }
 
-    fn begin(&self, runner: Chosen) -> Attempt {
+    fn begin_attempt(&self, runner: Chosen) -> Attempt {
         let now = self.node.clock.now();
         {
             let mut fleet = self.node.fleet();
@@ -252,42 +254,48 @@
             runner.among,
             self.node.runners_age().as_u64(),
             self.age().as_u64(),
-            self.left().as_u64()
+            self.time_left().as_u64()
         );
         Attempt {
             runner,
-            sent: Instant::now(),
+            sent_at: Instant::now(),
             node: self.node.clone(),
         }
     }
 
-    /// Judges the head of an answer.
-    async fn judge(&self, mut reply: Reply, attempt: Attempt) -> Sent {
-        let said = header::answer(&reply.head.headers);
+    /// Decides from the head of an answer whether the runner took the request, and records what it
+    /// says about the runner.
+    async fn classify_reply(&self, mut reply: Reply, attempt: Attempt) -> SendOutcome {
+        let answer_headers = header::answer(&reply.head.headers);
         let now = self.node.clock.now();
-        if let Some(span) = said.keeps_idle {
-            // Closed a second earlier than the runner does, so that no request meets its close.
-            let span = Millis::new(span.as_u64().saturating_sub(1_000)).min(KEEP_TOLD);
+        if let Some(span) = answer_headers.keeps_idle {
+            // Closed a second earlier than the runner closes it, so that no request is sent on a
+            // connection that the runner is closing.
+            let span = Millis::new(span.as_u64().saturating_sub(1_000)).min(MAX_IDLE_TIME);
             reply.body.keep_for(span.as_duration());
         }
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
             runner.note_heard(now);
-            if let Some(load) = said.load {
+            if let Some(load) = answer_headers.load {
                 runner.note_load(load, now);
             }
         }
-        if said.id.as_ref().is_some_and(|id| *id != self.call.id) {
-            return Sent::Unknown("the answer belongs to another request".to_owned());
+        if answer_headers
+            .id
+            .as_ref()
+            .is_some_and(|id| *id != self.call.id)
+        {
+            return SendOutcome::Unknown("the answer belongs to another request".to_owned());
         }
-        // Another runner has the address; it says so and has not run the request.
-        let elsewhere = reply.head.status.as_u16() == 421;
-        if !said.not_run && !elsewhere {
-            self.note_status(reply.head.status, &attempt);
-            return Sent::Answers(Box::new(reply), attempt);
+        // 421: another runner has the address now. It has not run the request.
+        let wrong_runner = reply.head.status.as_u16() == 421;
+        if !answer_headers.not_run && !wrong_runner {
+            self.record_status(reply.head.status, &attempt);
+            return SendOutcome::Answered(Box::new(reply), attempt);
         }
         self.node.metrics.count(Counter::TurnedAway);
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
-            if elsewhere {
+            if wrong_runner {
                 runner.note_elsewhere(now);
             } else {
                 runner.note_full(now);
@@ -295,18 +303,18 @@
         }
         let status = reply.head.status;
         self.log_retry(&attempt.runner.id, &format!("not run, status {status}"));
-        // Read to its end, so that the connection can be used again.
-        match timeout(REFUSAL_TIME, reply.body.whole(REFUSAL)).await {
+        // Read to its end, so that the connection can be reused.
+        match timeout(REFUSAL_READ_TIMEOUT, reply.body.whole(MAX_REFUSAL_BYTES)).await {
             Ok(Ok(_)) => {}
-            Ok(Err(fault)) => log::debug!("a refusal's body: {fault}"),
-            Err(_) => log::debug!("a refusal's body doesn't come"),
+            Ok(Err(fault)) => log::debug!("can't read the body of a runner's refusal: {fault}"),
+            Err(_) => log::debug!("the body of a runner's refusal did not arrive in time"),
         }
-        Sent::NotRun
+        SendOutcome::NotRun
     }
 
-    /// Notes where a status tells that the runner failed.
-    fn note_status(&self, status: StatusCode, attempt: &Attempt) {
-        if !is_failure(status) {
+    /// Marks the runner as failed if the status is a failure of its own.
+    fn record_status(&self, status: StatusCode, attempt: &Attempt) {
+        if !is_runner_failure(status) {
             return;
         }
         let now = self.node.clock.now();
@@ -315,7 +323,7 @@
         }
     }
 
-    /// Logs that an attempt has ended without an answer that is passed on.
+    /// Logs that an attempt ended without an answer that is passed on.
     pub fn log_retry(&self, runner: &str, why: &str) {
         self.node.metrics.count(Counter::Retried);
         log::info!(
@@ -329,14 +337,15 @@
         );
     }
 
-    /// Yields how urgent the engines should take the request: 0 goes first.
+    /// Returns the request's priority for the engines, 0 being the most urgent; `None` for plain
+    /// services.
     fn priority(&self) -> Option<u8> {
         self.table.engine(&self.service)?;
         Some((1 + 2 * self.route.rank.min(3)).min(9))
     }
 
-    /// Logs that the client left before its answer was whole.
-    pub fn log_gone(&self, events: u64) {
+    /// Logs that the caller left before its answer was complete.
+    pub fn log_caller_gone(&self, events: u64) {
         let kind = Some(self.route.kind);
         self.node.metrics.end(kind, Outcome::Gone);
         log::info!(
@@ -350,8 +359,14 @@
         );
     }
 
-    /// Logs the end of a request that ran; `first` is how long its first event took.
-    pub fn log_answered(&self, runner: &str, status: u16, events: u64, first: Option<Millis>) {
+    /// Logs the end of a request that ran; `first_event` is the time until its first event.
+    pub fn log_answered(
+        &self,
+        runner: &str,
+        status: u16,
+        events: u64,
+        first_event: Option<Millis>,
+    ) {
         log::info!(
             "event=E{} text=\"{}\" request={} program={} line={} route={} revision={} runner={runner} status={status} events={events} first_ms={} ms={} finish_ms={}",
             Event::RequestAnswered.number(),
@@ -361,16 +376,16 @@
             self.call.line.as_deref().unwrap_or_default(),
             self.route.name,
             self.table.version,
-            told(first),
+            format_span(first_event),
             self.age().as_u64(),
             self.call.finish.unwrap_or_default().as_u64()
         );
     }
 }
 
-/// Tells whether a status is a failure of the runner's own. One that says that the time is over isn't:
-/// its runner was slow, as the time that it took tells.
+/// Returns whether a status is a failure of the runner itself. A gateway time-out isn't: that
+/// runner was slow, which shows in the time that it took.
 #[must_use]
-pub fn is_failure(status: StatusCode) -> bool {
+pub fn is_runner_failure(status: StatusCode) -> bool {
     status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT
 }
--- a/crates/relay/src/member_health.rs
+++ b/crates/relay/src/member_health.rs
@@ -1,14 +1,17 @@
-//! Whether enough VMs with a disk answer this VM, and what it does where they don't.
+//! Tracks whether enough members (VMs with a disk) answer this VM, and decides when turns are
+//! refused because they don't.
 //!
-//! A turn needs a majority of them. In a data centre that is cut off every turn would wait in vain,
-//! and its client come back to the same VM, until the balancer sends elsewhere. So the VM looks
-//! often, tells the balancer at the first look that fails, refuses turns at once from the second one
-//! on, and asks their clients to come back when the balancer is expected to have noticed.
+//! A turn needs a majority of the members. In a data centre that is cut off, every turn would wait
+//! in vain, and its caller would come back to the same VM until the load balancer sends it
+//! elsewhere. So the VM checks the members often, reports itself as not ready to the load balancer
+//! after the first failed check, refuses turns at once from the second failed check on, and asks
+//! their callers to come back when the load balancer is expected to have noticed.
 //!
-//! A turn whose tokens can't be set aside makes a VM doubt its members. Their disks may be slow while
-//! they answer: taken for lost then, turns would be refused and answers broken off that only have to
-//! wait. So a doubt counts as one look that failed, however many turns have it, and a look is taken at
-//! once to settle it.
+//! A turn whose records can't be read or whose tokens can't be reserved makes the VM suspect its
+//! members. Their disks may be slow while they still answer. If the members counted as lost then,
+//! turns would be refused and answers broken off that only have to wait. So a suspicion counts as
+//! one failed check, however many turns raise it, and a check is made at once to confirm or clear
+//! it.
 
 use std::time::Duration;
 
@@ -20,43 +23,44 @@
 
 use crate::node::Node;
 
-/// How long the members may take to answer a look. They answer in a few milliseconds; one that is
-/// busy with many records takes some tens.
-pub const PATIENCE: Duration = Duration::from_millis(250);
-/// Looks that fail in a row before turns are refused: one may meet a pause of two members.
+/// How long the members may take to answer a check. They usually answer within a few milliseconds;
+/// one that is busy with many records takes some tens of milliseconds.
+pub const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Consecutive failed checks after which turns are refused. A single check may fail because two
+/// members pause.
 const LOST_AFTER: u32 = 2;
-/// How long VMs with a disk that restart are away at most: their processes are started again after a
-/// short delay. Those that are away for longer are cut off or down, and nobody knows until when.
-const RESTART: Millis = Millis::new(1_000);
-/// VMs that a line of the log names at most.
-const NAMED: usize = 12;
-/// When a turn may come again at the soonest: about the time in which a VM with a disk restarts, or in
-/// which a slow disk ends what it does.
-pub const RETRY: Millis = Millis::new(300);
-/// When it may come again where the balancer should have noticed already.
-const RETRY_NOTICED: Millis = Millis::new(100);
-
-/// What one look at the members found.
+/// The longest time that a restarting member is away: its process is started again after a short
+/// delay. Members that are away for longer are cut off or down, for an unknown time.
+const MAX_RESTART_TIME: Millis = Millis::new(1_000);
+/// The most VMs that a log line names.
+const MAX_NAMED_VMS: usize = 12;
+/// The retry delay of a refused turn that needs no other VM: about the time in which a member
+/// restarts, or in which a slow disk finishes its work.
+pub const RETRY_DELAY: Millis = Millis::new(300);
+/// The retry delay once the load balancer should have noticed that the VM isn't ready.
+const RETRY_DELAY_NOTICED: Millis = Millis::new(100);
+
+/// The result of one check of the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// Enough of them answer for every key.
+    /// Enough members answer for every key.
     Enough,
-    /// They don't.
+    /// Too few members answer.
     TooFew,
 }
 
-/// Looks whether enough members answer, and tells the log where that is news.
+/// Checks whether enough members answer, and logs changes.
 pub async fn check(node: &Node) -> Check {
-    let reach = node.replicas.reachable(PATIENCE).await;
+    let reach = node.replicas.reachable(CHECK_TIMEOUT).await;
     let check = if reach.enough {
         Check::Enough
     } else {
         Check::TooFew
     };
-    let news = node.member_health().record_check(check, node.clock.now());
+    let changed = node.member_health().record_check(check, node.clock.now());
     match check {
-        Check::Enough if news => log_reach(Event::MembersRegained, &reach),
-        Check::TooFew if reach.members > 0 && node.member_health().is_to_name() => {
+        Check::Enough if changed => log_reach(Event::MembersRegained, &reach),
+        Check::TooFew if reach.members > 0 && node.member_health().should_log_silent() => {
             log_reach(Event::MembersLost, &reach);
         }
         Check::Enough | Check::TooFew => {}
@@ -64,8 +68,8 @@
     check
 }
 
-/// Notes that a turn found too few members, and returns when a look has settled whether they are lost:
-/// one look for all turns that have the doubt at the time.
+/// Records that a turn found too few members, and returns when a check has confirmed or cleared the
+/// suspicion. Turns that suspect the members at the same time share one check.
 pub async fn suspect(node: &Node, fault: &Fault) {
     let lost = node.member_health().suspect(node.clock.now());
     if lost {
@@ -76,7 +80,7 @@
         );
         return;
     }
-    let _one = node.suspicion_check.lock().await;
+    let _guard = node.suspicion_check.lock().await;
     if node.member_health().is_suspected() {
         check(node).await;
     }
@@ -89,130 +93,132 @@
         event.text(),
         reach.answered,
         reach.members,
-        names(&reach.silent)
+        format_names(&reach.silent)
     );
 }
 
-/// Joins the names of the first VMs, and tells how many more there are.
-fn names(vms: &[String]) -> String {
-    let named = &vms[..vms.len().min(NAMED)];
-    let more = vms.len() - named.len();
+/// Joins the names of the first VMs, followed by the number of the remaining ones.
+fn format_names(vms: &[String]) -> String {
+    let listed = &vms[..vms.len().min(MAX_NAMED_VMS)];
+    let more = vms.len() - listed.len();
     match more {
-        0 => named.join(","),
-        _ => format!("{},+{more}", named.join(",")),
+        0 => listed.join(","),
+        _ => format!("{},+{more}", listed.join(",")),
     }
 }
 
 /// Whether turns are served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Service {
-    /// Not yet since the start.
+enum TurnService {
+    /// No check has found enough members since the start.
     #[default]
     Starting,
-    /// They are.
+    /// Turns are served.
     Served,
-    /// They were.
+    /// Turns were served, and too few members answer now.
     Lost,
 }
 
-/// What the looks at the members found.
+/// The health of the members, according to checks and turns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberHealth {
-    service: Service,
-    /// Looks that failed since the last one that didn't.
-    failed: u32,
-    /// Whether a turn has found too few since then.
-    doubted: bool,
-    /// Whether the log has the names of those that are lost: a turn that finds out has none.
-    named: bool,
-    /// When the first of all these failed.
-    since: Millis,
+    service: TurnService,
+    /// Failed checks since the last successful one.
+    failed_checks: u32,
+    /// Whether a turn has found too few members since the last check.
+    suspected: bool,
+    /// Whether the lost members' names have been logged. A turn that finds the loss doesn't know
+    /// the names.
+    silent_logged: bool,
+    /// The time of the first failure since the last successful check.
+    failing_since: Millis,
 }
 
 impl MemberHealth {
-    /// Notes what a look found; tells whether turns are served from now on where they weren't, or
-    /// the other way round.
+    /// Records the result of a check. Returns whether it changes whether turns are served.
     pub fn record_check(&mut self, check: Check, now: Millis) -> bool {
         match check {
             Check::Enough => {
-                self.failed = 0;
-                self.doubted = false;
-                self.named = false;
-                std::mem::replace(&mut self.service, Service::Served) != Service::Served
+                self.failed_checks = 0;
+                self.suspected = false;
+                self.silent_logged = false;
+                std::mem::replace(&mut self.service, TurnService::Served) != TurnService::Served
             }
             Check::TooFew => {
-                self.note_since(now);
-                let doubts = u32::from(std::mem::take(&mut self.doubted));
-                self.failed = self.failed.saturating_add(1 + doubts);
-                self.judge()
+                self.record_first_failure(now);
+                let suspicions = u32::from(std::mem::take(&mut self.suspected));
+                self.failed_checks = self.failed_checks.saturating_add(1 + suspicions);
+                self.update_service()
             }
         }
     }
 
-    /// Notes that a turn found too few members; tells whether turns are refused from now on where
-    /// they were served.
+    /// Records that a turn found too few members. Returns whether turns, served until now, are
+    /// refused from now on.
     pub fn suspect(&mut self, now: Millis) -> bool {
-        self.note_since(now);
-        self.doubted = true;
-        self.judge()
+        self.record_first_failure(now);
+        self.suspected = true;
+        self.update_service()
     }
 
-    /// Tells whether a turn has found too few members since the last look.
+    /// Returns whether a turn has found too few members since the last check.
     #[must_use]
     pub const fn is_suspected(&self) -> bool {
-        self.doubted
+        self.suspected
     }
 
-    /// Tells once whether the members are lost and the log lacks their names.
-    fn is_to_name(&mut self) -> bool {
-        !self.serves_turns() && !std::mem::replace(&mut self.named, true)
+    /// Returns whether the members are lost and their names have not been logged; `true` only once
+    /// per loss.
+    fn should_log_silent(&mut self) -> bool {
+        !self.serves_turns() && !std::mem::replace(&mut self.silent_logged, true)
     }
 
-    fn note_since(&mut self, now: Millis) {
-        if self.failed == 0 && !self.doubted {
-            self.since = now;
+    fn record_first_failure(&mut self, now: Millis) {
+        if self.failed_checks == 0 && !self.suspected {
+            self.failing_since = now;
         }
     }
 
-    fn judge(&mut self) -> bool {
-        let looks = self.failed.saturating_add(u32::from(self.doubted));
-        let lost = looks >= LOST_AFTER && self.serves_turns();
+    fn update_service(&mut self) -> bool {
+        let failures = self.failed_checks.saturating_add(u32::from(self.suspected));
+        let lost = failures >= LOST_AFTER && self.serves_turns();
         if lost {
-            self.service = Service::Lost;
+            self.service = TurnService::Lost;
         }
         lost
     }
 
-    /// Tells whether turns are served.
+    /// Returns whether turns are served.
     #[must_use]
     pub const fn serves_turns(&self) -> bool {
-        matches!(self.service, Service::Served)
+        matches!(self.service, TurnService::Served)
     }
 
-    /// Tells whether turns aren't served, and haven't been for longer than a restart takes.
+    /// Returns whether turns aren't served and the members have failed for longer than a restart
+    /// takes.
     #[must_use]
     pub fn is_outage(&self, now: Millis) -> bool {
-        !self.serves_turns() && now.since(self.since) > RESTART
+        !self.serves_turns() && now.since(self.failing_since) > MAX_RESTART_TIME
     }
 
-    /// Tells whether the balancer should send turns here.
+    /// Returns whether the load balancer should send turns here.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
-        self.serves_turns() && self.failed == 0 && !self.doubted
+        self.serves_turns() && self.failed_checks == 0 && !self.suspected
     }
 
-    /// Yields when a turn that is refused may come again: when the balancer is expected to send it
-    /// to another VM. Coming sooner it would meet the same refusal, and use up one of its tries; a
-    /// VM that has just started needs some milliseconds more, not another VM, and neither does one
-    /// whose members answer but are slow.
+    /// Returns when a refused turn may be retried: when the load balancer is expected to send it to
+    /// another VM. Retried sooner, it would meet the same refusal and use up one of its tries. The
+    /// delay is short for a VM that has just started, which needs some milliseconds more and not
+    /// another VM, and for a VM whose members answer but are slow.
     #[must_use]
     pub fn retry_after(&self, now: Millis) -> Millis {
-        if self.service == Service::Starting || self.is_ready() {
-            return RETRY;
+        if self.service == TurnService::Starting || self.is_ready() {
+            return RETRY_DELAY;
         }
         balancer::NOTICES
-            .since(now.since(self.since))
-            .max(RETRY_NOTICED)
+            .since(now.since(self.failing_since))
+            .max(RETRY_DELAY_NOTICED)
     }
 }
 
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain calls: one answer, whole before any of it is passed on.
+//! Plain calls: one answer, which is complete before any of it is passed on.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,30 +21,31 @@
 use crate::job;
 use crate::job::Attempt;
 use crate::job::Job;
-use crate::job::Sent;
+use crate::job::SendOutcome;
 use crate::metrics::Outcome;
 use crate::metrics::Span;
 use crate::refuse;
 use crate::shutdown;
 use crate::work;
 
-/// The longest answer in bytes that is held to be passed on whole.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
-/// After this many times the wanted time, a repeatable call that got no answer is tried elsewhere.
-/// Work of twice the usual length ends sooner; a lost answer never comes.
-const PATIENCE: u32 = 3;
+/// The longest answer that is buffered to be passed on whole, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// A repeatable call that got no answer within this multiple of the route's target time is tried
+/// elsewhere. Work that takes twice the usual time ends sooner; a lost answer never comes.
+const TIMEOUT_MULTIPLE: u32 = 3;
 
-/// Serves a call. One that may run at most once goes on where the client has left, as breaking it
-/// off would leave its outcome unknown to everyone; `guard` has the process wait for it when it stops.
+/// Serves a call. A call that may run at most once continues after its caller has left, because
+/// breaking it off would leave its outcome unknown to everyone. `guard` makes the process wait for
+/// it when it stops.
 pub async fn serve(job: Job, guard: work::Guard) -> Response<Body> {
     if job.route.kind == Kind::Idempotent {
-        return run_watched(&job).await;
+        return run_cancellable(&job).await;
     }
-    let asked = Arc::new(job);
-    let job = asked.clone();
+    let shared = Arc::new(job);
+    let job = shared.clone();
     let (sender, receiver) = oneshot::channel();
     tokio::spawn(async move {
-        let response = attempts(&job)
+        let response = run_attempts(&job)
             .await
             .unwrap_or_else(|why| refuse(&job, &why));
         drop(guard);
@@ -57,32 +58,35 @@
             );
         }
     });
-    match shutdown::by_the_end(&asked.node, receiver).await {
+    match shutdown::by_the_end(&shared.node, receiver).await {
         Ok(Ok(response)) => response,
-        Ok(Err(_)) => refuse::died(&asked.node, &asked.call.id),
-        Err(refusal) => refuse(&asked, &refusal),
+        Ok(Err(_)) => refuse::task_died(&shared.node, &shared.call.id),
+        Err(refusal) => refuse(&shared, &refusal),
     }
 }
 
-/// Tells that the caller has left where it is dropped before the call's end.
-struct Watch<'a> {
+/// Logs that the caller has left if it is dropped before the call has finished.
+struct CallerGoneGuard<'a> {
     job: &'a Job,
-    ended: bool,
+    finished: bool,
 }
 
-impl Drop for Watch<'_> {
+impl Drop for CallerGoneGuard<'_> {
     fn drop(&mut self) {
-        if !self.ended {
-            self.job.log_gone(0);
+        if !self.finished {
+            self.job.log_caller_gone(0);
         }
     }
 }
 
-/// Runs a call that is broken off where its caller leaves.
-async fn run_watched(job: &Job) -> Response<Body> {
-    let mut watch = Watch { job, ended: false };
-    let answer = shutdown::by_the_end(&job.node, attempts(job)).await;
-    watch.ended = true;
+/// Runs a call that is broken off when its caller leaves.
+async fn run_cancellable(job: &Job) -> Response<Body> {
+    let mut guard = CallerGoneGuard {
+        job,
+        finished: false,
+    };
+    let answer = shutdown::by_the_end(&job.node, run_attempts(job)).await;
+    guard.finished = true;
     match answer {
         Ok(Ok(response)) => response,
         Ok(Err(refusal)) | Err(refusal) => refuse(job, &refusal),
@@ -90,70 +94,73 @@
 }
 
 fn refuse(job: &Job, refusal: &Refusal) -> Response<Body> {
-    refuse::answer(&job.node, refusal, &job.subject())
+    refuse::respond(&job.node, refusal, &job.request_info())
 }
 
-async fn attempts(job: &Job) -> Result<Response<Body>, Refusal> {
-    let mut not = Vec::new();
-    let mut runs = 0;
+async fn run_attempts(job: &Job) -> Result<Response<Body>, Refusal> {
+    let mut excluded = Vec::new();
+    let mut possible_runs = 0;
     let mut offers = 0;
     loop {
-        if job.left() == Millis::ZERO {
-            return Err(refuse::late(runs));
+        if job.time_left() == Millis::ZERO {
+            return Err(refuse::timed_out(possible_runs));
         }
-        if runs == 0 {
-            shutdown::pass_on(&job.node, job.ends())?;
+        if possible_runs == 0 {
+            shutdown::pass_on(&job.node, job.latest_end())?;
         } else {
-            shutdown::try_again(&job.node, job.ends())?;
+            shutdown::try_again(&job.node, job.latest_end())?;
         }
-        let Some(runner) = job.choose(&not) else {
-            return Err(refuse::nowhere(runs));
+        let Some(runner) = job.choose(&excluded) else {
+            return Err(refuse::no_runner(possible_runs));
         };
         let id = runner.id.clone();
         offers += 1;
         let repeatable = job.route.kind == Kind::Idempotent;
-        let more = repeatable && runs + 1 < job.route.attempts;
+        let may_retry = repeatable && possible_runs + 1 < job.route.attempts;
         let payload = Payload::from(job.body.clone());
-        let until = patience(job, more);
-        let why = match job.send(runner, payload, None, until).await {
-            Sent::Answers(reply, attempt) => match whole(job, *reply, attempt, until).await {
-                Ok(response) => return Ok(response),
-                Err(why) => why,
-            },
-            Sent::NotRun if offers < job::OFFERS => {
-                not.push(id);
+        let deadline = attempt_deadline(job, may_retry);
+        let why = match job.send(runner, payload, None, deadline).await {
+            SendOutcome::Answered(reply, attempt) => {
+                match read_answer(job, *reply, attempt, deadline).await {
+                    Ok(response) => return Ok(response),
+                    Err(why) => why,
+                }
+            }
+            SendOutcome::NotRun if offers < job::MAX_OFFERS => {
+                excluded.push(id);
                 continue;
             }
-            Sent::NotRun => return Err(refuse::nowhere(runs)),
-            Sent::Unknown(why) => why,
-            Sent::Late => "no answer in time".to_owned(),
+            SendOutcome::NotRun => return Err(refuse::no_runner(possible_runs)),
+            SendOutcome::Unknown(why) => why,
+            SendOutcome::TimedOut => "no answer in time".to_owned(),
         };
-        runs += 1;
+        possible_runs += 1;
         job.log_retry(&id, &why);
-        not.push(id);
-        if !more {
-            return Err(failed(job, &why));
+        excluded.push(id);
+        if !may_retry {
+            return Err(failure(job, &why));
         }
     }
 }
 
-/// Yields until when an answer is waited for before the call is tried elsewhere.
-fn patience(job: &Job, more: bool) -> Instant {
-    if !more {
-        return job.until;
+/// Returns until when an attempt waits for its answer; after that the call is tried elsewhere if
+/// `may_retry`.
+fn attempt_deadline(job: &Job, may_retry: bool) -> Instant {
+    if !may_retry {
+        return job.deadline;
     }
     let aim = job.route.aim.as_duration().max(Duration::from_millis(20));
-    job.until.min(Instant::now() + aim * PATIENCE)
+    job.deadline.min(Instant::now() + aim * TIMEOUT_MULTIPLE)
 }
 
-async fn whole(
+async fn read_answer(
     job: &Job,
     reply: Reply,
     attempt: Attempt,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Response<Body>, String> {
     let head = reply.head;
-    let read = timeout_at(until, reply.body.whole(MAX_ANSWER)).await;
+    let read = timeout_at(deadline, reply.body.whole(MAX_ANSWER_BYTES)).await;
     let body = match read {
         Ok(Ok(body)) => body,
         Ok(Err(fault)) => {
@@ -163,12 +170,12 @@
             }
             return Err(fault.to_string());
         }
-        Err(_) => return Err("the answer's body wasn't whole in time".to_owned()),
+        Err(_) => return Err("the answer's body was not complete in time".to_owned()),
     };
-    let span = Millis::from(attempt.sent.elapsed());
+    let span = Millis::from(attempt.sent_at.elapsed());
     let now = job.node.clock.now();
-    // A failure tells nothing of how long work takes; most come at once.
-    if !job::is_failure(head.status)
+    // A failure says nothing about how long the work takes; most failures come at once.
+    if !job::is_runner_failure(head.status)
         && let Some(runner) = job.node.fleet().runner(&attempt.runner.id)
     {
         runner.note_done(1, span, now);
@@ -176,7 +183,7 @@
     job.node
         .metrics
         .end(Some(job.route.kind), Outcome::Answered);
-    job.note_wait(&attempt);
+    job.record_wait(&attempt);
     job.node.metrics.time(Span::Whole, job.age());
     job.log_answered(&attempt.runner.id, head.status.as_u16(), 0, None);
     Ok(answer::forwarded(
@@ -186,8 +193,8 @@
     ))
 }
 
-fn failed(job: &Job, why: &str) -> Refusal {
-    let code = if job.left() == Millis::ZERO {
+fn failure(job: &Job, why: &str) -> Refusal {
+    let code = if job.time_left() == Millis::ZERO {
         Code::OutcomeUnknown
     } else {
         Code::EndpointFailed
--- a/crates/relay/src/refuse.rs
+++ b/crates/relay/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals of the system's own: which one, told in the log, and rendered.
+//! Refusals by this process: builds, logs and renders them.
 
 use adapter::config::Kind;
 use hyper::Response;
@@ -13,18 +13,18 @@
 use crate::metrics::Outcome;
 use crate::node::Node;
 
-/// When a request that found no runner may come again: about the time in which a runner ends a
-/// request, or in which a new one is listed.
-pub const RETRY: Millis = Millis::new(250);
+/// When a request that found no runner may be retried: about the time in which a runner finishes a
+/// request, or in which a new runner is listed.
+pub const RETRY_DELAY: Millis = Millis::new(250);
 
-/// What is known of a request that is refused.
+/// What is known about a refused request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Subject<'a> {
-    /// Its id.
+pub struct RequestInfo<'a> {
+    /// The request's id.
     pub request: &'a str,
-    /// Its program, if it names one.
+    /// Its program; empty if it names none.
     pub program: &'a str,
-    /// Its route, if it has got one.
+    /// Its route; empty if it has none yet.
     pub route: &'a str,
     /// The kind of that route.
     pub kind: Option<Kind>,
@@ -32,52 +32,54 @@
     pub waited: Millis,
 }
 
-/// Yields the refusal of a request whose time is over; `runs` counts the runners that may have run
-/// it.
+/// Returns the refusal of a request whose deadline has passed; `possible_runs` counts the runners
+/// that may have run it.
 #[must_use]
-pub fn late(runs: u32) -> Refusal {
-    if runs == 0 {
-        return Refusal::new(Code::WaitedTooLong, "").retry_after(RETRY);
+pub fn timed_out(possible_runs: u32) -> Refusal {
+    if possible_runs == 0 {
+        return Refusal::new(Code::WaitedTooLong, "").retry_after(RETRY_DELAY);
     }
     Refusal::new(Code::OutcomeUnknown, "").ran(Ran::Unknown)
 }
 
-/// Yields the refusal of a request that no runner took; `runs` counts those that may have run it.
+/// Returns the refusal of a request that no runner took; `possible_runs` counts the runners that
+/// may have run it.
 #[must_use]
-pub fn nowhere(runs: u32) -> Refusal {
-    if runs == 0 {
-        return Refusal::new(Code::NoEndpoint, "none takes it").retry_after(RETRY);
+pub fn no_runner(possible_runs: u32) -> Refusal {
+    if possible_runs == 0 {
+        return Refusal::new(Code::NoEndpoint, "no runner took the request")
+            .retry_after(RETRY_DELAY);
     }
     Refusal::new(Code::EndpointFailed, "").ran(Ran::Unknown)
 }
 
-/// Answers a request whose task has died: whether a runner has it isn't known.
+/// Answers a request whose task has died. It isn't known whether a runner has the request.
 #[must_use]
-pub fn died(node: &Node, request: &str) -> Response<Body> {
+pub fn task_died(node: &Node, request: &str) -> Response<Body> {
     let refusal = Refusal::new(Code::Internal, "").ran(Ran::Unknown);
-    let subject = Subject {
+    let info = RequestInfo {
         request,
-        ..Subject::default()
+        ..RequestInfo::default()
     };
-    answer(node, &refusal, &subject)
+    respond(node, &refusal, &info)
 }
 
-/// Logs and renders a refusal.
+/// Logs a refusal, and builds the response for it.
 #[must_use]
-pub fn answer(node: &Node, refusal: &Refusal, subject: &Subject<'_>) -> Response<Body> {
+pub fn respond(node: &Node, refusal: &Refusal, info: &RequestInfo<'_>) -> Response<Body> {
     let outcome = match refusal.ran {
         Ran::No => Outcome::Refused,
         Ran::Unknown | Ran::Yes => Outcome::Failed,
     };
-    node.metrics.end(subject.kind, outcome);
+    node.metrics.end(info.kind, outcome);
     node.metrics.refuse(refusal.code);
-    let Subject {
+    let RequestInfo {
         request,
         program,
         route,
         waited,
         ..
-    } = subject;
+    } = info;
     let table = node.table();
     log::warn!(
         "event=E{} text=\"{}\" request={request} program={program} route={route} revision={} code=CY{} ran={:?} waited_ms={} runners_age_ms={} why=\"{}\"",
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -42,39 +42,39 @@
 use crate::node;
 use crate::subject;
 
-/// How long a connection to another VM may take.
-const CONNECT: Duration = Duration::from_millis(400);
+/// How long it may take to connect to another VM.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long sent bytes may go unacknowledged.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long an unused connection is kept.
-const KEEP: Duration = Duration::from_secs(4);
+const KEEP_UNUSED: Duration = Duration::from_secs(4);
 /// The most unused connections to another VM.
-const IDLE: usize = 8;
-/// How long another VM's connection may be idle.
-const IDLE_IN: Duration = Duration::from_mins(1);
-/// How long a watch waits for a request to empty a VM.
-const WAIT: Millis = Millis::new(20_000);
+const MAX_UNUSED_CONNECTIONS: usize = 8;
+/// How long a connection from another VM may be idle.
+const INCOMING_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// How long a watch waits for a request to empty this VM.
+const WATCH_WAIT: Millis = Millis::new(20_000);
 /// The pause after a failed call.
-const AGAIN: Duration = Duration::from_millis(300);
-/// How long the last answers may take to go out.
-const LAST_BYTES: Duration = Duration::from_millis(100);
-/// How often it is looked whether they have.
-const LOOK: Duration = Duration::from_millis(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How long the last answers may take to be sent.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often the process checks whether they have been sent.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Runs the process until SIGTERM.
 ///
 /// # Errors
 ///
-/// Fails where the settings can't be used, the disk fails, or a listener can't be bound.
+/// Fails if the settings can't be used, the disk fails, or a listener can't be bound.
 pub async fn run(settings: Settings, metrics_port: u16) -> Result<()> {
     let clock = Clock::System;
     let grace = settings.grace;
     let door = Arc::new(Door::default());
     let folder = settings.data.clone().ok_or(Fault::Missing("data folder"))?;
-    let fresh = rand::rng().random::<u64>();
-    let member = server::open(&folder, settings.disk_bytes, fresh, clock.clone()).await?;
+    let new_disk_id = rand::rng().random::<u64>();
+    let member = server::open(&folder, settings.disk_bytes, new_disk_id, clock.clone()).await?;
     let ip = settings.ip.parse();
-    let ip = ip.map_err(|_| Fault::Missing("IP number as"))?;
+    let ip = ip.map_err(|_| Fault::Missing("IP address"))?;
     let address = SocketAddr::new(ip, settings.first_port);
     listen_all(&member, &door, address, SocketAddr::new(ip, metrics_port)).await?;
     log::info!(
@@ -84,11 +84,11 @@
         settings.vm
     );
     let http = Client::new(Limits {
-        connect: CONNECT,
-        silence: SILENCE,
-        keep: KEEP,
+        connect: CONNECT_TIMEOUT,
+        silence: ACK_TIMEOUT,
+        keep: KEEP_UNUSED,
         rest: Duration::ZERO,
-        idle: IDLE,
+        idle: MAX_UNUSED_CONNECTIONS,
     });
     let kv = Kv::new(http.clone(), settings.store, node::STORE_TIMEOUT);
     let (phase, phases) = watch::channel(Phase::Member);
@@ -126,34 +126,40 @@
     Ok(())
 }
 
-/// Ends what the member has taken: writes that a writer may count on, and the bytes of their answers.
+/// Finishes what the member has accepted: writes that a writer may rely on, and the bytes of their
+/// answers.
 async fn drain(member: &Member, door: &Door, stop: Stop, clock: &Clock) {
     member.stop();
     let left = stop.left(clock.now()).as_duration();
     if timeout(left, member.written()).await.is_err() {
-        log::warn!("text=\"the disk has not ended its writes\"");
+        log::warn!("text=\"disk writes did not finish before the process has to end\"");
     }
     door.closing.cancel();
     door.leaving.cancel();
     door.shut.cancel();
-    let gone = async {
+    let all_closed = async {
         while door.open() > 0 {
-            sleep(LOOK).await;
+            sleep(FLUSH_POLL_INTERVAL).await;
         }
     };
-    let _cut = timeout(LAST_BYTES, gone).await;
+    let _unflushed = timeout(FLUSH_TIMEOUT, all_closed).await;
 }
 
 async fn listen_all(
     member: &Arc<Member>,
     door: &Arc<Door>,
     address: SocketAddr,
-    scraped: SocketAddr,
+    metrics_address: SocketAddr,
 ) -> Result<()> {
     let shared = member.clone();
     let handler = move |request| server::serve(shared.clone(), request);
     let listener = listen::bind(address).await?;
-    tokio::spawn(listen::run(listener, door.clone(), IDLE_IN, handler));
+    tokio::spawn(listen::run(
+        listener,
+        door.clone(),
+        INCOMING_IDLE_TIMEOUT,
+        handler,
+    ));
 
     let shared = member.clone();
     let handler = move |_request| {
@@ -168,12 +174,17 @@
         ]);
         std::future::ready(answer::text(StatusCode::OK, text))
     };
-    let listener = listen::bind(scraped).await?;
-    tokio::spawn(listen::run(listener, Arc::default(), IDLE_IN, handler));
+    let listener = listen::bind(metrics_address).await?;
+    tokio::spawn(listen::run(
+        listener,
+        Arc::default(),
+        INCOMING_IDLE_TIMEOUT,
+        handler,
+    ));
     Ok(())
 }
 
-/// Empties the VM when operators ask for it, and tells them how far that is.
+/// Empties the VM when operators request it, and reports the progress to them.
 async fn retire(
     kv: Kv,
     vm: String,
@@ -181,8 +192,8 @@
     mut phases: watch::Receiver<Phase>,
 ) {
     wait_for_request(&kv, &vm).await;
-    log::info!("text=\"the VM is to be emptied\" vm={vm}");
-    write(&kv, &vm, keys::retire_running()).await;
+    log::info!("text=\"operators asked to empty the VM\" vm={vm}");
+    write_status(&kv, &vm, keys::retire_running()).await;
     phase.send_replace(Phase::Leaving);
     if phases
         .wait_for(|phase| *phase == Phase::Left)
@@ -191,7 +202,7 @@
     {
         return;
     }
-    write(&kv, &vm, keys::retire_complete()).await;
+    write_status(&kv, &vm, keys::retire_complete()).await;
     log::info!("text=\"the VM has been emptied\" vm={vm}");
 }
 
@@ -209,28 +220,28 @@
             }
             Err(fault) => log::debug!("requests to empty the VM can't be read: {fault}"),
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Watches until the request comes or the watch breaks off; tells whether it came.
+/// Watches until the request comes or the watch breaks off; returns whether the request came.
 async fn watch_for_request(kv: &Kv, key: &str, revision: u64) -> bool {
     let mut revision = revision;
     while let Ok(News::Changes {
         changes,
         revision: next,
-    }) = kv.changes(key, revision, WAIT).await
+    }) = kv.changes(key, revision, WATCH_WAIT).await
     {
         revision = next.max(revision);
-        let asked = |change: &Change| matches!(change, Change::Set(entry) if entry.key == key);
-        if changes.iter().any(asked) {
+        let is_request = |change: &Change| matches!(change, Change::Set(entry) if entry.key == key);
+        if changes.iter().any(is_request) {
             return true;
         }
     }
     false
 }
 
-async fn write(kv: &Kv, vm: &str, value: Vec<u8>) {
+async fn write_status(kv: &Kv, vm: &str, value: Vec<u8>) {
     let txn = Txn {
         compares: Vec::new(),
         writes: vec![Write::Put {
@@ -243,8 +254,10 @@
         match kv.commit(&txn, Weight::Change).await {
             Ok(_) => return,
             Err(fault) => {
-                log::warn!("text=\"the VM's state not written\" vm={vm} fault=\"{fault}\"");
-                sleep(AGAIN).await;
+                log::warn!(
+                    "text=\"can't write the VM's retirement status\" vm={vm} fault=\"{fault}\""
+                );
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,7 +1,9 @@
-//! Turns: streams of events, their tokens set aside before and their text kept after.
+//! Turns: requests whose answer is a stream of events. Tokens are reserved before a turn runs, and
+//! its text is kept afterwards.
 //!
-//! Events go to the client as they come, each whole. The end of a kept turn's stream is held until
-//! its text is on enough disks: a client that has the end may name the turn at any VM.
+//! Each event is sent to the caller when it is complete. The end of a kept turn's stream is held
+//! back until the turn's text is on enough disks: a caller that has seen the end may continue from
+//! the turn at any VM.
 
 use std::time::Duration;
 
@@ -36,7 +38,7 @@
 use crate::job;
 use crate::job::Attempt;
 use crate::job::Job;
-use crate::job::Sent;
+use crate::job::SendOutcome;
 use crate::metrics::Break;
 use crate::metrics::Counter;
 use crate::metrics::Outcome;
@@ -45,61 +47,61 @@
 use crate::shutdown;
 use crate::work;
 
-/// Parts of an answer that wait for a client that reads slowly, before its runner is read no
-/// further.
-const DEPTH: usize = 32;
-/// How often a stream is taken up again after a break.
-const RESUMES: u32 = 3;
-/// How long the end of a stream is held for its text to be kept, beyond the request's own time:
-/// the client has all events by then, and giving up would have it repeat the whole turn.
-const KEEPING: Duration = Duration::from_millis(1_500);
+/// The most parts of an answer that wait for a slow caller. Beyond that, the runner's stream is not
+/// read further.
+const MAX_QUEUED_PARTS: usize = 32;
+/// How often a stream is resumed after a break.
+const MAX_RESUMES: u32 = 3;
+/// How long the end of a stream is held back beyond the request's deadline while its text is being
+/// kept. The caller has all events by then, and giving up would make it repeat the whole turn.
+const KEEP_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The pause between two tries to keep a turn's text.
-const KEEP_PAUSE: Duration = Duration::from_millis(50);
+const KEEP_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// The texts before a turn's own input, the oldest first.
+/// The texts of the turns that this turn continues from, oldest first.
 type History = Vec<Bytes>;
 
 /// How a stream ended.
 #[derive(Debug)]
-enum End {
-    /// The runner sent all of it.
-    Whole,
-    /// The runner broke off.
+enum StreamEnd {
+    /// The runner sent all of the stream.
+    Complete,
+    /// The runner broke the stream off; holds the reason.
     Broken(String),
-    /// The client has left.
-    Gone,
-    /// The time is over.
-    Late,
+    /// The caller has left.
+    CallerGone,
+    /// The deadline passed.
+    TimedOut,
 }
 
-/// A stream on its way to the client.
-struct Flow {
+/// The state of a stream that is passed on to the caller.
+struct StreamState {
     parts: mpsc::Sender<Part>,
     reader: Reader,
-    /// The events' data, each with a line feed, as later turns repeat them.
+    /// The data of the events, each followed by a line feed, as later turns repeat them.
     output: BytesMut,
     events: u64,
-    last: Option<u64>,
-    /// How long after the request's arrival its first event came.
-    first: Option<Millis>,
-    /// The runner that has the stream, or had it last.
+    last_event_id: Option<u64>,
+    /// The time from the request's arrival to its first event.
+    first_event_after: Option<Millis>,
+    /// The runner that sends the stream or sent it last.
     runner: String,
-    /// When the first event since the stream was last taken up came.
-    begun: Option<Instant>,
+    /// When the first event came since the stream was opened or last resumed.
+    first_event_at: Option<Instant>,
 }
 
-/// Yields when a request is over at the latest that has to have its answer at `until`: the end of an
-/// answer may be held beyond.
+/// Returns the latest time at which a request with this deadline ends: the end of a kept turn's
+/// stream may be held back beyond the deadline.
 #[must_use]
-pub fn ends(route: &Route, until: Instant) -> Instant {
+pub fn latest_end(route: &Route, deadline: Instant) -> Instant {
     if is_kept(route) {
-        until + KEEPING
+        deadline + KEEP_TIMEOUT
     } else {
-        until
+        deadline
     }
 }
 
-/// Tells whether a turn's text has to be on disks before its end goes out.
+/// Returns whether a turn's text has to be on disk before the end of its stream is sent.
 fn is_kept(route: &Route) -> bool {
     route.kind == Kind::Stream && route.keeps_turns
 }
@@ -114,43 +116,46 @@
         drop(guard);
     });
     let answer = receiver.await;
-    answer.unwrap_or_else(|_| refuse::died(&node, &id))
+    answer.unwrap_or_else(|_| refuse::task_died(&node, &id))
 }
 
-async fn run(job: Job, head: oneshot::Sender<Response<Body>>) {
+async fn run(job: Job, responder: oneshot::Sender<Response<Body>>) {
     let account = account::of(&job);
-    let mut head = head;
-    let begun = tokio::select! {
-        begun = begin(&job, account) => begun,
-        () = head.closed() => {
-            job.log_gone(0);
+    let mut responder = responder;
+    let started = tokio::select! {
+        started = start_turn(&job, account) => started,
+        () = responder.closed() => {
+            job.log_caller_gone(0);
             account::settle(&job, account, 0);
             return;
         }
     };
-    match begun {
+    match started {
         Ok((reply, attempt, history)) => {
-            answered(&job, account, &history, reply, attempt, head).await;
+            forward_answer(&job, account, &history, reply, attempt, responder).await;
         }
         Err(refusal) => {
             account::settle(&job, account, 0);
-            // A client that has left needs no answer.
-            let _gone = head.send(refuse::answer(&job.node, &refusal, &job.subject()));
+            // A caller that has left needs no answer.
+            let _gone = responder.send(refuse::respond(&job.node, &refusal, &job.request_info()));
         }
     }
 }
 
 /// Prepares a turn and finds the runner that answers it.
-async fn begin(job: &Job, account: Option<Account>) -> Result<(Reply, Attempt, History), Refusal> {
+async fn start_turn(
+    job: &Job,
+    account: Option<Account>,
+) -> Result<(Reply, Attempt, History), Refusal> {
     let prepared = prepare(job, account);
-    let history = shutdown::before(&job.node, job.ends(), prepared).await??;
+    let history = shutdown::before(&job.node, job.latest_end(), prepared).await??;
     job.node.metrics.time(Span::Prepare, job.age());
-    let mut not = Vec::new();
-    let mut runs = 0;
+    let mut excluded = Vec::new();
+    let mut possible_runs = 0;
     let last_event = job.call.last_event;
-    let opened = open(job, &history, &mut not, &mut runs, last_event);
+    let opened = find_runner(job, &history, &mut excluded, &mut possible_runs, last_event);
     let (reply, attempt) = shutdown::by_the_end(&job.node, opened).await??;
-    job.note_wait(&attempt);
+    job.record_wait(&attempt);
     Ok((reply, attempt, history))
 }
 
@@ -162,110 +167,118 @@
 async fn read_history(job: &Job) -> Result<History, Refusal> {
     match &job.call.previous {
         Some(previous) if job.route.keeps_turns => {
-            history::whole(&job.node, Key::of(previous)).await
+            history::load(&job.node, Key::of(previous)).await
         }
         _ => Ok(Vec::new()),
     }
 }
 
-/// Offers the turn to runners until one answers. `runs` counts those that may have run it.
-async fn open(
+/// Offers the turn to runners until one answers. `possible_runs` counts the runners that may have
+/// run it.
+async fn find_runner(
     job: &Job,
     history: &[Bytes],
-    not: &mut Vec<String>,
-    runs: &mut u32,
+    excluded: &mut Vec<String>,
+    possible_runs: &mut u32,
     last_event: Option<u64>,
 ) -> Result<(Reply, Attempt), Refusal> {
-    for _ in 0..job::OFFERS {
-        if job.left() == Millis::ZERO {
+    for _ in 0..job::MAX_OFFERS {
+        if job.time_left() == Millis::ZERO {
             break;
         }
-        if *runs == 0 {
-            shutdown::pass_on(&job.node, job.ends())?;
+        if *possible_runs == 0 {
+            shutdown::pass_on(&job.node, job.latest_end())?;
         } else {
-            shutdown::try_again(&job.node, job.ends())?;
+            shutdown::try_again(&job.node, job.latest_end())?;
         }
-        let Some(runner) = job.choose(not) else {
-            return Err(refuse::nowhere(*runs));
+        let Some(runner) = job.choose(excluded) else {
+            return Err(refuse::no_runner(*possible_runs));
         };
         let id = runner.id.clone();
         let mut pieces = history.to_vec();
         pieces.push(job.body.clone());
         let sent = job
-            .send(runner, Payload::of(pieces), last_event, job.until)
+            .send(runner, Payload::of(pieces), last_event, job.deadline)
             .await;
         match sent {
-            Sent::Answers(reply, attempt) => return Ok((*reply, attempt)),
-            Sent::NotRun => not.push(id),
-            Sent::Unknown(why) => {
-                *runs += 1;
+            SendOutcome::Answered(reply, attempt) => return Ok((*reply, attempt)),
+            SendOutcome::NotRun => excluded.push(id),
+            SendOutcome::Unknown(why) => {
+                *possible_runs += 1;
                 job.log_retry(&id, &why);
-                not.push(id);
-                if !job.route.resumable || *runs >= job.route.attempts {
+                excluded.push(id);
+                if !job.route.resumable || *possible_runs >= job.route.attempts {
                     return Err(Refusal::new(Code::EndpointFailed, &why).ran(Ran::Unknown));
                 }
             }
-            Sent::Late => {
-                *runs += 1;
+            SendOutcome::TimedOut => {
+                *possible_runs += 1;
                 break;
             }
         }
     }
-    if job.left() == Millis::ZERO {
-        return Err(refuse::late(*runs));
+    if job.time_left() == Millis::ZERO {
+        return Err(refuse::timed_out(*possible_runs));
     }
-    Err(refuse::nowhere(*runs))
+    Err(refuse::no_runner(*possible_runs))
 }
 
-/// Passes an answer on, and takes the stream up again where it breaks and may be.
-async fn answered(
+/// Passes an answer on, and resumes the stream after a break if the route allows it.
+async fn forward_answer(
     job: &Job,
     account: Option<Account>,
     history: &[Bytes],
     reply: Reply,
     attempt: Attempt,
-    head: oneshot::Sender<Response<Body>>,
+    responder: oneshot::Sender<Response<Body>>,
 ) {
-    let (sender, receiver) = mpsc::channel(DEPTH);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_PARTS);
     let status = reply.head.status;
     let response = answer::forwarded(status, &reply.head.headers, Body::Parts(receiver));
     let mut response = response;
-    // The end is the system's to send, so the length isn't the runner's to announce.
+    // The end of the stream is sent by this process, so the runner's content length isn't passed
+    // on.
     response.headers_mut().remove(hyper::header::CONTENT_LENGTH);
-    if head.send(response).is_err() {
-        job.log_gone(0);
+    if responder.send(response).is_err() {
+        job.log_caller_gone(0);
         account::settle(job, account, 0);
         return;
     }
-    let mut flow = Flow {
+    let mut state = StreamState {
         parts: sender,
         reader: Reader::default(),
         output: BytesMut::new(),
         events: 0,
-        last: job.call.last_event,
-        first: None,
+        last_event_id: job.call.last_event,
+        first_event_after: None,
         runner: attempt.runner.id.clone(),
-        begun: None,
+        first_event_at: None,
     };
     let success = status.is_success();
     let end = if success {
-        follow(job, history, &mut flow, reply, attempt).await
+        forward_stream(job, history, &mut state, reply, attempt).await
     } else {
-        copy(job, &mut flow, reply).await
+        forward_body(job, &mut state, reply).await
     };
-    finish(job, account, flow, end, status.as_u16()).await;
+    finish(job, account, state, end, status.as_u16()).await;
 }
 
-async fn finish(job: &Job, account: Option<Account>, flow: Flow, end: End, status: u16) {
-    let mut flow = flow;
-    let used = account::used(job, account, flow.events);
+async fn finish(
+    job: &Job,
+    account: Option<Account>,
+    state: StreamState,
+    end: StreamEnd,
+    status: u16,
+) {
+    let mut state = state;
+    let used = account::used(job, account, state.events);
     match end {
-        End::Whole => {
-            let last = Instant::now();
-            let output = std::mem::take(&mut flow.output).freeze();
+        StreamEnd::Complete => {
+            let keep_started = Instant::now();
+            let output = std::mem::take(&mut state.output).freeze();
             let success = (200..300).contains(&status);
-            if success && !keep(job, account, used, &output).await {
-                log_broken(job, &flow, Break::Unkept, "the turn couldn't be kept");
+            if success && !keep_turn(job, account, used, &output).await {
+                log_broken(job, &state, Break::Unkept, "the turn couldn't be kept");
                 return;
             }
             if !success || !job.route.keeps_turns {
@@ -273,206 +286,223 @@
             }
             job.node
                 .metrics
-                .time(Span::Sync, Millis::from(last.elapsed()));
+                .time(Span::Sync, Millis::from(keep_started.elapsed()));
             job.node.metrics.time(Span::Whole, job.age());
             job.node
                 .metrics
                 .end(Some(job.route.kind), Outcome::Answered);
-            // A client that has left needs no end.
-            let _gone = flow.parts.send(Part::End).await;
-            job.log_answered(&flow.runner, status, flow.events, flow.first);
+            // A caller that has left needs no end.
+            let _gone = state.parts.send(Part::End).await;
+            job.log_answered(&state.runner, status, state.events, state.first_event_after);
         }
-        End::Broken(why) => {
+        StreamEnd::Broken(why) => {
             account::settle(job, account, used);
-            log_broken(job, &flow, Break::Runner, &why);
+            log_broken(job, &state, Break::Runner, &why);
         }
-        End::Gone => {
+        StreamEnd::CallerGone => {
             account::settle(job, account, used);
-            job.log_gone(flow.events);
+            job.log_caller_gone(state.events);
         }
-        End::Late => {
+        StreamEnd::TimedOut => {
             account::settle(job, account, used);
-            log_broken(job, &flow, Break::Late, "the time is over");
+            log_broken(job, &state, Break::Late, "the time is over");
         }
     }
 }
 
-/// Passes events on until the end, over breaks where the route allows.
-async fn follow(
+/// Passes events on until the end of the stream, resuming it after breaks if the route allows it.
+async fn forward_stream(
     job: &Job,
     history: &[Bytes],
-    flow: &mut Flow,
+    state: &mut StreamState,
     reply: Reply,
     attempt: Attempt,
-) -> End {
+) -> StreamEnd {
     let mut reply = reply;
     let mut attempt = attempt;
     let mut resumes = 0;
     loop {
-        let before = flow.events;
-        flow.begun = None;
-        let end = pump(job, flow, &mut reply).await;
-        note(job, &attempt, flow, before, &end);
-        let End::Broken(why) = end else {
+        let events_before = state.events;
+        state.first_event_at = None;
+        let end = forward_events(job, state, &mut reply).await;
+        record_pace(job, &attempt, state, events_before, &end);
+        let StreamEnd::Broken(why) = end else {
             return end;
         };
         resumes += 1;
-        if !job.route.resumable || resumes > RESUMES || job.left() == Millis::ZERO {
-            return End::Broken(why);
+        if !job.route.resumable || resumes > MAX_RESUMES || job.time_left() == Millis::ZERO {
+            return StreamEnd::Broken(why);
         }
-        match resume(job, history, flow, &attempt, &why).await {
+        match resume(job, history, state, &attempt, &why).await {
             Ok(next) => {
                 (reply, attempt) = next;
-                flow.runner.clone_from(&attempt.runner.id);
+                state.runner.clone_from(&attempt.runner.id);
             }
             Err(end) => return end,
         }
     }
 }
 
-/// Takes a broken stream up again: at its runner if that still answers, as it has read the prompt
-/// and another one would count as a further run, else at another.
+/// Resumes a broken stream: at the same runner if it still answers, because it has already read the
+/// prompt and another runner would count as a further run; otherwise at another runner.
 async fn resume(
     job: &Job,
     history: &[Bytes],
-    flow: &mut Flow,
+    state: &mut StreamState,
     attempt: &Attempt,
     why: &str,
-) -> Result<(Reply, Attempt), End> {
-    flow.reader = Reader::default();
-    let same = attempt.runner.clone();
+) -> Result<(Reply, Attempt), StreamEnd> {
+    state.reader = Reader::default();
+    let same_runner = attempt.runner.clone();
     log::info!(
         "event=E{} text=\"{}\" request={} program={} runner={} event_id={:?} why=\"{why}\"",
         Event::StreamResumed.number(),
         Event::StreamResumed.text(),
         job.call.id,
         job.call.program.as_deref().unwrap_or_default(),
-        same.id,
-        flow.last
+        same_runner.id,
+        state.last_event_id
     );
     let mut pieces = history.to_vec();
     pieces.push(job.body.clone());
-    let gone = flow.parts.clone();
-    let again = async {
-        let id = same.id.clone();
+    let caller = state.parts.clone();
+    let retry_same_runner = async {
+        let id = same_runner.id.clone();
         let sent = job
-            .send(same, Payload::of(pieces), flow.last, job.until)
+            .send(
+                same_runner,
+                Payload::of(pieces),
+                state.last_event_id,
+                job.deadline,
+            )
             .await;
-        if let Sent::Answers(reply, attempt) = sent {
+        if let SendOutcome::Answered(reply, attempt) = sent {
             return Ok((*reply, attempt));
         }
-        let mut not = vec![id];
-        open(job, history, &mut not, &mut 0, flow.last).await
+        let mut excluded = vec![id];
+        find_runner(job, history, &mut excluded, &mut 0, state.last_event_id).await
     };
     let opened = tokio::select! {
-        opened = again => opened,
-        () = gone.closed() => return Err(End::Gone),
+        opened = retry_same_runner => opened,
+        () = caller.closed() => return Err(StreamEnd::CallerGone),
     };
     match opened {
         Ok((reply, attempt)) if reply.head.status.is_success() => {
             job.node.metrics.count(Counter::Resumed);
             Ok((reply, attempt))
         }
-        Ok((reply, _)) => Err(End::Broken(format!(
+        Ok((reply, _)) => Err(StreamEnd::Broken(format!(
             "{why}; then status {}",
             reply.head.status
         ))),
-        Err(refusal) => Err(End::Broken(format!("{why}; then {refusal}"))),
+        Err(refusal) => Err(StreamEnd::Broken(format!("{why}; then {refusal}"))),
     }
 }
 
-/// Notes how fast the runner was.
+/// Records how fast the runner was.
 ///
-/// Counted from its first event on: the wait for a slot and the reading of the prompt would else
-/// make a runner look slow that only got long prompts.
-fn note(job: &Job, attempt: &Attempt, flow: &Flow, before: u64, end: &End) {
-    let events = flow.events - before;
+/// Measured from the runner's first event on. Otherwise the wait for a slot and the reading of the
+/// prompt would make a runner that only got long prompts look slow.
+fn record_pace(
+    job: &Job,
+    attempt: &Attempt,
+    state: &StreamState,
+    events_before: u64,
+    end: &StreamEnd,
+) {
+    let events = state.events - events_before;
     let now = job.node.clock.now();
     let mut fleet = job.node.fleet();
     let Some(runner) = fleet.runner(&attempt.runner.id) else {
         return;
     };
     match end {
-        End::Broken(_) => runner.note_failed(now),
-        End::Whole if events > 1 => {
+        StreamEnd::Broken(_) => runner.note_failed(now),
+        StreamEnd::Complete if events > 1 => {
             let engine = job.table.engine(&job.service);
             let tokens = engine.map_or(1, |engine| engine.event_tokens) * (events - 1);
-            let begun = flow.begun.unwrap_or_else(Instant::now);
-            runner.note_done(tokens, Millis::from(begun.elapsed()), now);
+            let first_event_at = state.first_event_at.unwrap_or_else(Instant::now);
+            runner.note_done(tokens, Millis::from(first_event_at.elapsed()), now);
         }
-        End::Whole | End::Gone | End::Late => {}
+        StreamEnd::Complete | StreamEnd::CallerGone | StreamEnd::TimedOut => {}
     }
 }
 
-async fn pump(job: &Job, flow: &mut Flow, reply: &mut Reply) -> End {
+async fn forward_events(job: &Job, state: &mut StreamState, reply: &mut Reply) -> StreamEnd {
     loop {
         let data = tokio::select! {
             data = reply.body.data() => data,
-            () = flow.parts.closed() => return End::Gone,
-            () = tokio::time::sleep_until(job.until) => return End::Late,
+            () = state.parts.closed() => return StreamEnd::CallerGone,
+            () = tokio::time::sleep_until(job.deadline) => return StreamEnd::TimedOut,
         };
         match data {
             Ok(Some(bytes)) => {
-                if let Err(fault) = flow.reader.push(&bytes) {
-                    return End::Broken(fault.to_string());
+                if let Err(fault) = state.reader.push(&bytes) {
+                    return StreamEnd::Broken(fault.to_string());
                 }
             }
-            Ok(None) if flow.reader.is_within() => {
-                return End::Broken("the runner stopped within an event".to_owned());
+            Ok(None) if state.reader.has_partial_event() => {
+                return StreamEnd::Broken("the runner ended the stream within an event".to_owned());
             }
-            Ok(None) => return End::Whole,
-            Err(fault) => return End::Broken(fault.to_string()),
+            Ok(None) => return StreamEnd::Complete,
+            Err(fault) => return StreamEnd::Broken(fault.to_string()),
         }
-        while let Some(event) = flow.reader.pop() {
-            if event.id.is_some() && flow.last.is_some() && event.id <= flow.last {
-                return End::Broken("an event came twice".to_owned());
+        while let Some(event) = state.reader.pop() {
+            if event.id.is_some()
+                && state.last_event_id.is_some()
+                && event.id <= state.last_event_id
+            {
+                return StreamEnd::Broken(
+                    "the runner sent an event id that is not above the last one".to_owned(),
+                );
             }
-            if flow.first.is_none() {
+            if state.first_event_after.is_none() {
                 let age = job.age();
-                flow.first = Some(age);
+                state.first_event_after = Some(age);
                 job.node.metrics.time(Span::First, age);
             }
-            flow.begun.get_or_insert_with(Instant::now);
-            flow.events += 1;
-            flow.last = event.id.or(flow.last);
+            state.first_event_at.get_or_insert_with(Instant::now);
+            state.events += 1;
+            state.last_event_id = event.id.or(state.last_event_id);
             if job.route.keeps_turns {
-                flow.output.extend_from_slice(&event.data);
-                flow.output.extend_from_slice(b"\n");
+                state.output.extend_from_slice(&event.data);
+                state.output.extend_from_slice(b"\n");
             }
             job.node.metrics.count(Counter::Events);
-            let sent = timeout_at(job.until, flow.parts.send(Part::Data(event.bytes)));
+            let sent = timeout_at(job.deadline, state.parts.send(Part::Data(event.bytes)));
             match sent.await {
                 Ok(Ok(())) => {}
-                Ok(Err(_)) => return End::Gone,
-                Err(_) => return End::Late,
+                Ok(Err(_)) => return StreamEnd::CallerGone,
+                Err(_) => return StreamEnd::TimedOut,
             }
         }
     }
 }
 
-/// Passes an answer on that isn't a stream of events, a failure of the runner's own.
-async fn copy(job: &Job, flow: &mut Flow, reply: Reply) -> End {
+/// Passes on an answer that isn't a stream of events: a failure of the runner itself.
+async fn forward_body(job: &Job, state: &mut StreamState, reply: Reply) -> StreamEnd {
     let mut reply = reply;
     loop {
         let data = tokio::select! {
             data = reply.body.data() => data,
-            () = flow.parts.closed() => return End::Gone,
-            () = tokio::time::sleep_until(job.until) => return End::Late,
+            () = state.parts.closed() => return StreamEnd::CallerGone,
+            () = tokio::time::sleep_until(job.deadline) => return StreamEnd::TimedOut,
         };
         match data {
             Ok(Some(bytes)) => {
-                if flow.parts.send(Part::Data(bytes)).await.is_err() {
-                    return End::Gone;
+                if state.parts.send(Part::Data(bytes)).await.is_err() {
+                    return StreamEnd::CallerGone;
                 }
             }
-            Ok(None) => return End::Whole,
-            Err(fault) => return End::Broken(fault.to_string()),
+            Ok(None) => return StreamEnd::Complete,
+            Err(fault) => return StreamEnd::Broken(fault.to_string()),
         }
     }
 }
 
-/// Keeps a turn's text and settles its tokens; tells whether it is kept, if it has to be.
-async fn keep(job: &Job, account: Option<Account>, used: u32, output: &Bytes) -> bool {
+/// Keeps a turn's text and settles its tokens. Returns `false` if the text has to be kept and could
+/// not be.
+async fn keep_turn(job: &Job, account: Option<Account>, used: u32, output: &Bytes) -> bool {
     if !is_kept(&job.route) {
         return true;
     }
@@ -487,13 +517,13 @@
         previous,
         text: text.clone(),
     };
-    let until = job.until.max(Instant::now()) + KEEPING;
+    let deadline = job.deadline.max(Instant::now()) + KEEP_TIMEOUT;
     loop {
         let kept = job
             .node
             .replicas
             .apply(key, vec![Record::Turn(turn.clone())]);
-        match timeout_at(until, kept).await {
+        match timeout_at(deadline, kept).await {
             Ok(Ok(())) => break,
             Ok(Err(fault)) => log::warn!(
                 "event=E{} text=\"{}\" request={} program={} fault=\"{fault}\"",
@@ -505,18 +535,19 @@
             Err(_) => return false,
         }
         if job.node.member_health().is_outage(job.node.clock.now()) {
-            // The cut or outage lasts, so it is no restart of two members: the client comes again
-            // sooner where the stream breaks off now than where it waits for an end that doesn't come.
+            // The partition or outage has lasted longer than a restart of two members takes. The
+            // caller retries sooner if the stream breaks off now than if it waits for an end that
+            // doesn't come.
             return false;
         }
-        sleep(KEEP_PAUSE).await;
+        sleep(KEEP_RETRY_PAUSE).await;
     }
     account::settle(job, account, used);
     job.node.turns().insert(key, text, previous);
     true
 }
 
-fn log_broken(job: &Job, flow: &Flow, cause: Break, why: &str) {
+fn log_broken(job: &Job, state: &StreamState, cause: Break, why: &str) {
     job.node.metrics.end(Some(job.route.kind), Outcome::Failed);
     job.node.metrics.break_off(cause);
     log::warn!(
@@ -526,9 +557,9 @@
         job.call.id,
         job.call.program.as_deref().unwrap_or_default(),
         job.route.name,
-        flow.runner,
-        flow.events,
-        job::told(flow.first),
+        state.runner,
+        state.events,
+        job::format_span(state.first_event_after),
         job.age().as_u64()
     );
 }
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -7,22 +7,22 @@
 use adapter::config::Route;
 use adapter::config::Service;
 
-/// One version of the configuration, ready for look-ups.
+/// One version of the configuration, indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct Table {
     /// The version.
     pub version: u64,
-    /// Whether a configuration has been read at all.
+    /// Whether a configuration has been read yet.
     pub loaded: bool,
-    /// How long a client's connection may stay idle, in milliseconds.
+    /// How long a caller's connection may be idle, in milliseconds.
     pub idle_ms: u64,
     /// The largest body in bytes.
     pub body_bytes: usize,
-    /// The document as it was read, for other VMs.
+    /// The configuration's bytes as they were read, for other VMs.
     pub document: Vec<u8>,
-    /// In the order of host and prefix.
+    /// Sorted by host and prefix.
     routes: Vec<Arc<Route>>,
-    /// In the order of their names.
+    /// Sorted by name.
     services: Vec<Service>,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Finds the route with the longest prefix of the path, among those of the host.
+    /// Finds the host's route with the longest prefix that matches the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let first = self
@@ -67,34 +67,33 @@
         found.ok().map(|at| &self.services[at])
     }
 
-    /// Yields what a service's engines can do.
+    /// Returns the engine parameters of a service; `None` for plain and unknown services.
     #[must_use]
     pub fn engine(&self, service: &str) -> Option<Engine> {
         self.service(service)?.engine
     }
 
-    /// Yields how much memory a service's engines have, in tokens; 0 for plain services and unknown
-    /// ones.
+    /// Returns the memory of a service's engines in tokens; 0 for plain and unknown services.
     #[must_use]
     pub fn memory_tokens(&self, service: &str) -> u64 {
         let engine = self.engine(service);
         engine.map_or(0, |engine| engine.memory_tokens)
     }
 
-    /// Tells whether any route takes turns, which need the VMs with a disk.
+    /// Returns whether any route takes turns, which need the VMs with a disk.
     #[must_use]
     pub fn has_streams(&self) -> bool {
         let stream = |route: &Arc<Route>| route.kind == adapter::config::Kind::Stream;
         self.routes.iter().any(stream)
     }
 
-    /// Yields all routes.
+    /// Returns all routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.iter()
     }
 }
 
-/// Draws a route's service for a request by the services' weights; `sample` is in [0, 1).
+/// Picks a route's service for a request by the services' weights; `sample` is in [0, 1).
 #[must_use]
 pub fn pick_service(route: &Route, sample: f64) -> Option<&str> {
     let total: u32 = route.services.iter().map(|share| share.weight).sum();
--- a/crates/relay/src/table/tests.rs
+++ b/crates/relay/src/table/tests.rs
@@ -23,11 +23,11 @@
 fn the_longest_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
-    #[case] wanted: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let table = table();
     let found = table.find(host, path).map(|route| route.name.as_str());
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
 }
 
 #[rstest]
@@ -35,8 +35,8 @@
 #[case(0.89, "s")]
 #[case(0.91, "t")]
 #[case(0.999, "t")]
-fn a_split_follows_its_weights(#[case] drawn: f64, #[case] wanted: &str) {
+fn service_choice_follows_the_weights(#[case] sample: f64, #[case] expected: &str) {
     let table = table();
     let route = table.find("h", "/a/b/c").unwrap();
-    assert_eq!(pick_service(route, drawn), Some(wanted));
+    assert_eq!(pick_service(route, sample), Some(expected));
 }
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -1,4 +1,4 @@
-//! Kept turns that are at hand.
+//! A cache of kept turns in memory.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -6,35 +6,36 @@
 use bytes::Bytes;
 use replica::record::Key;
 
-/// Turns at hand, the oldest dropped first. A map, as turns come in no order of their keys.
+/// Kept turns in memory; the oldest are evicted first. A hash map, because turns don't arrive in
+/// the order of their keys.
 #[derive(Debug, Default)]
 pub struct Cache {
     turns: HashMap<Key, CachedTurn>,
     order: VecDeque<Key>,
     bytes: usize,
-    room: usize,
+    capacity: usize,
 }
 
-/// A turn at hand.
+/// A cached turn.
 #[derive(Clone, Debug)]
 pub struct CachedTurn {
-    /// Its input and output.
+    /// The turn's input and output.
     pub text: Bytes,
     /// The turn that it continued from.
     pub previous: Option<Key>,
 }
 
 impl Cache {
-    /// Makes a cache of `room` bytes.
+    /// Creates a cache that holds texts of `capacity` bytes in total.
     #[must_use]
-    pub fn new(room: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            room,
+            capacity,
             ..Self::default()
         }
     }
 
-    /// Notes a turn.
+    /// Adds a turn, and evicts the oldest ones if the cache is over its capacity.
     pub fn insert(&mut self, key: Key, text: Bytes, previous: Option<Key>) {
         if self.turns.contains_key(&key) {
             return;
@@ -42,7 +43,7 @@
         self.bytes += text.len();
         self.turns.insert(key, CachedTurn { text, previous });
         self.order.push_back(key);
-        while self.bytes > self.room {
+        while self.bytes > self.capacity {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
--- a/crates/relay/tests/failing.rs
+++ b/crates/relay/tests/failing.rs
@@ -1,4 +1,4 @@
-//! Runners that answer, but fail what they answer, or are slow: what their callers see.
+//! Callers' results if a runner fails its requests, or is slow.
 
 mod support;
 
@@ -24,82 +24,82 @@
 use wire::clock::Clock;
 
 const CALLERS: u32 = 8;
-const PLAYED: Duration = Duration::from_secs(3);
-/// What the work of a request takes.
-const WORK: Duration = Duration::from_millis(20);
+const RUN_TIME: Duration = Duration::from_secs(3);
+/// How long the work of a request takes.
+const WORK_TIME: Duration = Duration::from_millis(20);
 
-const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const FAILED: &str = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const FAILED_RESPONSE: &str = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 
 /// What a runner does with a request.
 #[derive(Clone, Copy, Debug)]
-enum Manner {
-    /// It answers after its work.
-    Sound(Duration),
-    /// It answers at once that it failed.
+enum Behaviour {
+    /// Answers after its work.
+    Healthy(Duration),
+    /// Answers at once with a failure.
     Fails,
-    /// It answers two of five at once that it failed, the others after its work.
+    /// Answers two of five requests at once with a failure, the others after its work.
     FailsSome(Duration),
-    /// It breaks its answer off at once.
+    /// Breaks its answer off at once.
     BreaksOff,
-    /// It answers that the time is over, when it is.
+    /// Answers with a gateway time-out after this time.
     Hangs(Duration),
-    /// It turns requests away, and the body that it announces for that doesn't come.
-    TurnsAwayInHalf,
+    /// Turns requests away, and never sends the announced body of the refusal.
+    StallsRefusal,
 }
 
-async fn runner(manner: Manner) -> SocketAddr {
+async fn runner(behaviour: Behaviour) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(answer(stream, manner));
+            tokio::spawn(answer(stream, behaviour));
         }
     });
     address
 }
 
 /// Answers the requests of a connection, which have no bodies.
-async fn answer(mut stream: TcpStream, manner: Manner) {
+async fn answer(mut stream: TcpStream, behaviour: Behaviour) {
     let mut read = Vec::new();
     while let Ok(1..) = stream.read_buf(&mut read).await {
         if !read.ends_with(b"\r\n\r\n") {
             continue;
         }
         read.clear();
-        let said = match manner {
-            Manner::FailsSome(_) if rand::rng().random_ratio(2, 5) => FAILED,
-            Manner::Sound(work) | Manner::FailsSome(work) => {
+        let response = match behaviour {
+            Behaviour::FailsSome(_) if rand::rng().random_ratio(2, 5) => FAILED_RESPONSE,
+            Behaviour::Healthy(work) | Behaviour::FailsSome(work) => {
                 sleep(work).await;
-                DONE
+                OK_RESPONSE
             }
-            Manner::Fails => FAILED,
-            Manner::Hangs(time) => {
+            Behaviour::Fails => FAILED_RESPONSE,
+            Behaviour::Hangs(time) => {
                 sleep(time).await;
                 "HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n"
             }
-            Manner::TurnsAwayInHalf => {
+            Behaviour::StallsRefusal => {
                 "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 9\r\n\r\n"
             }
-            Manner::BreaksOff => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no",
+            Behaviour::BreaksOff => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no",
         };
-        if stream.write_all(said.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
-        if matches!(manner, Manner::BreaksOff) {
+        if matches!(behaviour, Behaviour::BreaksOff) {
             return;
         }
     }
 }
 
-/// Makes a VM that knows a runner of each manner.
-async fn node(manners: &[Manner]) -> Arc<Node> {
+/// Creates a VM that knows one runner of each behaviour.
+async fn node(behaviours: &[Behaviour]) -> Arc<Node> {
     let node = Node::new(
-        settings::parse(&fakes::settings::alone()).expect("it is sound"),
+        settings::parse(&fakes::settings::alone()).expect("the settings are valid"),
         Clock::System,
     );
-    for (at, manner) in manners.iter().enumerate() {
-        let entry = support::entry(runner(*manner).await);
+    for (at, behaviour) in behaviours.iter().enumerate() {
+        let entry = support::entry(runner(*behaviour).await);
         node.fleet().set(&format!("i-{at}"), entry, 0);
     }
     node
@@ -107,83 +107,87 @@
 
 /// What the callers got.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
+struct Results {
     requests: u32,
     failed: u32,
-    /// Those that took several times the usual work.
-    late: u32,
+    /// Requests that took several times the usual work.
+    slow: u32,
 }
 
-/// Has callers send one request after the other.
-async fn play(node: &Arc<Node>) -> Got {
+/// Runs callers that each send one request after the other.
+async fn run_callers(node: &Arc<Node>) -> Results {
     let table = support::table("idempotent", "");
-    let until = Instant::now() + PLAYED;
+    let run_end = Instant::now() + RUN_TIME;
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
         let (node, table) = (node.clone(), table.clone());
         callers.spawn(async move {
-            let mut got = Got::default();
-            while Instant::now() < until {
-                let id = format!("q-{caller}-{}", got.requests);
+            let mut results = Results::default();
+            while Instant::now() < run_end {
+                let id = format!("q-{caller}-{}", results.requests);
                 let job = support::job(&node, &table, &id);
-                let sent = job.arrived;
+                let sent_at = job.arrived;
                 let guard = node.work.begin(Kind::Answer, &id);
                 let response = plain::serve(job, guard).await;
-                got.requests += 1;
-                got.failed += u32::from(response.status() != StatusCode::OK);
-                got.late += u32::from(sent.elapsed() > WORK * 4);
+                results.requests += 1;
+                results.failed += u32::from(response.status() != StatusCode::OK);
+                results.slow += u32::from(sent_at.elapsed() > WORK_TIME * 4);
             }
-            got
+            results
         });
     }
-    let got = callers.join_all().await;
-    got.iter().fold(Got::default(), |sum, got| Got {
-        requests: sum.requests + got.requests,
-        failed: sum.failed + got.failed,
-        late: sum.late + got.late,
-    })
+    let results = callers.join_all().await;
+    results
+        .iter()
+        .fold(Results::default(), |sum, results| Results {
+            requests: sum.requests + results.requests,
+            failed: sum.failed + results.failed,
+            slow: sum.slow + results.slow,
+        })
 }
 
-/// One runner of four fails all or some of what it gets, faster than the others work. With nothing under way it
-/// is always the idle one, and the fastest if its failures count as work that it did: callers would
-/// see nearly nothing but failures.
+/// One runner of four fails all or some of its requests, faster than the others work. With no
+/// request in progress it is always the idle runner, and the fastest one if its failures count as
+/// finished work. Without a pause for failing runners, callers would see almost nothing but
+/// failures.
 #[rstest]
-#[case::fails(Manner::Fails)]
-#[case::fails_some(Manner::FailsSome(WORK))]
-#[case::breaks_off(Manner::BreaksOff)]
+#[case::fails(Behaviour::Fails)]
+#[case::fails_some(Behaviour::FailsSome(WORK_TIME))]
+#[case::breaks_off(Behaviour::BreaksOff)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_runner_that_fails_at_once_gets_little(#[case] manner: Manner) {
-    let sound = Manner::Sound(WORK);
-    let node = node(&[manner, sound, sound, sound]).await;
-    let got = play(&node).await;
-    assert!(got.requests > 200, "{got:?}");
-    assert!(got.failed * 20 < got.requests, "{got:?}");
+async fn runner_that_fails_at_once_gets_few_requests(#[case] behaviour: Behaviour) {
+    let healthy = Behaviour::Healthy(WORK_TIME);
+    let node = node(&[behaviour, healthy, healthy, healthy]).await;
+    let results = run_callers(&node).await;
+    assert!(results.requests > 200, "{results:?}");
+    assert!(results.failed * 20 < results.requests, "{results:?}");
 }
 
-/// One runner of four takes twenty times as long as the others, or hangs until the time is over. Given
-/// an equal share it would hold all callers up in turn; its pace, once learnt, keeps them from it.
+/// One runner of four takes twenty times as long as the others, or hangs until the deadline. With
+/// an equal share it would delay all callers in turn; once its pace is learnt, callers are kept
+/// away from it.
 #[rstest]
-#[case::works_on(Manner::Sound(WORK * 20))]
-#[case::hangs(Manner::Hangs(WORK * 20))]
+#[case::works_on(Behaviour::Healthy(WORK_TIME * 20))]
+#[case::hangs(Behaviour::Hangs(WORK_TIME * 20))]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_runner_that_is_slow_gets_little(#[case] manner: Manner) {
-    let sound = Manner::Sound(WORK);
-    let node = node(&[manner, sound, sound, sound]).await;
-    let got = play(&node).await;
-    assert!(got.requests > 200, "{got:?}");
-    assert!(got.late * 20 < got.requests, "{got:?}");
+async fn slow_runner_gets_few_requests(#[case] behaviour: Behaviour) {
+    let healthy = Behaviour::Healthy(WORK_TIME);
+    let node = node(&[behaviour, healthy, healthy, healthy]).await;
+    let results = run_callers(&node).await;
+    assert!(results.requests > 200, "{results:?}");
+    assert!(results.slow * 20 < results.requests, "{results:?}");
 }
 
-/// A runner turns a request away and stalls within the refusal's body, which is read only so that the
-/// connection can be used again. The request, which nobody has, is held for it beyond all its time,
-/// and beyond the process's last call. The body isn't waited for.
+/// A runner turns a request away and stalls within the refusal's body, which is read only so that
+/// the connection can be reused. If the body were waited for, the request, which no runner has,
+/// would be held beyond its deadline and beyond the process's last call.
 #[tokio::test]
-async fn a_refusal_that_stalls_holds_no_request() {
-    let node = node(&[Manner::TurnsAwayInHalf]).await;
+async fn stalled_refusal_body_does_not_delay_the_answer() {
+    let node = node(&[Behaviour::StallsRefusal]).await;
     let table = support::table("idempotent", "");
     let guard = node.work.begin(Kind::Answer, "q-1");
     let served = plain::serve(support::job(&node, &table, "q-1"), guard);
     let response = timeout(Duration::from_secs(1), served).await;
-    let response = response.expect("it is answered");
+    let response = response.expect("the request is answered in time");
     assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
 }
--- a/crates/relay/tests/lost.rs
+++ b/crates/relay/tests/lost.rs
@@ -1,4 +1,4 @@
-//! What the log tells where a turn finds that the VMs with a disk don't serve it.
+//! The log line for a turn that finds that the VMs with a disk don't serve it.
 
 use std::sync::Mutex;
 
@@ -14,12 +14,12 @@
 use wire::clock::Clock;
 use wire::event::Event;
 
-/// Keeps all lines.
-struct Lines(Mutex<Vec<String>>);
+/// Records all log lines.
+struct LineRecorder(Mutex<Vec<String>>);
 
-static LINES: Lines = Lines(Mutex::new(Vec::new()));
+static LINES: LineRecorder = LineRecorder(Mutex::new(Vec::new()));
 
-impl Log for Lines {
+impl Log for LineRecorder {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
@@ -31,15 +31,16 @@
     fn flush(&self) {}
 }
 
-/// A look finds too few members, and a turn's reads are refused, as those that answer still learn: with that
-/// the members are lost. The turns after it are refused at once, with no reason of their own; the line of
-/// the loss has to tell it, as on-call else looks for members that are down.
+/// A check finds too few members, and a turn's reads are refused because the members that answer
+/// are still catching up. With that the members count as lost, and the following turns are refused
+/// at once without a reason of their own. So the log line for the loss has to give the reason;
+/// otherwise the on-call engineer looks for members that are down.
 #[tokio::test]
-async fn a_loss_that_a_turn_finds_tells_why() {
+async fn lost_members_line_gives_the_reason_of_the_turn() {
     log::set_logger(&LINES).unwrap();
     log::set_max_level(LevelFilter::Warn);
     let node = Node::new(
-        settings::parse(&fakes::settings::alone()).expect("it is sound"),
+        settings::parse(&fakes::settings::alone()).expect("the settings are valid"),
         Clock::System,
     );
     let now = node.clock.now();
@@ -48,7 +49,10 @@
     member_health::suspect(&node, &Fault::Learning).await;
     let lines = LINES.0.lock().unwrap();
     let event = format!("event=E{} ", Event::MembersLost.number());
-    let told: Vec<&String> = lines.iter().filter(|line| line.contains(&event)).collect();
-    assert_eq!(told.len(), 1, "{lines:?}");
-    assert!(told[0].contains(&Fault::Learning.to_string()), "{told:?}");
+    let matching: Vec<&String> = lines.iter().filter(|line| line.contains(&event)).collect();
+    assert_eq!(matching.len(), 1, "{lines:?}");
+    assert!(
+        matching[0].contains(&Fault::Learning.to_string()),
+        "{matching:?}"
+    );
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -20,10 +20,10 @@
 const SERVICE: &str = "s";
 /// A path on the only route.
 const PATH: &str = "/r/x";
-/// What a request may take.
-const TIME: Millis = Millis::new(20_000);
+/// The time limit of a request.
+const TIME_LIMIT: Millis = Millis::new(20_000);
 
-/// Yields the entry of a runner of the tests' data centre.
+/// Returns the entry of a runner in the tests' data centre.
 pub fn entry(address: SocketAddr) -> Entry {
     Entry {
         service: SERVICE.to_owned(),
@@ -36,22 +36,22 @@
     }
 }
 
-/// Makes a table with one route of a kind; `rest` ends its JSON object.
-pub fn table(kind: &str, rest: &str) -> Arc<Table> {
-    let route = fakes::store::route("r", kind, SERVICE, TIME.as_u64(), rest);
+/// Creates a table with one route of a kind; `extra_fields` ends its JSON object.
+pub fn table(kind: &str, extra_fields: &str) -> Arc<Table> {
+    let route = fakes::store::route("r", kind, SERVICE, TIME_LIMIT.as_u64(), extra_fields);
     let document = format!(r#"{{"version":1,"services":[],"routes":[{route}]}}"#);
-    let config = config::decode(document.as_bytes()).expect("it is sound");
+    let config = config::decode(document.as_bytes()).expect("the configuration is valid");
     Arc::new(Table::new(config, &[]))
 }
 
-/// Makes a request that arrives now.
+/// Creates a request that arrives now.
 pub fn job(node: &Arc<Node>, table: &Arc<Table>, id: &str) -> Job {
     let route = table.find(fakes::store::HOST, PATH);
     let arrived = Instant::now();
     Job {
         node: node.clone(),
         table: table.clone(),
-        route: route.expect("the route is there").clone(),
+        route: route.expect("the table has the route").clone(),
         service: SERVICE.to_owned(),
         call: Call {
             id: id.to_owned(),
@@ -63,6 +63,6 @@
         body: Bytes::new(),
         prompt: Vec::new(),
         arrived,
-        until: arrived + TIME.as_duration(),
+        deadline: arrived + TIME_LIMIT.as_duration(),
     }
 }
