--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -11,7 +11,7 @@
 use async_trait::async_trait;
 use journal::claim;
 use journal::copy;
-use journal::gate;
+use journal::decision;
 use journal::log::Log;
 use journal::log::Setup;
 use journal::record::Record;
@@ -115,7 +115,7 @@
 fn turn(state: &mut State, program: usize, number: u32) {
     let attempt = id::Attempt(program as u64 * 100 + u64::from(number));
     let messages = [message("user")];
-    let begin = gate::Begin {
+    let begin = decision::Begin {
         program: &program_id(program),
         caller: &caller(),
         turn: Some(number),
@@ -126,12 +126,12 @@
         endpoint: None,
         now: Millis::ZERO,
     };
-    let Ok(gate::Turn::Start(start)) = gate::begin(state, &begin) else {
+    let Ok(decision::Turn::Start(start)) = decision::begin(state, &begin) else {
         panic!("a turn doesn't start");
     };
     start.records.iter().for_each(|record| state.apply(record));
     let [question] = messages;
-    let commit = gate::Commit {
+    let commit = decision::Commit {
         program: &program_id(program),
         attempt,
         messages: vec![question],
@@ -140,7 +140,7 @@
         endpoint: &endpoint(),
         now: Millis::ZERO,
     };
-    let record = gate::commit(state, commit).expect("the turn fits a key");
+    let record = decision::commit(state, commit).expect("the turn fits a key");
     state.apply(&record.expect("the attempt runs"));
 }
 
@@ -379,7 +379,7 @@
         &self,
         _holder: &copy::Holder,
         _shard: &id::Shard,
-        _held: &copy::Held,
+        _held: &copy::Batch,
     ) -> copy::Result<()> {
         Err(copy::Fault::Unreachable)
     }
@@ -393,7 +393,7 @@
         Err(copy::Fault::Unreachable)
     }
 
-    async fn keep(&self, _shard: &id::Shard, _held: Vec<copy::Held>) {}
+    async fn keep(&self, _shard: &id::Shard, _held: Vec<copy::Batch>) {}
 
     async fn drained(&self, _holder: &copy::Holder, _shard: &id::Shard, _epoch: u64, _seq: u64) {}
 }
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -237,7 +237,7 @@
 
 /// Writes what the old owner left pending to where it was meant to go. A batch of another epoch
 /// than the journal's last is a leftover of an owner that has lost: its place is long taken.
-async fn drain(setup: &Setup, loaded: &mut Loaded, held: &[copy::Held]) -> Result<()> {
+async fn drain(setup: &Setup, loaded: &mut Loaded, held: &[copy::Batch]) -> Result<()> {
     // The old owner may have appended until it was fenced by the collection; without these the
     // first pending batch would look as if others were missing before it.
     let epoch = loaded.state.epoch();
@@ -314,7 +314,7 @@
 }
 
 /// Lets the old owner's copies go.
-async fn spread_drained(setup: &Setup, loaded: &Loaded, held: &[copy::Held]) {
+async fn spread_drained(setup: &Setup, loaded: &Loaded, held: &[copy::Batch]) {
     if held.is_empty() {
         return;
     }
--- a/crates/journal/src/claim/collect.rs
+++ b/crates/journal/src/claim/collect.rs
@@ -12,13 +12,13 @@
 use super::Fault;
 use super::Result;
 use crate::copy;
+use crate::copy::Batch;
 use crate::copy::Collected;
-use crate::copy::Held;
 use crate::log::Setup;
 use crate::state::State;
 
 /// Yields the pending batches by their numbers, each once.
-pub(super) async fn collect(setup: &Setup, state: &State, epoch: u64) -> Result<Vec<Held>> {
+pub(super) async fn collect(setup: &Setup, state: &State, epoch: u64) -> Result<Vec<Batch>> {
     let mut held = Vec::new();
     if state.copies().is_empty() {
         return Ok(held);
--- a/crates/journal/src/claim/load.rs
+++ b/crates/journal/src/claim/load.rs
@@ -13,7 +13,7 @@
 use crate::key;
 use crate::record::Batch;
 use crate::snapshot;
-use crate::snapshot::Known;
+use crate::snapshot::KnownIndex;
 use crate::state::State;
 
 /// Keys listed first; each may be as large as a value can be.
@@ -33,7 +33,7 @@
     pub(super) state: State,
     /// The number of the first key that wasn't read.
     pub(super) next: u64,
-    pub(super) index: Known,
+    pub(super) index: KnownIndex,
     /// The VMs that hold copies for the owner that opened the shard last, at the first reading.
     pub(super) old_copies: Vec<copy::Holder>,
 }
@@ -75,7 +75,7 @@
     shard: &id::Shard,
     loaded: &mut Loaded,
 ) -> Result<()> {
-    let prefix = key::journals(shard);
+    let prefix = key::journal_prefix(shard);
     let mut limit = FIRST_PAGE;
     loop {
         let from = key::journal(shard, loaded.next);
@@ -96,11 +96,11 @@
 }
 
 async fn once(platform: &dyn Platform, shard: &id::Shard) -> Result<Loaded> {
-    let index = snapshot::find(platform, shard).await?;
+    let index = snapshot::read_index(platform, shard).await?;
     let (state, next) = match &index.index {
         None => (State::default(), 0),
         Some(named) => {
-            let image = snapshot::read(platform, shard, named).await?;
+            let image = snapshot::read_image(platform, shard, named).await?;
             let missing = || Fault::Damaged("the image is missing or damaged".to_owned());
             (image.ok_or_else(missing)?, named.seq + 1)
         }
--- a/crates/journal/src/copy.rs
+++ b/crates/journal/src/copy.rs
@@ -25,7 +25,7 @@
 
 /// A batch that waits for the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Batch {
     /// The epoch of the owner that wrote it.
     pub epoch: u64,
     /// The number of the journal key that it is meant for.
@@ -40,7 +40,7 @@
     /// The incarnation of the VM that answers.
     pub incarnation: u64,
     /// What it holds of the shard.
-    pub held: Vec<Held>,
+    pub held: Vec<Batch>,
 }
 
 /// Why a VM doesn't hold or yield copies.
@@ -80,17 +80,17 @@
 #[async_trait]
 pub trait Peers: Send + Sync + 'static {
     /// Asks a VM to hold a batch of a shard ([`Store::hold`]).
-    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Held) -> Result<()>;
+    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> Result<()>;
 
     /// Asks a VM for the batches that it holds of a shard, and fences owners before `epoch` there
     /// ([`Store::collect`]). A VM that owns the shard under an earlier epoch first steps down
-    /// ([`crate::log::Log::surrender`]) and puts what that yields into its own store
+    /// ([`crate::log::Log::step_down`]) and puts what that yields into its own store
     /// ([`Store::keep`]), so that a second claimer finds it there if the first one dies.
     async fn collect(&self, vm: &id::Vm, shard: &id::Shard, epoch: u64) -> Result<Collected>;
 
     /// Puts what was in line when this VM lost a shard into its own store ([`Store::keep`]). It
     /// may have been acknowledged by a VM that is gone since, and the next claimer asks for it.
-    async fn keep(&self, shard: &id::Shard, held: Vec<Held>);
+    async fn keep(&self, shard: &id::Shard, held: Vec<Batch>);
 
     /// Tells a VM that the batches of a shard up to `seq` are in the journal ([`Store::drained`]).
     /// May be lost: later batches of a higher epoch drop them as well.
@@ -112,7 +112,7 @@
     /// Owners of an earlier epoch are refused.
     fence: u64,
     /// By epoch and number.
-    held: Vec<Held>,
+    held: Vec<Batch>,
 }
 
 impl Store {
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// [`Fault::Restarted`], [`Fault::Fenced`], [`Fault::Full`]; nothing is held then.
-    pub fn hold(&mut self, incarnation: u64, shard: &id::Shard, held: &Held) -> Result<()> {
+    pub fn hold(&mut self, incarnation: u64, shard: &id::Shard, held: &Batch) -> Result<()> {
         if incarnation != self.incarnation {
             return Err(Fault::Restarted);
         }
@@ -177,7 +177,7 @@
 
     /// Keeps what this VM's own log had in line when it stepped down; the limit doesn't count, as
     /// the batches were in this VM's memory already.
-    pub fn keep(&mut self, shard: &id::Shard, held: Vec<Held>) {
+    pub fn keep(&mut self, shard: &id::Shard, held: Vec<Batch>) {
         let at = self.place_of(shard);
         for held in held {
             self.put(at, held);
@@ -204,7 +204,7 @@
         })
     }
 
-    fn put(&mut self, at: usize, held: Held) {
+    fn put(&mut self, at: usize, held: Batch) {
         let batches = &mut self.shelves[at].held;
         let found = batches.binary_search_by_key(&(held.epoch, held.seq), |h| (h.epoch, h.seq));
         if let Err(place) = found {
@@ -213,7 +213,7 @@
         }
     }
 
-    fn drop_where(&mut self, at: usize, gone: impl Fn(&Held) -> bool) {
+    fn drop_where(&mut self, at: usize, gone: impl Fn(&Batch) -> bool) {
         let batches = &mut self.shelves[at].held;
         let freed: usize = batches
             .iter()
--- a/crates/journal/src/copy/spread.rs
+++ b/crates/journal/src/copy/spread.rs
@@ -7,8 +7,8 @@
 
 use tokio::task::JoinSet;
 
+use super::Batch;
 use super::Fault;
-use super::Held;
 use super::Result;
 use crate::log::Setup;
 
@@ -24,7 +24,7 @@
 }
 
 /// Offers a batch.
-pub(crate) async fn hold(setup: &Setup, held: Held) -> Spread {
+pub(crate) async fn hold(setup: &Setup, held: Batch) -> Spread {
     let mut offers = JoinSet::new();
     let held = Arc::new(held);
     for holder in setup.copies.clone() {
--- a/crates/journal/src/copy/tests.rs
+++ b/crates/journal/src/copy/tests.rs
@@ -7,8 +7,8 @@
     }
 }
 
-fn held(epoch: u64, seq: u64) -> Held {
-    Held {
+fn held(epoch: u64, seq: u64) -> Batch {
+    Batch {
         epoch,
         seq,
         value: Bytes::from_static(b"four"),
--- a/crates/journal/src/gate.rs
+++ b/crates/journal/src/decision.rs
@@ -9,7 +9,7 @@
 //! and is too large to be kept, which says `yes`.
 
 mod call;
-mod life;
+mod lifecycle;
 mod turn;
 
 use wire::clock::Millis;
@@ -27,14 +27,14 @@
 pub use call::Intend;
 pub use call::intend;
 pub use call::resolve;
-pub use life::Create;
-pub use life::copies;
-pub use life::create;
-pub use life::end;
-pub use life::forget;
-pub use life::holders;
-pub use life::idle;
-pub use life::released;
+pub use lifecycle::Create;
+pub use lifecycle::cache_holders;
+pub use lifecycle::cache_released;
+pub use lifecycle::change_copy_holders;
+pub use lifecycle::create;
+pub use lifecycle::end;
+pub use lifecycle::forget;
+pub use lifecycle::idle_programs;
 pub use turn::Begin;
 pub use turn::Blame;
 pub use turn::Commit;
--- a/crates/journal/src/gate/call.rs
+++ b/crates/journal/src/decision/call.rs
@@ -18,7 +18,7 @@
 use crate::log::Status;
 use crate::program;
 use crate::record;
-use crate::record::Effect;
+use crate::record::Outcome;
 use crate::record::Record;
 use crate::state::State;
 
@@ -88,17 +88,17 @@
 }
 
 /// Records the outcome of a call. `None` where the call is resolved already, or its key belongs to
-/// another attempt, or [`Effect::NotRun`] is said of an earlier owner's call.
+/// another attempt, or [`Outcome::NotRun`] is said of an earlier owner's call.
 ///
 /// A caller whose append was [withheld](crate::log::Fault::Withheld) withdraws the call with
-/// [`Effect::NotRun`].
+/// [`Outcome::NotRun`].
 #[must_use]
 pub fn resolve(
     state: &State,
     program: &id::Program,
     key: &id::Key,
     attempt: id::Attempt,
-    result: Effect,
+    result: Outcome,
 ) -> Option<Record> {
     let call = state.program(program)?.call(key)?;
     if call.attempt != attempt {
@@ -106,8 +106,8 @@
     }
     match (&call.result, &result) {
         // Only the owner that sent the call, or held it back, knows that it didn't run.
-        (None, Effect::NotRun) if call.epoch != state.epoch() => return None,
-        (Some(Effect::Unknown), Effect::Answered { .. }) | (None, _) => {}
+        (None, Outcome::NotRun) if call.epoch != state.epoch() => return None,
+        (Some(Outcome::Unknown), Outcome::Answered { .. }) | (None, _) => {}
         (Some(_), _) => return None,
     }
     let outcome = |result| Record::Outcome {
@@ -118,7 +118,7 @@
     };
     let record = outcome(result);
     if record::size(&record) > MAX_RECORD {
-        return Some(outcome(Effect::Unknown));
+        return Some(outcome(Outcome::Unknown));
     }
     Some(record)
 }
@@ -129,14 +129,14 @@
         return Err(Refusal::new(Code::KeyConflict, call.key.as_str()));
     }
     match &call.result {
-        Some(Effect::Answered { status, body }) => Ok(Call::Replay {
+        Some(Outcome::Answered { status, body }) => Ok(Call::Replay {
             status: *status,
             body,
         }),
         None if call.epoch == state.epoch() => Ok(Call::Join(call.attempt)),
         // Either the answer was lost, or an earlier owner may have sent the call before it died:
         // to send it again could run it twice, and to say that it didn't run could be false.
-        None | Some(Effect::Unknown | Effect::NotRun) => {
+        None | Some(Outcome::Unknown | Outcome::NotRun) => {
             Err(Refusal::new(Code::OutcomeUnknown, "").ran(Ran::Unknown))
         }
     }
--- a/crates/journal/src/gate/life.rs
+++ b/crates/journal/src/decision/lifecycle.rs
@@ -82,7 +82,7 @@
 }
 
 /// Lists the programs that have been idle for too long, to be [`end`]ed.
-pub fn idle(state: &State, now: Millis) -> impl Iterator<Item = &id::Program> {
+pub fn idle_programs(state: &State, now: Millis) -> impl Iterator<Item = &id::Program> {
     let idle = move |program: &&Program| {
         program.ended.is_none()
             && running_here(state, program).is_none()
@@ -92,7 +92,7 @@
 }
 
 /// Lists the endpoints that may hold cache of ended programs.
-pub fn holders(state: &State) -> impl Iterator<Item = (&id::Program, &id::Endpoint)> {
+pub fn cache_holders(state: &State) -> impl Iterator<Item = (&id::Program, &id::Endpoint)> {
     state
         .programs()
         .filter(|program| program.ended.is_some())
@@ -106,7 +106,11 @@
 
 /// Records that an endpoint holds no cache of an ended program. `None` where it is recorded.
 #[must_use]
-pub fn released(state: &State, program: &id::Program, endpoint: &id::Endpoint) -> Option<Record> {
+pub fn cache_released(
+    state: &State,
+    program: &id::Program,
+    endpoint: &id::Endpoint,
+) -> Option<Record> {
     let known = state.program(program)?;
     known.ended?;
     known.holders.binary_search(endpoint).ok()?;
@@ -139,11 +143,11 @@
 }
 
 /// Names the VMs that hold pending batches from now on. `None` where nothing changes. To be asked
-/// whenever they may have changed, and only while [`crate::log::Log::may_rename`] says so. A change
+/// whenever they may have changed, and only while [`crate::log::Log::may_change_holders`] says so. A change
 /// takes two records: after the first, the VMs named before may still hold batches, and a claimer
 /// asks them as well; the second ends that.
 #[must_use]
-pub fn copies(state: &State, holders: &[Holder]) -> Option<Record> {
+pub fn change_copy_holders(state: &State, holders: &[Holder]) -> Option<Record> {
     let known = state.copies();
     let same = known.len() == holders.len() && holders.iter().all(|h| known.contains(h));
     (!same).then(|| Record::Copies {
--- a/crates/journal/src/gate/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::log::Status;
-use crate::record::Effect;
+use crate::record::Outcome;
 
 const TOKENS: u64 = 100;
 const IDLE: u64 = 1_000;
@@ -148,7 +148,7 @@
     state
 }
 
-fn outcome(state: &mut State, result: Effect) {
+fn outcome(state: &mut State, result: Outcome) {
     let record = resolve(state, &program(), &key(), id::Attempt(7), result).unwrap();
     apply(state, &[record]);
 }
@@ -283,14 +283,14 @@
         (refusal.code, refusal.ran),
         (Code::OutcomeUnknown, Ran::Unknown)
     );
-    assert!(resolve(&state, &program(), &key(), id::Attempt(7), Effect::NotRun).is_none());
+    assert!(resolve(&state, &program(), &key(), id::Attempt(7), Outcome::NotRun).is_none());
 }
 
 #[test]
 fn an_answered_call_is_replayed_also_after_the_end() {
     let mut state = ordered();
     let body = Bytes::from_static(b"done");
-    outcome(&mut state, Effect::Answered { status: 200, body });
+    outcome(&mut state, Outcome::Answered { status: 200, body });
     let conflict = order(&state, 2, Status::Open).unwrap_err();
     assert_eq!(conflict.code, Code::KeyConflict);
     let ended = end(
@@ -312,7 +312,7 @@
 #[test]
 fn a_call_that_did_not_run_frees_its_key() {
     let mut state = ordered();
-    outcome(&mut state, Effect::NotRun);
+    outcome(&mut state, Outcome::NotRun);
     assert!(matches!(order(&state, 2, Status::Open), Ok(Call::Start(_))));
     let retry_after = Millis::new(9);
     let refusal = order(&state, 2, Status::Outage { retry_after }).unwrap_err();
@@ -354,9 +354,9 @@
         panic!("condemned at once");
     };
     apply(&mut state, &records);
-    let content = state.content(&program(), id::Digest(1));
+    let content = state.content_digest(&program(), id::Digest(1));
     finish(&mut state, 1, 1);
-    assert!(state.blamed(content).is_empty());
+    assert!(state.crashed_endpoints(content).is_empty());
 }
 
 #[test]
@@ -364,16 +364,16 @@
     let mut state = fresh();
     start(&mut state, FIRST);
     finish(&mut state, 1, 5);
-    assert_eq!(holders(&state).count(), 0);
+    assert_eq!(cache_holders(&state).count(), 0);
     let expired = Millis::new(IDLE + 1);
-    assert_eq!(idle(&state, expired).count(), 1);
+    assert_eq!(idle_programs(&state, expired).count(), 1);
     let ended = end(&state, &program(), &caller(), Code::IdleExpired, expired);
     apply(&mut state, &ended.unwrap());
-    assert_eq!(holders(&state).count(), 1);
+    assert_eq!(cache_holders(&state).count(), 1);
     assert!(forget(&state, &program(), Millis::ZERO, expired).is_none());
-    let record = released(&state, &program(), &endpoint("runner-1")).unwrap();
+    let record = cache_released(&state, &program(), &endpoint("runner-1")).unwrap();
     apply(&mut state, &[record]);
-    assert_eq!(holders(&state).count(), 0);
+    assert_eq!(cache_holders(&state).count(), 0);
     assert_eq!(ask(&state, FIRST).unwrap_err().code, Code::IdleExpired);
 }
 
--- a/crates/journal/src/gate/turn.rs
+++ b/crates/journal/src/decision/turn.rs
@@ -19,7 +19,7 @@
 use crate::program::Running;
 use crate::record;
 use crate::record::Record;
-use crate::state::POISON_AT;
+use crate::state::POISON_THRESHOLD;
 use crate::state::State;
 
 /// The most bytes of a turn's new messages, encoded; leaves the other half of a journal key to the
@@ -150,7 +150,7 @@
     if let Some(running) = running_here(state, program) {
         return join(running, ask.digest);
     }
-    if state.poisoned(state.content(ask.program, ask.digest)) {
+    if state.is_poisoned(state.content_digest(ask.program, ask.digest)) {
         return Err(Refusal::new(Code::Poisoned, ""));
     }
     awake(program, ask.now)?;
@@ -190,7 +190,7 @@
     let Some((program, running)) = attempt_of(state, ask.program, ask.ended) else {
         return Ok(None);
     };
-    if state.poisoned(state.content(ask.program, running.digest)) {
+    if state.is_poisoned(state.content_digest(ask.program, running.digest)) {
         return Err(Refusal::new(Code::Poisoned, ""));
     }
     let used = ask.used.unwrap_or(running.reserved);
@@ -262,8 +262,8 @@
     digest: id::Digest,
     endpoint: &id::Endpoint,
 ) -> Blame {
-    let content = state.content(program, digest);
-    let blamed = state.blamed(content);
+    let content = state.content_digest(program, digest);
+    let blamed = state.crashed_endpoints(content);
     let known = blamed.contains(endpoint);
     let count = blamed.len() + usize::from(!known);
     let blame = (!known).then(|| Record::Blamed {
@@ -272,7 +272,7 @@
         endpoint: endpoint.clone(),
     });
     let records = blame.into_iter().collect();
-    if count >= POISON_AT {
+    if count >= POISON_THRESHOLD {
         return Blame::Poisoned(records);
     }
     Blame::Suspect(records)
--- a/crates/journal/src/key.rs
+++ b/crates/journal/src/key.rs
@@ -14,12 +14,12 @@
 /// Yields a key of a shard's journal.
 #[must_use]
 pub fn journal(shard: &id::Shard, seq: u64) -> String {
-    format!("{}{seq:020}", journals(shard))
+    format!("{}{seq:020}", journal_prefix(shard))
 }
 
 /// Yields the prefix of a shard's journal.
 #[must_use]
-pub fn journals(shard: &id::Shard) -> String {
+pub fn journal_prefix(shard: &id::Shard) -> String {
     format!("journal/{}/{}/", shard.centre, shard.index)
 }
 
@@ -31,18 +31,18 @@
 
 /// Yields the prefix of all images of a shard.
 #[must_use]
-pub fn images(shard: &id::Shard) -> String {
+pub fn images_prefix(shard: &id::Shard) -> String {
     format!("{}/", index(shard))
 }
 
 /// Yields the prefix of one image. Two owners never share one, so neither writes into the other's.
 #[must_use]
-pub fn image(shard: &id::Shard, epoch: u64, seq: u64) -> String {
-    format!("{}{epoch:020}-{seq:020}/", images(shard))
+pub fn image_prefix(shard: &id::Shard, epoch: u64, seq: u64) -> String {
+    format!("{}{epoch:020}-{seq:020}/", images_prefix(shard))
 }
 
 /// Yields a key of an image.
 #[must_use]
 pub fn chunk(shard: &id::Shard, epoch: u64, seq: u64, chunk: u32) -> String {
-    format!("{}{chunk:010}", image(shard, epoch, seq))
+    format!("{}{chunk:010}", image_prefix(shard, epoch, seq))
 }
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -73,7 +73,7 @@
     },
     /// The platform doesn't answer and the records carry an intent, which counts in the journal
     /// only. They stay in line, so the state stays valid; the caller must not dispatch the call,
-    /// and withdraws it with [`crate::gate::resolve`] and [`crate::record::Effect::NotRun`].
+    /// and withdraws it with [`crate::decision::resolve`] and [`crate::record::Outcome::NotRun`].
     #[display("the platform doesn't answer, again in {retry_after}")]
     Withheld {
         /// `No` where the intent surely isn't in the journal, else `Unknown`.
@@ -82,7 +82,7 @@
         retry_after: Millis,
     },
     /// The records are over [`crate::record::MAX_BYTES`]; nothing was appended. Never met by who
-    /// asks [`crate::gate`], which refuses such records before they are applied.
+    /// asks [`crate::decision`], which refuses such records before they are applied.
     #[display("the records are too large for one journal key")]
     TooLarge,
 }
@@ -118,7 +118,7 @@
     /// The epoch of the last opening.
     pub epoch: u64,
     /// The snapshot index.
-    pub index: snapshot::Known,
+    pub index: snapshot::KnownIndex,
 }
 
 /// A handle to the task that appends. Clones speak to the same task, which ends when all are
@@ -154,7 +154,7 @@
     Written(Option<snapshot::Index>),
     /// The journal keys up to this number are removed.
     Removed(u64),
-    Surrender(oneshot::Sender<Vec<copy::Held>>),
+    StepDown(oneshot::Sender<Vec<copy::Batch>>),
 }
 
 impl Log {
@@ -191,17 +191,17 @@
         Append(receiver)
     }
 
-    /// Tells whether other VMs may be named for the copies ([`crate::gate::copies`]): not before an
+    /// Tells whether other VMs may be named for the copies ([`crate::decision::change_copy_holders`]): not before an
     /// earlier naming is in the journal, and not during an outage. Two namings on their way could
     /// both land late, and a claimer would then ask none of the VMs that hold copies.
     #[must_use]
-    pub fn may_rename(&self) -> bool {
+    pub fn may_change_holders(&self) -> bool {
         self.status() == Status::Open && !self.flags.renaming.load(Ordering::SeqCst)
     }
 
     /// Tells whether no other VM holds copies, so that in an outage nothing can become durable.
     #[must_use]
-    pub fn is_alone(&self) -> bool {
+    pub fn has_no_holders(&self) -> bool {
         !self.flags.copied.load(Ordering::SeqCst)
     }
 
@@ -220,9 +220,9 @@
 
     /// Steps down for a new owner, and yields the batches that aren't surely in the journal. Asked
     /// again, yields the same ones.
-    pub async fn surrender(&self) -> Vec<copy::Held> {
+    pub async fn step_down(&self) -> Vec<copy::Batch> {
         let (sender, receiver) = oneshot::channel();
-        self.tell(Command::Surrender(sender));
+        self.tell(Command::StepDown(sender));
         receiver.await.unwrap_or_default()
     }
 
--- a/crates/journal/src/log/line.rs
+++ b/crates/journal/src/log/line.rs
@@ -151,8 +151,8 @@
 
 impl Line {
     /// Yields copies of all batches.
-    pub(crate) fn copies(&self, epoch: u64) -> Vec<copy::Held> {
-        let held = |pending: &Pending| copy::Held {
+    pub(crate) fn copies(&self, epoch: u64) -> Vec<copy::Batch> {
+        let held = |pending: &Pending| copy::Batch {
             epoch,
             seq: pending.seq,
             value: pending.value.clone(),
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -108,7 +108,7 @@
     async fn serve(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
-    ) -> Option<Vec<copy::Held>> {
+    ) -> Option<Vec<copy::Batch>> {
         let mut write: Slot<Step> = None;
         let mut hold: Slot<(u64, Spread)> = None;
         let mut pace: Slot<()> = None;
@@ -149,7 +149,7 @@
     }
 
     /// Takes a command in; yields the asker where it is to step down.
-    fn take(&mut self, command: Command) -> Option<oneshot::Sender<Vec<copy::Held>>> {
+    fn take(&mut self, command: Command) -> Option<oneshot::Sender<Vec<copy::Batch>>> {
         match command {
             Command::Append(records, sender) => self.arrive(records, sender),
             Command::Snapshot(image) => {
@@ -160,7 +160,7 @@
             }
             Command::Written(index) => self.snapshots.written(index),
             Command::Removed(seq) => self.snapshots.removed(seq),
-            Command::Surrender(sender) => return Some(sender),
+            Command::StepDown(sender) => return Some(sender),
         }
         None
     }
@@ -182,14 +182,14 @@
     async fn refuse(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
-        left: &[copy::Held],
+        left: &[copy::Batch],
     ) {
         while let Some(command) = commands.recv().await {
             match command {
                 Command::Append(_, sender) => {
                     let _gone = sender.send(Err(Fault::Lost { ran: Ran::No }));
                 }
-                Command::Surrender(sender) => {
+                Command::StepDown(sender) => {
                     let _gone = sender.send(left.to_vec());
                 }
                 Command::Snapshot(_) | Command::Written(_) | Command::Removed(_) => {}
--- a/crates/journal/src/log/task/form.rs
+++ b/crates/journal/src/log/task/form.rs
@@ -154,7 +154,7 @@
         };
         let pending = self.line.unheld()?;
         pending.offered = true;
-        let held = copy::Held {
+        let held = copy::Batch {
             epoch,
             seq: pending.seq,
             value: pending.value.clone(),
--- a/crates/journal/src/log/task/settle.rs
+++ b/crates/journal/src/log/task/settle.rs
@@ -161,8 +161,8 @@
 
     pub(super) async fn step_down(
         &mut self,
-        sender: oneshot::Sender<Vec<copy::Held>>,
-    ) -> Vec<copy::Held> {
+        sender: oneshot::Sender<Vec<copy::Batch>>,
+    ) -> Vec<copy::Batch> {
         // The new owner writes what it gets, so none of it may be called absent from the journal.
         for pending in &mut self.line.batches {
             pending.offered = true;
@@ -173,7 +173,7 @@
     }
 
     /// Keeps what was in line for later claimers, and tells everyone that the shard is lost.
-    pub(super) async fn lose(&mut self, head: Option<Ran>) -> Vec<copy::Held> {
+    pub(super) async fn lose(&mut self, head: Option<Ran>) -> Vec<copy::Batch> {
         let shard = &self.setup.shard;
         let epoch = self.epoch;
         log::warn!("{} shard={shard} epoch={epoch}", Event::ShardLost);
--- a/crates/journal/src/program.rs
+++ b/crates/journal/src/program.rs
@@ -14,7 +14,7 @@
 use wire::code::Code;
 use wire::id;
 
-use crate::record::Effect;
+use crate::record::Outcome;
 use crate::record::Record;
 
 /// One program.
@@ -85,9 +85,9 @@
     pub attempt: id::Attempt,
     /// The digest of service, operation and body.
     pub digest: id::Digest,
-    /// What became of it, where that is known. [`Effect::NotRun`] never stands here: such a call
+    /// What became of it, where that is known. [`Outcome::NotRun`] never stands here: such a call
     /// is dropped, so that its key can be used again.
-    pub result: Option<Effect>,
+    pub result: Option<Outcome>,
 }
 
 /// The end of a program.
@@ -173,7 +173,7 @@
             }
             Record::Intent { key, .. } => self.ended.is_none() && self.call(key).is_none(),
             Record::Outcome { key, attempt, .. } => self.call(key).is_some_and(|call| {
-                call.attempt == *attempt && !matches!(call.result, Some(Effect::Answered { .. }))
+                call.attempt == *attempt && !matches!(call.result, Some(Outcome::Answered { .. }))
             }),
             Record::Ended { .. } => self.ended.is_none(),
             Record::Released { .. } | Record::Forgotten { .. } => self.ended.is_some(),
@@ -267,13 +267,13 @@
         }
     }
 
-    fn resolve(&mut self, key: &id::Key, result: &Effect) {
+    fn resolve(&mut self, key: &id::Key, result: &Outcome) {
         let Ok(at) = self.find_call(key) else { return };
         match result {
-            Effect::NotRun => {
+            Outcome::NotRun => {
                 self.calls.remove(at);
             }
-            Effect::Answered { .. } | Effect::Unknown => {
+            Outcome::Answered { .. } | Outcome::Unknown => {
                 self.calls[at].result = Some(result.clone());
             }
         }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -131,13 +131,13 @@
         /// The intent's attempt.
         attempt: id::Attempt,
         /// What became of it.
-        result: Effect,
+        result: Outcome,
     },
     /// An endpoint crashed while it ran this content.
     Blamed {
         /// The program.
         program: id::Program,
-        /// The content, with the history before it: [`crate::state::State::content`].
+        /// The content, with the history before it: [`crate::state::State::content_digest`].
         content: id::Digest,
         /// The endpoint.
         endpoint: id::Endpoint,
@@ -167,7 +167,7 @@
 
 /// What became of a call that may run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Effect {
+pub enum Outcome {
     /// The service answered.
     Answered {
         /// The HTTP status.
--- a/crates/journal/src/snapshot.rs
+++ b/crates/journal/src/snapshot.rs
@@ -68,7 +68,7 @@
 
 /// The index as a VM knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownIndex {
     /// The platform's revision at which it was set; 0 where it never was.
     pub revision: u64,
     /// The index.
@@ -153,7 +153,7 @@
 /// # Errors
 ///
 /// Fails where the platform doesn't answer.
-pub async fn read(
+pub async fn read_image(
     platform: &dyn Platform,
     shard: &id::Shard,
     index: &Index,
@@ -177,13 +177,13 @@
 /// # Errors
 ///
 /// Fails where the platform doesn't answer, and with [`Fault::Invalid`] where the index is damaged.
-pub async fn find(platform: &dyn Platform, shard: &id::Shard) -> Result<Known> {
+pub async fn read_index(platform: &dyn Platform, shard: &id::Shard) -> Result<KnownIndex> {
     let Some(entry) = platform.read(&key::index(shard)).await? else {
-        return Ok(Known::default());
+        return Ok(KnownIndex::default());
     };
     let damaged = || Fault::Invalid("the snapshot index is damaged".to_owned());
     let index = Index::decode(&entry.value).ok_or_else(damaged)?;
-    Ok(Known {
+    Ok(KnownIndex {
         revision: entry.revision,
         index: Some(index),
     })
@@ -217,8 +217,8 @@
 /// earlier epoch's are touched: a later owner may be writing its own. Done with the first image of
 /// an epoch.
 async fn sweep(platform: &dyn Platform, shard: &id::Shard, epoch: u64, seed: u64) -> bool {
-    let prefix = key::images(shard);
-    let end = key::image(shard, epoch, 0);
+    let prefix = key::images_prefix(shard);
+    let end = key::image_prefix(shard, epoch, 0);
     let mut from = prefix.clone();
     while from < end {
         let Ok(listed) = platform.range(&prefix, &from, SWEPT_AT_ONCE).await else {
--- a/crates/journal/src/snapshot/progress.rs
+++ b/crates/journal/src/snapshot/progress.rs
@@ -6,7 +6,7 @@
 
 use super::Image;
 use super::Index;
-use super::Known;
+use super::KnownIndex;
 
 /// Batches after which an image may be due: a takeover reads at most this many small keys, in
 /// tens of milliseconds by the range.
@@ -26,7 +26,7 @@
 /// A log's images.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    known: Known,
+    known: KnownIndex,
     floor: u64,
     batches: u64,
     bytes: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Progress {
-    pub(crate) fn new(known: Known) -> Self {
+    pub(crate) fn new(known: KnownIndex) -> Self {
         Self {
             floor: known.index.as_ref().map_or(0, |index| index.floor),
             known,
@@ -123,7 +123,7 @@
 
     /// Notes that the index is set.
     pub(crate) fn indexed(&mut self, revision: u64, index: &Index) -> Removal {
-        let known = Known {
+        let known = KnownIndex {
             revision,
             index: Some(index.clone()),
         };
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -20,11 +20,11 @@
 /// How many different endpoints must have crashed on a content before it is refused for good. One
 /// crash can be the endpoint's own fault; two different endpoints that crash on the same content
 /// are the content's.
-pub const POISON_AT: usize = 2;
+pub const POISON_THRESHOLD: usize = 2;
 
 /// A record that doesn't fit the state: the journal was damaged or mixed with another one.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
-pub enum Misfit {
+pub enum Mismatch {
     /// The record speaks of a program that doesn't exist.
     #[display("program {_0} isn't known")]
     Unknown(#[error(not(source))] id::Program),
@@ -40,7 +40,7 @@
 }
 
 /// The outcome of checking a record.
-pub type Result<T> = std::result::Result<T, Misfit>;
+pub type Result<T> = std::result::Result<T, Mismatch>;
 
 /// The facts of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
     }
 
     /// Applies a record. One that doesn't [`fit`](Self::check) has no effect; records that
-    /// [`crate::gate`] yields fit the state that they were asked of.
+    /// [`crate::decision`] yields fit the state that they were asked of.
     pub fn apply(&mut self, record: &Record) {
         if self.check(record).is_err() {
             return;
@@ -123,9 +123,9 @@
         match record {
             Record::Opened { epoch, .. } if *epoch > self.epoch => Ok(()),
             Record::Copies { .. } => Ok(()),
-            Record::Opened { epoch, .. } => Err(Misfit::Epoch(*epoch)),
+            Record::Opened { epoch, .. } => Err(Mismatch::Epoch(*epoch)),
             Record::Created { program, .. } => match self.find(program) {
-                Ok(_) => Err(Misfit::Exists(program.clone())),
+                Ok(_) => Err(Mismatch::Exists(program.clone())),
                 Err(_) => Ok(()),
             },
             Record::Started { program, .. }
@@ -138,11 +138,11 @@
             | Record::Released { program, .. }
             | Record::Forgotten { program } => {
                 let known = self.program(program);
-                let known = known.ok_or_else(|| Misfit::Unknown(program.clone()))?;
+                let known = known.ok_or_else(|| Mismatch::Unknown(program.clone()))?;
                 if known.takes(record) {
                     return Ok(());
                 }
-                Err(Misfit::Order(program.clone()))
+                Err(Mismatch::Order(program.clone()))
             }
         }
     }
@@ -181,14 +181,14 @@
     /// Yields the digest of a turn's content: its new messages after the program's history. The
     /// same content in another program yields the same digest.
     #[must_use]
-    pub fn content(&self, id: &id::Program, digest: id::Digest) -> id::Digest {
+    pub fn content_digest(&self, id: &id::Program, digest: id::Digest) -> id::Digest {
         let chain = self.program(id).map_or(id::Digest(0), |p| p.chain);
         link(chain, digest)
     }
 
     /// Yields the endpoints that crashed on a content.
     #[must_use]
-    pub fn blamed(&self, content: id::Digest) -> &[id::Endpoint] {
+    pub fn crashed_endpoints(&self, content: id::Digest) -> &[id::Endpoint] {
         match self.find_blame(content) {
             Ok(at) => &self.blames[at].endpoints,
             Err(_) => &[],
@@ -197,8 +197,8 @@
 
     /// Tells whether a content is refused for good.
     #[must_use]
-    pub fn poisoned(&self, content: id::Digest) -> bool {
-        self.blamed(content).len() >= POISON_AT
+    pub fn is_poisoned(&self, content: id::Digest) -> bool {
+        self.crashed_endpoints(content).len() >= POISON_THRESHOLD
     }
 
     fn name(&mut self, holders: &[Holder]) {
@@ -231,7 +231,7 @@
         let digest = self.programs[at].running.as_ref().map(|r| r.digest);
         let content = digest.map(|digest| link(self.programs[at].chain, digest));
         self.programs[at].apply(self.epoch, record);
-        let Some(content) = content.filter(|content| !self.poisoned(*content)) else {
+        let Some(content) = content.filter(|content| !self.is_poisoned(*content)) else {
             return;
         };
         if let Ok(at) = self.find_blame(content) {
--- a/crates/journal/src/state/tests.rs
+++ b/crates/journal/src/state/tests.rs
@@ -35,16 +35,16 @@
     // An operator restores the platform from a mixture of two backups. The new owner must not
     // serve a history that was pieced together from both.
     let twice = State::rebuild(&[opened(1), created("a"), created("a")]);
-    assert!(matches!(twice, Err(Misfit::Exists(_))));
+    assert!(matches!(twice, Err(Mismatch::Exists(_))));
     let back = State::rebuild(&[opened(2), opened(2)]);
-    assert_eq!(back, Err(Misfit::Epoch(2)));
+    assert_eq!(back, Err(Mismatch::Epoch(2)));
     let ended = Record::Ended {
         program: id::Program::parse("b").unwrap(),
         code: Code::ProgramEnded,
         at: Millis::ZERO,
     };
     let unknown = State::rebuild(&[opened(1), created("a"), ended]);
-    assert!(matches!(unknown, Err(Misfit::Unknown(_))));
+    assert!(matches!(unknown, Err(Mismatch::Unknown(_))));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let mut state = State::rebuild(&[opened(1)]).unwrap();
     let mut named = Vec::new();
     for holders in [&old, &old, &new, &new, &new] {
-        if let Some(record) = crate::gate::copies(&state, holders) {
+        if let Some(record) = crate::decision::change_copy_holders(&state, holders) {
             state.apply(&record);
         }
         let vms = state.copies().iter().map(|h| h.vm.as_str().to_owned());
--- a/crates/journal/tests/fuzz/owner.rs
+++ b/crates/journal/tests/fuzz/owner.rs
@@ -9,18 +9,18 @@
 
 use bytes::Bytes;
 use journal::claim::Opened;
-use journal::gate;
-use journal::gate::Begin;
-use journal::gate::Commit;
-use journal::gate::Create;
-use journal::gate::Intend;
-use journal::gate::Restart;
+use journal::decision;
+use journal::decision::Begin;
+use journal::decision::Commit;
+use journal::decision::Create;
+use journal::decision::Intend;
+use journal::decision::Restart;
 use journal::log::Append;
 use journal::log::Durable;
 use journal::log::Fault;
 use journal::log::Log;
 use journal::log::Status;
-use journal::record::Effect as Outcome;
+use journal::record::Outcome;
 use journal::record::Record;
 use journal::state::State;
 use serde_json::Map;
@@ -146,7 +146,7 @@
             idle: Millis::new(u64::MAX),
             now,
         };
-        if let Some(record) = gate::create(&owner.state, &create).unwrap() {
+        if let Some(record) = decision::create(&owner.state, &create).unwrap() {
             owner.put(vec![record], Effect::None);
         }
         let asked = message("user", &format!("question {content}"));
@@ -161,10 +161,10 @@
             endpoint: None,
             now,
         };
-        let start = match gate::begin(&owner.state, &begin) {
-            Ok(gate::Turn::Start(start)) => start,
-            Ok(gate::Turn::Join { .. }) => return,
-            Ok(gate::Turn::Replay { .. }) => panic!("a next turn was replayed"),
+        let start = match decision::begin(&owner.state, &begin) {
+            Ok(decision::Turn::Start(start)) => start,
+            Ok(decision::Turn::Join { .. }) => return,
+            Ok(decision::Turn::Replay { .. }) => panic!("a next turn was replayed"),
             Err(refusal) => {
                 self.oracle.refused.push((attempt, refusal.ran));
                 return;
@@ -204,7 +204,8 @@
             endpoint: None,
             now,
         };
-        let Ok(gate::Turn::Replay { answer, .. }) = gate::begin(&owner.state, &begin) else {
+        let Ok(decision::Turn::Replay { answer, .. }) = decision::begin(&owner.state, &begin)
+        else {
             panic!("a committed turn isn't replayed");
         };
         let (program, answer) = (id.clone(), answer.clone());
@@ -237,7 +238,7 @@
             endpoint: &id::Endpoint::parse("runner").unwrap(),
             now,
         };
-        let record = gate::commit(&owner.state, commit).unwrap();
+        let record = decision::commit(&owner.state, commit).unwrap();
         if let Some(record) = record {
             let Record::Committed { turn, answer, .. } = &record else {
                 panic!("commits with another record");
@@ -269,7 +270,7 @@
             endpoint: None,
             now,
         };
-        let next = gate::restart(&owner.state, &restart).ok().flatten();
+        let next = decision::restart(&owner.state, &restart).ok().flatten();
         if let Some(start) = next.filter(|_| then == Then::Retry) {
             let next = Run {
                 attempt,
@@ -281,7 +282,7 @@
             owner.running.push(run.clone());
         } else {
             let used = Some(run.generated);
-            let stopped = gate::stop(&owner.state, &run.program, run.attempt, used);
+            let stopped = decision::stop(&owner.state, &run.program, run.attempt, used);
             let Some(stopped) = stopped else { return };
             owner.put(vec![stopped], Effect::None);
         }
@@ -291,10 +292,10 @@
     pub fn rename(&mut self, vm: usize) {
         let holders = self.holders(vm);
         let Some(owner) = self.owner(vm) else { return };
-        if !owner.log.may_rename() {
+        if !owner.log.may_change_holders() {
             return;
         }
-        if let Some(record) = gate::copies(&owner.state, &holders) {
+        if let Some(record) = decision::change_copy_holders(&owner.state, &holders) {
             owner.put(vec![record], Effect::None);
         }
     }
@@ -312,9 +313,9 @@
             now,
             status: owner.log.status(),
         };
-        match gate::intend(&owner.state, &intend) {
-            Ok(gate::Call::Start(records)) => owner.put(records, Effect::Send(key, attempt)),
-            Ok(gate::Call::Join(_) | gate::Call::Replay { .. }) => {}
+        match decision::intend(&owner.state, &intend) {
+            Ok(decision::Call::Start(records)) => owner.put(records, Effect::Send(key, attempt)),
+            Ok(decision::Call::Join(_) | decision::Call::Replay { .. }) => {}
             Err(refusal) => self.oracle.refused.push((attempt, refusal.ran)),
         }
     }
@@ -338,7 +339,7 @@
             _ => Effect::None,
         };
         let id = program_id(CALLS);
-        if let Some(record) = gate::resolve(&owner.state, &id, &key, attempt, result) {
+        if let Some(record) = decision::resolve(&owner.state, &id, &key, attempt, result) {
             owner.put(vec![record], effect);
         }
         if how == 1 {
@@ -419,7 +420,7 @@
             (Fault::Withheld { ran, .. }, Effect::Send(key, attempt)) => {
                 self.oracle.refused.push((attempt, ran));
                 let id = program_id(CALLS);
-                let record = gate::resolve(&owner.state, &id, &key, attempt, Outcome::NotRun);
+                let record = decision::resolve(&owner.state, &id, &key, attempt, Outcome::NotRun);
                 owner.put(vec![record.unwrap()], Effect::None);
             }
             (Fault::Lost { .. }, _) => {}
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -9,8 +9,8 @@
 use async_trait::async_trait;
 use journal::claim;
 use journal::copy;
+use journal::copy::Batch;
 use journal::copy::Collected;
-use journal::copy::Held;
 use journal::copy::Holder;
 use journal::copy::Peers;
 use journal::copy::Store;
@@ -500,7 +500,7 @@
 
 #[async_trait]
 impl Peers for Net {
-    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Held) -> copy::Result<()> {
+    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> copy::Result<()> {
         let at = self.reach(&holder.vm).await?;
         let mut publics = self.publics.lock().unwrap();
         publics[at].store.hold(holder.incarnation, shard, held)
@@ -510,14 +510,14 @@
         let at = self.reach(vm).await?;
         let logs = self.publics.lock().unwrap()[at].logs.clone();
         for (_, log) in logs.into_iter().filter(|(old, _)| *old < epoch) {
-            log.surrender().await;
+            log.step_down().await;
         }
         let found = self.publics.lock().unwrap()[at].store.collect(shard, epoch);
         pass(&self.mode).await;
         found
     }
 
-    async fn keep(&self, shard: &id::Shard, held: Vec<Held>) {
+    async fn keep(&self, shard: &id::Shard, held: Vec<Batch>) {
         pass(&self.mode).await;
         self.publics.lock().unwrap()[self.vm]
             .store
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -35,11 +35,11 @@
 /// A centre whose VMs answer claimers with fixed batches, and hold none.
 #[derive(Default)]
 struct Fixed {
-    held: Vec<copy::Held>,
+    held: Vec<copy::Batch>,
     /// An owner that appends once more before the first answer.
     owner: Option<Log>,
     /// What this VM keeps of lost shards.
-    kept: Arc<Mutex<Vec<copy::Held>>>,
+    kept: Arc<Mutex<Vec<copy::Batch>>>,
 }
 
 /// The incarnation of each VM.
@@ -51,7 +51,7 @@
         &self,
         _holder: &copy::Holder,
         _shard: &id::Shard,
-        _held: &copy::Held,
+        _held: &copy::Batch,
     ) -> copy::Result<()> {
         Err(copy::Fault::Unreachable)
     }
@@ -72,7 +72,7 @@
         })
     }
 
-    async fn keep(&self, _shard: &id::Shard, held: Vec<copy::Held>) {
+    async fn keep(&self, _shard: &id::Shard, held: Vec<copy::Batch>) {
         self.kept.lock().unwrap().extend(held);
     }
 
@@ -158,7 +158,7 @@
     opened.log.snapshot(Image::of(&opened.state));
     loop {
         tokio::task::yield_now().await;
-        let first = listed(memory, &key::journals(&shard())).await;
+        let first = listed(memory, &key::journal_prefix(&shard())).await;
         if first[0].key != key::journal(&shard(), 0) {
             return;
         }
@@ -238,7 +238,10 @@
     memory.play(play);
     add(&mut opened, "p").await;
     memory.deliver();
-    assert_eq!(listed(&memory, &key::journals(&shard())).await.len(), 2);
+    assert_eq!(
+        listed(&memory, &key::journal_prefix(&shard())).await.len(),
+        2
+    );
     lapse(&memory).await;
     let next = open(&memory, "b").await.unwrap();
     assert!(
@@ -359,7 +362,7 @@
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     add(&mut opened, "p").await;
-    let covered = listed(&memory, &key::journals(&shard())).await;
+    let covered = listed(&memory, &key::journal_prefix(&shard())).await;
     snapshot(&memory, &opened).await;
     let restored = covered.into_iter().map(|entry| Write::Put {
         key: entry.key,
@@ -414,14 +417,14 @@
     assert_eq!(next.state.programs().count(), 1);
 }
 
-fn pending(epoch: u64, seq: u64) -> copy::Held {
+fn pending(epoch: u64, seq: u64) -> copy::Batch {
     let batch = journal::record::Batch {
         writer: id::Vm::parse("a").unwrap(),
         nonce: 1,
         records: vec![created("p")],
     };
     let value = rmp_serde::to_vec_named(&batch).unwrap().into();
-    copy::Held { epoch, seq, value }
+    copy::Batch { epoch, seq, value }
 }
 
 #[tokio::test]
@@ -454,11 +457,11 @@
     while memory.writes() == before {
         tokio::task::yield_now().await;
     }
-    assert_eq!(opened.log.surrender().await.len(), 1);
+    assert_eq!(opened.log.step_down().await.len(), 1);
     assert_eq!(append.await, Err(Fault::Lost { ran: Ran::Unknown }));
     let late = opened.log.append(vec![intent("p")]);
     assert_eq!(late.await, Err(Fault::Lost { ran: Ran::No }));
-    assert_eq!(opened.log.surrender().await.len(), 1);
+    assert_eq!(opened.log.step_down().await.len(), 1);
 }
 
 #[rstest]
--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -6,9 +6,9 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
+use journal::copy::Batch;
 use journal::copy::Collected;
 use journal::copy::Fault;
-use journal::copy::Held;
 use journal::copy::Holder;
 use journal::copy::Peers;
 use journal::copy::Result;
@@ -33,7 +33,7 @@
 struct Hold {
     process: u64,
     shard: id::Shard,
-    held: Held,
+    held: Batch,
 }
 
 /// A new owner that asks for what is held.
@@ -83,7 +83,7 @@
 
 #[async_trait]
 impl Peers for Others {
-    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Held) -> Result<()> {
+    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> Result<()> {
         let batch = Hold {
             process: holder.incarnation,
             shard: shard.clone(),
@@ -106,7 +106,7 @@
             .await?
     }
 
-    async fn keep(&self, shard: &id::Shard, held: Vec<Held>) {
+    async fn keep(&self, shard: &id::Shard, held: Vec<Batch>) {
         if let Some(core) = self.0.upgrade() {
             core.control.copies().keep(shard, held);
         }
--- a/crates/node/src/owner/call.rs
+++ b/crates/node/src/owner/call.rs
@@ -3,8 +3,8 @@
 
 use std::sync::Arc;
 
-use journal::gate;
-use journal::record::Effect;
+use journal::decision;
+use journal::record::Outcome;
 use policy::eject::Sample;
 use policy::retry::Failure;
 use policy::retry::Repeat;
@@ -78,7 +78,7 @@
         return Ok(());
     }
     if owner.state.program(&ask.program).is_some() {
-        let intend = gate::Intend {
+        let intend = decision::Intend {
             program: &ask.program,
             caller: &ask.caller,
             key,
@@ -87,15 +87,15 @@
             now: owner.now(),
             status: owner.status(),
         };
-        match gate::intend(&owner.state, &intend)? {
-            gate::Call::Start(_) => {}
-            gate::Call::Replay { status, body } => {
+        match decision::intend(&owner.state, &intend)? {
+            decision::Call::Start(_) => {}
+            decision::Call::Replay { status, body } => {
                 let body = body.clone();
                 let _gone = sink.send(Reply::Called { status, body });
                 return Ok(());
             }
             // A call that runs here is pending and was joined above.
-            gate::Call::Join(_) => return Err(Refusal::new(Code::KeyConflict, key.as_str())),
+            decision::Call::Join(_) => return Err(Refusal::new(Code::KeyConflict, key.as_str())),
         }
     }
     // Only after the journal: a configuration that allows the call no more tells nothing of an earlier
@@ -181,7 +181,7 @@
             drop(slot);
             match end {
                 End::Answered { status, body } => {
-                    let effect = Effect::Answered {
+                    let effect = Outcome::Answered {
                         status,
                         body: body.clone(),
                     };
@@ -189,11 +189,11 @@
                     return Ok(Reply::Called { status, body });
                 }
                 End::Unknown { detail } => {
-                    self.resolve(key, attempt, Effect::Unknown).await?;
+                    self.resolve(key, attempt, Outcome::Unknown).await?;
                     return Err(Refusal::new(Code::OutcomeUnknown, &detail).ran(Ran::Unknown));
                 }
                 End::NotRun { detail } => {
-                    self.resolve(key, attempt, Effect::NotRun).await?;
+                    self.resolve(key, attempt, Outcome::NotRun).await?;
                     self.again(&mut work, &endpoint, &detail, Repeat::Once, Ran::No)
                         .await?;
                 }
@@ -245,7 +245,7 @@
             let (sender, _withdrawn) = tokio::sync::oneshot::channel();
             let program = self.work.program.clone();
             let key = key.clone();
-            let message = Message::Resolve(program, key, attempt, Effect::NotRun, sender);
+            let message = Message::Resolve(program, key, attempt, Outcome::NotRun, sender);
             let _gone = self.shard.cast(message);
         }
         intended.map_err(|refusal| match refusal.code {
@@ -256,7 +256,7 @@
     }
 
     /// Makes the outcome durable. Where that fails, the next owner will only see the intent.
-    async fn resolve(&self, key: &id::Key, attempt: id::Attempt, effect: Effect) -> Result<()> {
+    async fn resolve(&self, key: &id::Key, attempt: id::Attempt, effect: Outcome) -> Result<()> {
         let program = self.work.program.clone();
         let message = |sender| Message::Resolve(program, key.clone(), attempt, effect, sender);
         let resolved = turn::decide(&self.core, &self.shard, message).await;
--- a/crates/node/src/owner/decide.rs
+++ b/crates/node/src/owner/decide.rs
@@ -1,8 +1,8 @@
 //! The actor's decisions for the tasks that carry turns and calls: each asks the journal's gate,
 //! applies the records that it yields, and hands them to the journal in the same step.
 
-use journal::gate;
-use journal::gate::Turn;
+use journal::decision;
+use journal::decision::Turn;
 use journal::record::Record;
 use settings::config::Budget;
 use wire::code::Code;
@@ -20,7 +20,7 @@
 impl Owner {
     pub(super) fn begin(&mut self, begin: &message::Begin) -> Result<Decided<Begun>, Refusal> {
         let created = self.first_of(&begin.program, &begin.caller, begin.budget)?;
-        let gate = gate::Begin {
+        let gate = decision::Begin {
             program: &begin.program,
             caller: &begin.caller,
             turn: Some(begin.turn),
@@ -31,7 +31,7 @@
             endpoint: Some(&begin.endpoint),
             now: self.core.clock.now(),
         };
-        let start = match gate::begin(&self.state, &gate) {
+        let start = match decision::begin(&self.state, &gate) {
             Ok(Turn::Start(start)) => start,
             Ok(_) => return Err(Refusal::new(Code::Internal, "the turn began twice")),
             Err(refusal) => {
@@ -60,7 +60,7 @@
         if self.state.program(program).is_some() {
             return Ok(None);
         }
-        let wish = gate::Create {
+        let wish = decision::Create {
             program,
             caller,
             tokens: budget.tokens,
@@ -68,7 +68,7 @@
             idle: budget.idle,
             now: self.core.clock.now(),
         };
-        let record = gate::create(&self.state, &wish)?;
+        let record = decision::create(&self.state, &wish)?;
         if let Some(record) = &record {
             self.state.apply(record);
         }
@@ -78,8 +78,8 @@
     pub(super) fn restart(
         &mut self,
         restart: &message::Restart,
-    ) -> Result<Decided<gate::Start>, Refusal> {
-        let gate = gate::Restart {
+    ) -> Result<Decided<decision::Start>, Refusal> {
+        let gate = decision::Restart {
             program: &restart.program,
             ended: restart.ended,
             used: restart.used,
@@ -88,7 +88,7 @@
             endpoint: Some(&restart.endpoint),
             now: self.now(),
         };
-        let start = gate::restart(&self.state, &gate)?.ok_or_else(superseded)?;
+        let start = decision::restart(&self.state, &gate)?.ok_or_else(superseded)?;
         let records = start.records.clone();
         Ok(self.decide(start, records))
     }
@@ -98,7 +98,7 @@
             .state
             .program(&commit.program)
             .map_or(0, |p| p.committed() + 1);
-        let gate = gate::Commit {
+        let gate = decision::Commit {
             program: &commit.program,
             attempt: commit.attempt,
             messages: commit.messages,
@@ -107,7 +107,7 @@
             endpoint: &commit.endpoint,
             now: self.core.clock.now(),
         };
-        let record = gate::commit(&self.state, gate)?.ok_or_else(superseded)?;
+        let record = decision::commit(&self.state, gate)?.ok_or_else(superseded)?;
         self.seats.set(&commit.program, &commit.endpoint);
         Ok(self.decide(turn, [record]))
     }
@@ -122,10 +122,10 @@
             "{} program={program} endpoint={endpoint}",
             Event::CallBlamed
         );
-        match gate::blame(&self.state, program, digest, endpoint) {
-            gate::Blame::Suspect(records) => self.decide(false, records),
-            gate::Blame::Poisoned(records) => {
-                poison::condemn(&self.core, self.state.content(program, digest));
+        match decision::blame(&self.state, program, digest, endpoint) {
+            decision::Blame::Suspect(records) => self.decide(false, records),
+            decision::Blame::Poisoned(records) => {
+                poison::condemn(&self.core, self.state.content_digest(program, digest));
                 self.decide(true, records)
             }
         }
@@ -133,7 +133,7 @@
 
     pub(super) fn intend(&mut self, intend: &message::Intend) -> Result<Decided<()>, Refusal> {
         let created = self.first_of(&intend.program, &intend.caller, intend.budget)?;
-        let gate = gate::Intend {
+        let gate = decision::Intend {
             program: &intend.program,
             caller: &intend.caller,
             key: &intend.key,
@@ -142,8 +142,8 @@
             now: self.now(),
             status: self.status(),
         };
-        let records = match gate::intend(&self.state, &gate) {
-            Ok(gate::Call::Start(records)) => records,
+        let records = match decision::intend(&self.state, &gate) {
+            Ok(decision::Call::Start(records)) => records,
             Ok(_) => return Err(Refusal::new(Code::Internal, "the call began twice")),
             Err(refusal) => {
                 let _durable = self.apply(created.into_iter().collect());
--- a/crates/node/src/owner/keep.rs
+++ b/crates/node/src/owner/keep.rs
@@ -1,7 +1,7 @@
 //! What a shard's actor looks after without being asked: programs that were idle for too long,
 //! cache that engines hold for ended ones, and the journal's length.
 
-use journal::gate;
+use journal::decision;
 use journal::snapshot::Image;
 use wire::clock::Millis;
 use wire::code::Code;
@@ -37,22 +37,24 @@
 /// shard as the first VM of its data centre, or whose holders were restarted since, would have
 /// nowhere to put a committed turn in the next outage.
 fn name_holders(owner: &mut Owner) {
-    if !owner.log.may_rename() {
+    if !owner.log.may_change_holders() {
         return;
     }
     let holders = copies::holders(&owner.core, &owner.shard);
-    let record = gate::copies(&owner.state, &holders);
+    let record = decision::change_copy_holders(&owner.state, &holders);
     let _durable = owner.apply(record.into_iter().collect());
 }
 
 fn end_idle(owner: &mut Owner) {
     let now = owner.now();
-    let idle: Vec<id::Program> = gate::idle(&owner.state, now).cloned().collect();
+    let idle: Vec<id::Program> = decision::idle_programs(&owner.state, now)
+        .cloned()
+        .collect();
     for program in idle {
         let Some(caller) = owner.state.program(&program).map(|p| p.caller.clone()) else {
             continue;
         };
-        let ended = gate::end(&owner.state, &program, &caller, Code::IdleExpired, now);
+        let ended = decision::end(&owner.state, &program, &caller, Code::IdleExpired, now);
         let _durable = owner.apply(ended.unwrap_or_default());
     }
 }
@@ -61,7 +63,7 @@
     let now = owner.now();
     let ended = owner.state.programs().filter(|p| p.ended.is_some());
     let records: Vec<_> = ended
-        .filter_map(|p| gate::forget(&owner.state, &p.id, RETENTION, now))
+        .filter_map(|p| decision::forget(&owner.state, &p.id, RETENTION, now))
         .collect();
     let _durable = owner.apply(records);
     let state = &owner.state;
@@ -73,7 +75,7 @@
 /// Asks endpoints again to release what they hold of ended programs, until they confirm.
 fn release(owner: &mut Owner) {
     let view = owner.core.view();
-    let held = gate::holders(&owner.state).take(RELEASES);
+    let held = decision::cache_holders(&owner.state).take(RELEASES);
     let held: Vec<(id::Program, id::Endpoint)> = held
         .map(|(program, endpoint)| (program.clone(), endpoint.clone()))
         .collect();
@@ -84,7 +86,7 @@
             .map(|e| e.address.clone())
         else {
             // An endpoint that the operators took out of the configuration is gone with its cache.
-            let record = gate::released(&owner.state, &program, &endpoint);
+            let record = decision::cache_released(&owner.state, &program, &endpoint);
             let _durable = owner.apply(record.into_iter().collect());
             continue;
         };
--- a/crates/node/src/owner/message.rs
+++ b/crates/node/src/owner/message.rs
@@ -1,9 +1,9 @@
 //! What a shard's actor is told and asked.
 
-use journal::gate;
+use journal::decision;
 use journal::log;
 use journal::program::Program;
-use journal::record::Effect;
+use journal::record::Outcome;
 use settings::config::Budget;
 use tokio::sync::oneshot;
 use wire::ask::Ask;
@@ -31,7 +31,7 @@
     /// A turn has an endpoint and wants to start.
     Begin(Begin, Answer<Begun>),
     /// An attempt ended and the turn goes on elsewhere.
-    Restart(Restart, Answer<gate::Start>),
+    Restart(Restart, Answer<decision::Start>),
     /// An answer is whole.
     Commit(Commit, Answer<u32>),
     /// A turn ends without an answer.
@@ -41,7 +41,7 @@
     /// A call that may run at most once has an endpoint and wants to start.
     Intend(Intend, Answer<()>),
     /// What became of such a call.
-    Resolve(id::Program, id::Key, id::Attempt, Effect, Answer<()>),
+    Resolve(id::Program, id::Key, id::Attempt, Outcome, Answer<()>),
     /// The task of a request has ended; its place among the pending ones is free.
     Over(crate::owner::pending::Name),
     /// An endpoint confirmed that it holds no cache of an ended program.
@@ -85,7 +85,7 @@
 /// A turn that may start once its records are durable.
 pub struct Begun {
     /// The attempt's output limit and turn.
-    pub start: gate::Start,
+    pub start: decision::Start,
     /// The history before the turn.
     pub history: Vec<chat::Message>,
 }
--- a/crates/node/src/owner/registry.rs
+++ b/crates/node/src/owner/registry.rs
@@ -7,7 +7,7 @@
 use std::sync::PoisonError;
 
 use journal::claim;
-use journal::copy::Held;
+use journal::copy::Batch;
 use journal::log::Log;
 use journal::log::Setup;
 use journal::log::Status;
@@ -143,11 +143,11 @@
     }
 
     /// Steps down for a newer owner of a shard, and yields what may not be in its journal yet.
-    pub async fn surrender(&self, shard: &id::Shard, epoch: u64) -> Vec<Held> {
+    pub async fn surrender(&self, shard: &id::Shard, epoch: u64) -> Vec<Batch> {
         let Some(entry) = self.entry(shard).filter(|entry| entry.epoch < epoch) else {
             return Vec::new();
         };
-        let held = entry.log.surrender().await;
+        let held = entry.log.step_down().await;
         self.remove(shard, entry.epoch);
         let _stopped = entry.actor.cast(Message::Lost);
         held
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -4,8 +4,8 @@
 
 use std::sync::Arc;
 
-use journal::gate;
-use journal::gate::Turn;
+use journal::decision;
+use journal::decision::Turn;
 use journal::log::Append;
 use journal::log::Log;
 use journal::log::Status;
@@ -119,7 +119,7 @@
             Message::Restart(restart, answer) => reply(answer, owner.restart(&restart)),
             Message::Commit(commit, answer) => reply(answer, owner.commit(commit)),
             Message::Stop(program, attempt, used, answer) => {
-                let record = gate::stop(&owner.state, &program, attempt, used);
+                let record = decision::stop(&owner.state, &program, attempt, used);
                 reply(answer, Ok(owner.decide((), record)));
             }
             Message::Blame(program, digest, endpoint, answer) => {
@@ -127,7 +127,7 @@
             }
             Message::Intend(intend, answer) => reply(answer, owner.intend(&intend)),
             Message::Resolve(program, key, attempt, effect, answer) => {
-                let record = gate::resolve(&owner.state, &program, &key, attempt, effect);
+                let record = decision::resolve(&owner.state, &program, &key, attempt, effect);
                 reply(answer, Ok(owner.decide((), record)));
             }
             Message::Over(name) => owner.over(&name),
@@ -136,7 +136,7 @@
             }
             Message::Sweep(endpoint, programs) => keep::sweep(owner, &endpoint, programs),
             Message::Released(program, endpoint) => {
-                let record = gate::released(&owner.state, &program, &endpoint);
+                let record = decision::cache_released(&owner.state, &program, &endpoint);
                 owner.apply(record.into_iter().collect());
             }
             Message::Tick => keep::tick(owner),
@@ -204,7 +204,7 @@
     pub(super) fn check_open(&self) -> Result<(), Refusal> {
         self.check_kept()?;
         if let Status::Outage { retry_after } = self.status()
-            && self.log.is_alone()
+            && self.log.has_no_holders()
         {
             let detail = "no other VM of the data centre can hold a copy";
             return Err(Refusal::new(Code::PlatformDown, detail).retry_after(retry_after));
@@ -252,7 +252,7 @@
             return self.chat_first(ask, chat, digest, work, sink);
         }
         let begin = self.gate(ask, chat, digest);
-        match gate::begin(&self.state, &begin)? {
+        match decision::begin(&self.state, &begin)? {
             Turn::Replay { turn, answer } => {
                 let answer = answer.clone();
                 let _gone = sink.send(Reply::Done { turn, answer });
@@ -286,15 +286,15 @@
 
     /// Refuses what has crashed endpoints, here or under another shard or VM.
     fn check_poison(&self, ask: &Ask, digest: id::Digest) -> Result<(), Refusal> {
-        let content = self.state.content(&ask.program, digest);
-        if self.state.poisoned(content) || self.core.poison.knows(content) {
+        let content = self.state.content_digest(&ask.program, digest);
+        if self.state.is_poisoned(content) || self.core.poison.knows(content) {
             return Err(Refusal::new(Code::Poisoned, ""));
         }
         Ok(())
     }
 
-    fn gate<'a>(&self, ask: &'a Ask, chat: &'a Chat, digest: id::Digest) -> gate::Begin<'a> {
-        gate::Begin {
+    fn gate<'a>(&self, ask: &'a Ask, chat: &'a Chat, digest: id::Digest) -> decision::Begin<'a> {
+        decision::Begin {
             program: &ask.program,
             caller: &ask.caller,
             turn: chat.turn,
@@ -351,7 +351,7 @@
     /// Makes a program; its budget is that of the selector that speaks for its caller.
     fn create(&mut self, ask: &Ask) -> Result<Option<Append>, Refusal> {
         let budget = budget(&self.core, ask);
-        let wish = gate::Create {
+        let wish = decision::Create {
             program: &ask.program,
             caller: &ask.caller,
             tokens: budget.tokens,
@@ -359,7 +359,7 @@
             idle: budget.idle,
             now: self.now(),
         };
-        let records: Vec<Record> = gate::create(&self.state, &wish)?.into_iter().collect();
+        let records: Vec<Record> = decision::create(&self.state, &wish)?.into_iter().collect();
         if !records.is_empty() {
             self.check_kept()?;
         }
@@ -369,7 +369,7 @@
     fn end(&mut self, ask: &Ask) -> Result<Option<Append>, Refusal> {
         let now = self.now();
         let code = Code::ProgramEnded;
-        let records = gate::end(&self.state, &ask.program, &ask.caller, code, now)?;
+        let records = decision::end(&self.state, &ask.program, &ask.caller, code, now)?;
         if !records.is_empty() {
             self.check_kept()?;
         }
--- a/crates/node/tests/request/lost.rs
+++ b/crates/node/tests/request/lost.rs
@@ -6,8 +6,8 @@
 use async_trait::async_trait;
 use journal::claim;
 use journal::copy;
+use journal::copy::Batch;
 use journal::copy::Collected;
-use journal::copy::Held;
 use journal::copy::Holder;
 use journal::key;
 use journal::log::Setup;
@@ -34,7 +34,7 @@
 
 #[async_trait]
 impl copy::Peers for Nobody {
-    async fn hold(&self, _: &Holder, _: &id::Shard, _: &Held) -> copy::Result<()> {
+    async fn hold(&self, _: &Holder, _: &id::Shard, _: &Batch) -> copy::Result<()> {
         Err(copy::Fault::Unreachable)
     }
 
@@ -42,7 +42,7 @@
         Err(copy::Fault::Unreachable)
     }
 
-    async fn keep(&self, _: &id::Shard, _: Vec<Held>) {}
+    async fn keep(&self, _: &id::Shard, _: Vec<Batch>) {}
 
     async fn drained(&self, _: &Holder, _: &id::Shard, _: u64, _: u64) {}
 }
