--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -32,20 +32,20 @@
 use self::load::Loaded;
 use crate::copy;
 use crate::key;
-use crate::log::Item;
+use crate::log::KeyWrite;
 use crate::log::Log;
 use crate::log::Setup;
-use crate::log::Step;
 use crate::log::Tail;
+use crate::log::WriteOutcome;
+use crate::log::backoff;
 use crate::log::encode;
 use crate::log::nonce;
 use crate::log::send;
-use crate::log::wait;
 use crate::record::Record;
 use crate::state::State;
 
 /// Sends of one key before a claim is given up; the caller tries again from the beginning.
-const TRIES: u32 = 5;
+const MAX_TRIES: u32 = 5;
 
 /// The value of the ownership key `owner/<centre>/<index>`, which goes with its VM's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -117,7 +117,7 @@
 /// Fails with a [`Fault`]; the caller may try again later.
 pub async fn open(setup: Setup, lease: edge::Lease) -> Result<Opened> {
     // Read before the journal is, which may be long, so that a shard that has an owner costs one.
-    let free = vacancy(&setup).await?;
+    let expected = free_revision(&setup).await?;
     let mut loaded = load::load(setup.platform.as_ref(), &setup.shard).await?;
     let epoch = loaded.state.epoch() + 1;
     let ownership = Ownership {
@@ -125,16 +125,16 @@
         epoch,
         copies: setup.copies.clone(),
     };
-    take(&setup, &ownership, free, lease).await?;
+    write_ownership(&setup, &ownership, expected, lease).await?;
     log::info!(
         "{} shard={} epoch={epoch}",
         Event::ShardClaimed,
         setup.shard
     );
     let held = collect::collect(&setup, &loaded.state, epoch).await?;
-    drain(&setup, &mut loaded, &held).await?;
-    fence(&setup, &mut loaded, epoch).await?;
-    spread_drained(&setup, &loaded, &held).await;
+    write_pending(&setup, &mut loaded, &held).await?;
+    append_fence(&setup, &mut loaded, epoch).await?;
+    notify_drained(&setup, &loaded, &held).await;
     log::info!("{} shard={} epoch={epoch}", Event::ShardOpened, setup.shard);
     let tail = Tail {
         seq: loaded.next - 1,
@@ -160,12 +160,12 @@
         epoch,
         copies: setup.copies.clone(),
     };
-    let free = match vacancy(setup).await {
-        Ok(free) => free,
+    let expected = match free_revision(setup).await {
+        Ok(expected) => expected,
         Err(Fault::Owned(_)) => return Ok(false),
         Err(fault) => return Err(fault),
     };
-    match take(setup, &ownership, free, lease).await {
+    match write_ownership(setup, &ownership, expected, lease).await {
         Ok(()) => Ok(true),
         Err(Fault::Raced) => Ok(false),
         Err(fault) => Err(fault),
@@ -183,8 +183,8 @@
     let Some(entry) = setup.platform.read(&key).await? else {
         return Ok(());
     };
-    let own = |ownership: &Ownership| ownership.vm == setup.vm && ownership.epoch == epoch;
-    if Ownership::decode(&entry.value).as_ref().is_some_and(own) {
+    let is_own = |ownership: &Ownership| ownership.vm == setup.vm && ownership.epoch == epoch;
+    if Ownership::decode(&entry.value).as_ref().is_some_and(is_own) {
         let txn = Txn {
             compares: vec![Compare {
                 key: key.clone(),
@@ -203,7 +203,7 @@
 }
 
 /// Yields the revision of the ownership record where it is absent (0) or this VM's own.
-async fn vacancy(setup: &Setup) -> Result<u64> {
+async fn free_revision(setup: &Setup) -> Result<u64> {
     let Some(entry) = setup.platform.read(&key::owner(&setup.shard)).await? else {
         return Ok(0);
     };
@@ -214,12 +214,17 @@
     }
 }
 
-async fn take(setup: &Setup, ownership: &Ownership, free: u64, lease: edge::Lease) -> Result<()> {
+async fn write_ownership(
+    setup: &Setup,
+    ownership: &Ownership,
+    expected: u64,
+    lease: edge::Lease,
+) -> Result<()> {
     let key = key::owner(&setup.shard);
     let txn = Txn {
         compares: vec![Compare {
             key: key.clone(),
-            revision: free,
+            revision: expected,
         }],
         writes: vec![Write::Put {
             key: key.clone(),
@@ -237,11 +242,11 @@
 
 /// Writes what the old owner left pending to where it was meant to go. A batch of another epoch
 /// than the journal's last is a leftover of an owner that has lost: its place is long taken.
-async fn drain(setup: &Setup, loaded: &mut Loaded, held: &[copy::Batch]) -> Result<()> {
+async fn write_pending(setup: &Setup, loaded: &mut Loaded, held: &[copy::Batch]) -> Result<()> {
     // The old owner may have appended until it was fenced by the collection; without these the
     // first pending batch would look as if others were missing before it.
     let epoch = loaded.state.epoch();
-    load::rest(setup.platform.as_ref(), &setup.shard, loaded).await?;
+    load::read_tail(setup.platform.as_ref(), &setup.shard, loaded).await?;
     if loaded.state.epoch() > epoch {
         return Err(Fault::Raced);
     }
@@ -254,13 +259,13 @@
             log::error!("{} shard={} lost: {gap}", Event::ShardClaimed, setup.shard);
             return Ok(());
         }
-        place(setup, loaded, batch.value.clone(), epoch).await?;
+        append_value(setup, loaded, batch.value.clone(), epoch).await?;
     }
     Ok(())
 }
 
 /// Appends the fence, after whatever the old owner appends meanwhile.
-async fn fence(setup: &Setup, loaded: &mut Loaded, epoch: u64) -> Result<()> {
+async fn append_fence(setup: &Setup, loaded: &mut Loaded, epoch: u64) -> Result<()> {
     loop {
         let seq = loaded.next;
         let opened = Record::Opened {
@@ -271,7 +276,7 @@
         let damaged = || Fault::Damaged("the fence can't be encoded".to_owned());
         let nonce = nonce(setup.seed, seq);
         let value = encode(&setup.vm, nonce, vec![opened]).ok_or_else(damaged)?;
-        if place(setup, loaded, value, epoch - 1).await? {
+        if append_value(setup, loaded, value, epoch - 1).await? {
             return Ok(());
         }
     }
@@ -279,42 +284,47 @@
 
 /// Puts a value at the journal's end. `false` where another value stands there; that one is
 /// applied, and the end is one further. Fails where it is a newer owner's.
-async fn place(setup: &Setup, loaded: &mut Loaded, value: Bytes, old: u64) -> Result<bool> {
+async fn append_value(
+    setup: &Setup,
+    loaded: &mut Loaded,
+    value: Bytes,
+    old_epoch: u64,
+) -> Result<bool> {
     let mut tries = 0;
     loop {
-        let item = Item {
+        let write = KeyWrite {
             seq: loaded.next,
             value: value.clone(),
             index: None,
             index_revision: loaded.index.revision,
         };
-        match send(setup.platform.as_ref(), &setup.shard, &item).await {
-            Step::Done(_) => {
-                loaded.add(&value)?;
+        match send(setup.platform.as_ref(), &setup.shard, &write).await {
+            WriteOutcome::Written(_) => {
+                loaded.apply_next(&value)?;
                 return Ok(true);
             }
-            Step::Taken => {
-                load::rest(setup.platform.as_ref(), &setup.shard, loaded).await?;
-                if loaded.state.epoch() > old {
+            WriteOutcome::Taken => {
+                load::read_tail(setup.platform.as_ref(), &setup.shard, loaded).await?;
+                if loaded.state.epoch() > old_epoch {
                     return Err(Fault::Raced);
                 }
                 return Ok(false);
             }
             // The old owner has snapshotted meanwhile; the claim begins anew.
-            Step::Passed => return Err(Fault::Raced),
-            Step::Again(fault) => {
+            WriteOutcome::Superseded => return Err(Fault::Raced),
+            WriteOutcome::Retry(fault) => {
                 tries += 1;
-                if tries >= TRIES {
+                if tries >= MAX_TRIES {
                     return Err(fault.into());
                 }
-                tokio::time::sleep(wait(tries, setup.seed).as_duration()).await;
+                tokio::time::sleep(backoff(tries, setup.seed).as_duration()).await;
             }
         }
     }
 }
 
 /// Lets the old owner's copies go.
-async fn spread_drained(setup: &Setup, loaded: &Loaded, held: &[copy::Batch]) {
+async fn notify_drained(setup: &Setup, loaded: &Loaded, held: &[copy::Batch]) {
     if held.is_empty() {
         return;
     }
--- a/crates/journal/src/claim/collect.rs
+++ b/crates/journal/src/claim/collect.rs
@@ -24,19 +24,19 @@
         return Ok(held);
     }
     let machines = setup.platform.machines().await?;
-    let mut whole = true;
+    let mut complete = true;
     for holder in state.copies() {
-        match ask(setup, &holder.vm, epoch, &machines).await? {
-            Some(found) => {
-                whole &= found.incarnation == holder.incarnation;
-                held.extend(found.held);
+        match collect_from(setup, &holder.vm, epoch, &machines).await? {
+            Some(answer) => {
+                complete &= answer.incarnation == holder.incarnation;
+                held.extend(answer.held);
             }
-            None => whole = false,
+            None => complete = false,
         }
     }
-    if let Some(owner) = state.owner().filter(|_| !whole) {
-        let found = ask(setup, owner, epoch, &machines).await?;
-        held.extend(found.into_iter().flat_map(|found| found.held));
+    if let Some(owner) = state.owner().filter(|_| !complete) {
+        let answer = collect_from(setup, owner, epoch, &machines).await?;
+        held.extend(answer.into_iter().flat_map(|answer| answer.held));
     }
     held.sort_by_key(|batch| (batch.epoch, batch.seq));
     held.dedup_by_key(|batch| (batch.epoch, batch.seq));
@@ -44,14 +44,14 @@
 }
 
 /// Asks one VM; `None` where it is gone.
-async fn ask(
+async fn collect_from(
     setup: &Setup,
     vm: &id::Vm,
     epoch: u64,
     machines: &[Machine],
 ) -> Result<Option<Collected>> {
     match setup.peers.collect(vm, &setup.shard, epoch).await {
-        Ok(found) => Ok(Some(found)),
+        Ok(answer) => Ok(Some(answer)),
         Err(copy::Fault::Fenced(_)) => Err(Fault::Raced),
         Err(_) if machines.iter().any(|m| m.name == vm.as_str()) => Err(Fault::Waiting(vm.clone())),
         Err(_) => Ok(None),
--- a/crates/journal/src/copy.rs
+++ b/crates/journal/src/copy.rs
@@ -3,7 +3,7 @@
 //! Exists for the failure "a VM dies during an outage of the platform and takes answered turns
 //! with it". The copies are pending writes, not a store: they go to the journal and are dropped.
 
-pub(crate) mod spread;
+pub(crate) mod replicate;
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -103,11 +103,11 @@
     incarnation: u64,
     limit: usize,
     used: usize,
-    shelves: Vec<Shelf>,
+    shards: Vec<ShardCopies>,
 }
 
 #[derive(Debug)]
-struct Shelf {
+struct ShardCopies {
     shard: id::Shard,
     /// Owners of an earlier epoch are refused.
     fence: u64,
@@ -123,7 +123,7 @@
             incarnation,
             limit,
             used: 0,
-            shelves: Vec::new(),
+            shards: Vec::new(),
         }
     }
 
@@ -142,17 +142,17 @@
         if incarnation != self.incarnation {
             return Err(Fault::Restarted);
         }
-        let at = self.place_of(shard);
-        if held.epoch < self.shelves[at].fence {
-            return Err(Fault::Fenced(self.shelves[at].fence));
+        let index = self.index_of(shard);
+        if held.epoch < self.shards[index].fence {
+            return Err(Fault::Fenced(self.shards[index].fence));
         }
         if self.used.saturating_add(held.value.len()) > self.limit {
             return Err(Fault::Full);
         }
         // An owner has opened the shard before it sends copies, and by then what earlier owners
         // left here was in the journal.
-        self.drop_where(at, |old| old.epoch < held.epoch);
-        self.put(at, held.clone());
+        self.remove_where(index, |old| old.epoch < held.epoch);
+        self.insert_batch(index, held.clone());
         Ok(())
     }
 
@@ -163,64 +163,64 @@
     ///
     /// [`Fault::Fenced`] where an owner of a later epoch has collected.
     pub fn collect(&mut self, shard: &id::Shard, epoch: u64) -> Result<Collected> {
-        let at = self.place_of(shard);
-        let kept = &mut self.shelves[at];
-        if epoch < kept.fence {
-            return Err(Fault::Fenced(kept.fence));
+        let index = self.index_of(shard);
+        let copies = &mut self.shards[index];
+        if epoch < copies.fence {
+            return Err(Fault::Fenced(copies.fence));
         }
-        kept.fence = epoch;
+        copies.fence = epoch;
         Ok(Collected {
             incarnation: self.incarnation,
-            held: kept.held.clone(),
+            held: copies.held.clone(),
         })
     }
 
     /// Keeps what this VM's own log had in line when it stepped down; the limit doesn't count, as
     /// the batches were in this VM's memory already.
     pub fn keep(&mut self, shard: &id::Shard, held: Vec<Batch>) {
-        let at = self.place_of(shard);
+        let index = self.index_of(shard);
         for held in held {
-            self.put(at, held);
+            self.insert_batch(index, held);
         }
     }
 
     /// Drops the batches of a shard that are in the journal: those of `epoch` up to `seq`, and all
     /// of earlier epochs.
     pub fn drained(&mut self, shard: &id::Shard, epoch: u64, seq: u64) {
-        let at = self.place_of(shard);
-        self.drop_where(at, |held| (held.epoch, held.seq) <= (epoch, seq));
+        let index = self.index_of(shard);
+        self.remove_where(index, |held| (held.epoch, held.seq) <= (epoch, seq));
     }
 
-    fn place_of(&mut self, shard: &id::Shard) -> usize {
-        let found = self.shelves.binary_search_by(|s| s.shard.cmp(shard));
-        found.unwrap_or_else(|at| {
-            let empty = Shelf {
+    fn index_of(&mut self, shard: &id::Shard) -> usize {
+        let found = self.shards.binary_search_by(|s| s.shard.cmp(shard));
+        found.unwrap_or_else(|index| {
+            let empty = ShardCopies {
                 shard: shard.clone(),
                 fence: 0,
                 held: Vec::new(),
             };
-            self.shelves.insert(at, empty);
-            at
+            self.shards.insert(index, empty);
+            index
         })
     }
 
-    fn put(&mut self, at: usize, held: Batch) {
-        let batches = &mut self.shelves[at].held;
+    fn insert_batch(&mut self, index: usize, held: Batch) {
+        let batches = &mut self.shards[index].held;
         let found = batches.binary_search_by_key(&(held.epoch, held.seq), |h| (h.epoch, h.seq));
-        if let Err(place) = found {
+        if let Err(position) = found {
             self.used += held.value.len();
-            batches.insert(place, held);
+            batches.insert(position, held);
         }
     }
 
-    fn drop_where(&mut self, at: usize, gone: impl Fn(&Batch) -> bool) {
-        let batches = &mut self.shelves[at].held;
+    fn remove_where(&mut self, index: usize, is_removed: impl Fn(&Batch) -> bool) {
+        let batches = &mut self.shards[index].held;
         let freed: usize = batches
             .iter()
-            .filter(|held| gone(held))
+            .filter(|held| is_removed(held))
             .map(|held| held.value.len())
             .sum();
-        batches.retain(|held| !gone(held));
+        batches.retain(|held| !is_removed(held));
         self.used -= freed;
     }
 }
--- a/crates/journal/src/copy/spread.rs
+++ b/crates/journal/src/copy/replicate.rs
@@ -14,17 +14,17 @@
 
 /// What became of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Spread {
+pub(crate) enum Replication {
     /// Enough VMs hold the batch.
-    Enough,
+    Acknowledged,
     /// Too few do; it may be offered again.
-    Short,
+    Insufficient,
     /// A newer owner has collected the shard's copies.
     Fenced,
 }
 
 /// Offers a batch.
-pub(crate) async fn hold(setup: &Setup, held: Batch) -> Spread {
+pub(crate) async fn offer(setup: &Setup, held: Batch) -> Replication {
     let mut offers = JoinSet::new();
     let held = Arc::new(held);
     for holder in setup.copies.clone() {
@@ -32,32 +32,32 @@
         let held = Arc::clone(&held);
         offers.spawn(async move { peers.hold(&holder, &shard, &held).await });
     }
-    let spread = count(&mut offers, setup.acks).await;
+    let replication = count_acks(&mut offers, setup.acks).await;
     // The rest still reaches the other VMs.
     offers.detach_all();
-    spread
+    replication
 }
 
 /// Tells the VMs that a shard's batches up to `seq` are in the journal.
-pub(crate) async fn drained(setup: &Setup, epoch: u64, seq: u64) {
+pub(crate) async fn notify_drained(setup: &Setup, epoch: u64, seq: u64) {
     for holder in &setup.copies {
         let peers = &setup.peers;
         peers.drained(holder, &setup.shard, epoch, seq).await;
     }
 }
 
-async fn count(offers: &mut JoinSet<Result<()>>, wanted: usize) -> Spread {
+async fn count_acks(offers: &mut JoinSet<Result<()>>, required: usize) -> Replication {
     let mut acks = 0;
-    while let Some(offer) = offers.join_next().await {
-        match offer {
+    while let Some(answer) = offers.join_next().await {
+        match answer {
             Ok(Ok(())) => acks += 1,
-            Ok(Err(Fault::Fenced(_))) => return Spread::Fenced,
+            Ok(Err(Fault::Fenced(_))) => return Replication::Fenced,
             // Panicked, restarted, full or out of reach: no acknowledgement.
             Ok(Err(_)) | Err(_) => {}
         }
-        if acks >= wanted {
-            return Spread::Enough;
+        if acks >= required {
+            return Replication::Acknowledged;
         }
     }
-    Spread::Short
+    Replication::Insufficient
 }
--- a/crates/journal/src/decision.rs
+++ b/crates/journal/src/decision.rs
@@ -38,7 +38,7 @@
 pub use turn::Begin;
 pub use turn::Blame;
 pub use turn::Commit;
-pub use turn::MAX_MESSAGES;
+pub use turn::MAX_MESSAGES_BYTES;
 pub use turn::Restart;
 pub use turn::Start;
 pub use turn::Turn;
@@ -49,31 +49,39 @@
 pub use turn::stop;
 
 /// The most bytes of one record. The list around it takes the rest of [`record::MAX_BYTES`].
-const MAX_RECORD: usize = record::MAX_BYTES - 16;
+const MAX_RECORD_BYTES: usize = record::MAX_BYTES - 16;
 
 /// The outcome of a decision.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-fn known<'a>(state: &'a State, program: &id::Program, caller: &id::Caller) -> Result<&'a Program> {
+fn find_program<'a>(
+    state: &'a State,
+    program: &id::Program,
+    caller: &id::Caller,
+) -> Result<&'a Program> {
     // Another caller's program looks like one that doesn't exist, so that names can't be probed.
-    let known = state.program(program).filter(|p| p.caller == *caller);
-    known.ok_or_else(|| Refusal::new(Code::UnknownProgram, program.as_str()))
+    let found = state.program(program).filter(|p| p.caller == *caller);
+    found.ok_or_else(|| Refusal::new(Code::UnknownProgram, program.as_str()))
 }
 
-fn alive(program: &Program) -> Result<()> {
+fn check_not_ended(program: &Program) -> Result<()> {
     match program.ended {
         Some(ending) => Err(Refusal::new(ending.code, program.id.as_str())),
         None => Ok(()),
     }
 }
 
-fn open<'a>(state: &'a State, program: &id::Program, caller: &id::Caller) -> Result<&'a Program> {
-    let known = known(state, program, caller)?;
-    alive(known)?;
-    Ok(known)
+fn find_live_program<'a>(
+    state: &'a State,
+    program: &id::Program,
+    caller: &id::Caller,
+) -> Result<&'a Program> {
+    let found = find_program(state, program, caller)?;
+    check_not_ended(found)?;
+    Ok(found)
 }
 
-fn awake(program: &Program, now: Millis) -> Result<()> {
+fn check_idle(program: &Program, now: Millis) -> Result<()> {
     if now.since(program.touched) <= program.idle {
         return Ok(());
     }
@@ -88,7 +96,7 @@
     (running.epoch == state.epoch()).then_some(running)
 }
 
-fn stopped(program: &Program, running: &Running, used: Option<u64>) -> Record {
+fn stopped_record(program: &Program, running: &Running, used: Option<u64>) -> Record {
     Record::Stopped {
         program: program.id.clone(),
         turn: running.turn,
--- a/crates/journal/src/decision/call.rs
+++ b/crates/journal/src/decision/call.rs
@@ -10,11 +10,11 @@
 use wire::code::Refusal;
 use wire::id;
 
-use super::MAX_RECORD;
+use super::MAX_RECORD_BYTES;
 use super::Result;
-use super::alive;
-use super::awake;
-use super::known;
+use super::check_idle;
+use super::check_not_ended;
+use super::find_program;
 use crate::log::Status;
 use crate::program;
 use crate::record;
@@ -63,14 +63,14 @@
 ///
 /// [`Code::UnknownProgram`], [`Code::KeyConflict`], [`Code::OutcomeUnknown`] (`ran: unknown`),
 /// [`Code::ProgramEnded`], [`Code::PlatformDown`], [`Code::OwnerLost`] (`ran: unknown`).
-pub fn intend<'a>(state: &'a State, ask: &Intend<'_>) -> Result<Call<'a>> {
-    let program = known(state, ask.program, ask.caller)?;
-    if let Some(call) = program.call(ask.key) {
-        return again(state, call, ask.digest);
+pub fn intend<'a>(state: &'a State, request: &Intend<'_>) -> Result<Call<'a>> {
+    let program = find_program(state, request.program, request.caller)?;
+    if let Some(call) = program.call(request.key) {
+        return answer_repeated(state, call, request.digest);
     }
-    alive(program)?;
-    awake(program, ask.now)?;
-    match ask.status {
+    check_not_ended(program)?;
+    check_idle(program, request.now)?;
+    match request.status {
         Status::Open => {}
         Status::Outage { retry_after } => {
             return Err(Refusal::new(Code::PlatformDown, "").retry_after(retry_after));
@@ -79,11 +79,11 @@
         Status::Lost => return Err(Refusal::new(Code::OwnerLost, "").ran(Ran::Unknown)),
     }
     Ok(Call::Start(vec![Record::Intent {
-        program: ask.program.clone(),
-        key: ask.key.clone(),
-        attempt: ask.attempt,
-        digest: ask.digest,
-        at: ask.now,
+        program: request.program.clone(),
+        key: request.key.clone(),
+        attempt: request.attempt,
+        digest: request.digest,
+        at: request.now,
     }]))
 }
 
@@ -117,14 +117,18 @@
         result,
     };
     let record = outcome(result);
-    if record::size(&record) > MAX_RECORD {
+    if record::size(&record) > MAX_RECORD_BYTES {
         return Some(outcome(Outcome::Unknown));
     }
     Some(record)
 }
 
 /// Answers a key that was used before.
-fn again<'a>(state: &State, call: &'a program::Call, digest: id::Digest) -> Result<Call<'a>> {
+fn answer_repeated<'a>(
+    state: &State,
+    call: &'a program::Call,
+    digest: id::Digest,
+) -> Result<Call<'a>> {
     if call.digest != digest {
         return Err(Refusal::new(Code::KeyConflict, call.key.as_str()));
     }
--- a/crates/journal/src/decision/lifecycle.rs
+++ b/crates/journal/src/decision/lifecycle.rs
@@ -8,11 +8,11 @@
 use wire::id;
 
 use super::Result;
-use super::awake;
-use super::known;
-use super::open;
+use super::check_idle;
+use super::find_live_program;
+use super::find_program;
 use super::running_here;
-use super::stopped;
+use super::stopped_record;
 use crate::copy::Holder;
 use crate::program;
 use crate::program::Program;
@@ -41,17 +41,17 @@
 /// # Errors
 ///
 /// [`Code::UnknownProgram`] where another caller has made it, [`Code::ProgramEnded`].
-pub fn create(state: &State, ask: &Create<'_>) -> Result<Option<Record>> {
-    match state.program(ask.program) {
+pub fn create(state: &State, request: &Create<'_>) -> Result<Option<Record>> {
+    match state.program(request.program) {
         None => Ok(Some(Record::Created {
-            program: ask.program.clone(),
-            caller: ask.caller.clone(),
-            tokens: ask.tokens,
-            turns: ask.turns,
-            idle: ask.idle,
-            at: ask.now,
+            program: request.program.clone(),
+            caller: request.caller.clone(),
+            tokens: request.tokens,
+            turns: request.turns,
+            idle: request.idle,
+            at: request.now,
         })),
-        Some(_) => open(state, ask.program, ask.caller).map(|_| None),
+        Some(_) => find_live_program(state, request.program, request.caller).map(|_| None),
     }
 }
 
@@ -67,12 +67,12 @@
     code: Code,
     now: Millis,
 ) -> Result<Vec<Record>> {
-    let program = known(state, program, caller)?;
+    let program = find_program(state, program, caller)?;
     if program.ended.is_some() {
         return Ok(Vec::new());
     }
     let running = program.running.as_ref();
-    let stopped = running.map(|running| stopped(program, running, None));
+    let stopped = running.map(|running| stopped_record(program, running, None));
     let ended = Record::Ended {
         program: program.id.clone(),
         code,
@@ -86,7 +86,7 @@
     let idle = move |program: &&Program| {
         program.ended.is_none()
             && running_here(state, program).is_none()
-            && awake(program, now).is_err()
+            && check_idle(program, now).is_err()
     };
     state.programs().filter(idle).map(|program| &program.id)
 }
@@ -111,9 +111,9 @@
     program: &id::Program,
     endpoint: &id::Endpoint,
 ) -> Option<Record> {
-    let known = state.program(program)?;
-    known.ended?;
-    known.holders.binary_search(endpoint).ok()?;
+    let stored = state.program(program)?;
+    stored.ended?;
+    stored.holders.binary_search(endpoint).ok()?;
     Some(Record::Released {
         program: program.clone(),
         endpoint: endpoint.clone(),
@@ -129,12 +129,12 @@
     retention: Millis,
     now: Millis,
 ) -> Option<Record> {
-    let known = state.program(program)?;
-    let ending = known.ended?;
+    let stored = state.program(program)?;
+    let ending = stored.ended?;
     let epoch = state.epoch();
-    let waits = |call: &program::Call| call.result.is_none() && call.epoch == epoch;
-    let held = !known.holders.is_empty() || known.calls.iter().any(waits);
-    if held || now.since(ending.at) < retention {
+    let is_unresolved = |call: &program::Call| call.result.is_none() && call.epoch == epoch;
+    let in_use = !stored.holders.is_empty() || stored.calls.iter().any(is_unresolved);
+    if in_use || now.since(ending.at) < retention {
         return None;
     }
     Some(Record::Forgotten {
@@ -148,8 +148,8 @@
 /// asks them as well; the second ends that.
 #[must_use]
 pub fn change_copy_holders(state: &State, holders: &[Holder]) -> Option<Record> {
-    let known = state.copies();
-    let same = known.len() == holders.len() && holders.iter().all(|h| known.contains(h));
+    let current = state.copies();
+    let same = current.len() == holders.len() && holders.iter().all(|h| current.contains(h));
     (!same).then(|| Record::Copies {
         holders: holders.to_vec(),
     })
--- a/crates/journal/src/decision/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -388,7 +388,7 @@
 #[test]
 fn messages_that_no_key_could_hold_are_refused_before_anything_is_applied() {
     let state = fresh();
-    let long = [message(&"x".repeat(MAX_MESSAGES))];
+    let long = [message(&"x".repeat(MAX_MESSAGES_BYTES))];
     let begun = Begin {
         program: &program(),
         caller: &caller(),
--- a/crates/journal/src/decision/turn.rs
+++ b/crates/journal/src/decision/turn.rs
@@ -9,12 +9,12 @@
 use wire::code::Refusal;
 use wire::id;
 
-use super::MAX_RECORD;
+use super::MAX_RECORD_BYTES;
 use super::Result;
-use super::awake;
-use super::open;
+use super::check_idle;
+use super::find_live_program;
 use super::running_here;
-use super::stopped;
+use super::stopped_record;
 use crate::program::Program;
 use crate::program::Running;
 use crate::record;
@@ -24,7 +24,7 @@
 
 /// The most bytes of a turn's new messages, encoded; leaves the other half of a journal key to the
 /// answer.
-pub const MAX_MESSAGES: usize = record::MAX_BYTES / 2;
+pub const MAX_MESSAGES_BYTES: usize = record::MAX_BYTES / 2;
 
 /// A wish to run a turn.
 #[derive(Clone, Copy, Debug)]
@@ -137,46 +137,49 @@
 /// [`Code::UnknownProgram`] (also for another caller's), [`Code::ProgramEnded`],
 /// [`Code::TurnConflict`], [`Code::WrongTurn`], [`Code::Poisoned`], [`Code::IdleExpired`],
 /// [`Code::TurnLimit`], [`Code::BudgetSpent`], [`Code::BodyTooLarge`].
-pub fn begin<'a>(state: &'a State, ask: &Begin<'_>) -> Result<Turn<'a>> {
-    let program = open(state, ask.program, ask.caller)?;
+pub fn begin<'a>(state: &'a State, request: &Begin<'_>) -> Result<Turn<'a>> {
+    let program = find_live_program(state, request.program, request.caller)?;
     let next = program.committed() + 1;
-    let turn = ask.turn.unwrap_or(next);
+    let turn = request.turn.unwrap_or(next);
     if turn == 0 || turn > next {
         return Err(wrong_turn(next));
     }
     if turn < next {
-        return replay(program, turn, ask.digest);
+        return replay(program, turn, request.digest);
     }
     if let Some(running) = running_here(state, program) {
-        return join(running, ask.digest);
+        return join(running, request.digest);
     }
-    if state.is_poisoned(state.content_digest(ask.program, ask.digest)) {
+    if state.is_poisoned(state.content_digest(request.program, request.digest)) {
         return Err(Refusal::new(Code::Poisoned, ""));
     }
-    awake(program, ask.now)?;
+    check_idle(program, request.now)?;
     if turn > program.turns {
         return Err(Refusal::new(Code::TurnLimit, &program.turns.to_string()));
     }
-    if record::size(ask.messages) > MAX_MESSAGES {
-        let detail = format!("a turn's messages have at most {MAX_MESSAGES} bytes");
+    if record::size(request.messages) > MAX_MESSAGES_BYTES {
+        let detail = format!("a turn's messages have at most {MAX_MESSAGES_BYTES} bytes");
         return Err(Refusal::new(Code::BodyTooLarge, &detail));
     }
-    let reserved = reserve(program.remaining(), ask.want)?;
-    let left_behind = program.running.as_ref().map(|r| stopped(program, r, None));
+    let reserved = reserve(program.remaining(), request.want)?;
+    let abandoned = program
+        .running
+        .as_ref()
+        .map(|r| stopped_record(program, r, None));
     let started = Record::Started {
-        program: ask.program.clone(),
+        program: request.program.clone(),
         turn,
-        attempt: ask.attempt,
-        digest: ask.digest,
+        attempt: request.attempt,
+        digest: request.digest,
         reserved,
-        endpoint: ask.endpoint.cloned(),
-        at: ask.now,
+        endpoint: request.endpoint.cloned(),
+        at: request.now,
     };
     Ok(Turn::Start(Start {
         turn,
-        attempt: ask.attempt,
+        attempt: request.attempt,
         reserved,
-        records: left_behind.into_iter().chain([started]).collect(),
+        records: abandoned.into_iter().chain([started]).collect(),
     }))
 }
 
@@ -186,30 +189,30 @@
 /// # Errors
 ///
 /// [`Code::BudgetSpent`] where nothing remains, [`Code::Poisoned`]; the caller then [`stop`]s.
-pub fn restart(state: &State, ask: &Restart<'_>) -> Result<Option<Start>> {
-    let Some((program, running)) = attempt_of(state, ask.program, ask.ended) else {
+pub fn restart(state: &State, request: &Restart<'_>) -> Result<Option<Start>> {
+    let Some((program, running)) = running_attempt(state, request.program, request.ended) else {
         return Ok(None);
     };
-    if state.is_poisoned(state.content_digest(ask.program, running.digest)) {
+    if state.is_poisoned(state.content_digest(request.program, running.digest)) {
         return Err(Refusal::new(Code::Poisoned, ""));
     }
-    let used = ask.used.unwrap_or(running.reserved);
+    let used = request.used.unwrap_or(running.reserved);
     let remaining = program.tokens.saturating_sub(program.spent);
-    let reserved = reserve(remaining.saturating_sub(used), ask.want)?;
+    let reserved = reserve(remaining.saturating_sub(used), request.want)?;
     let started = Record::Started {
-        program: ask.program.clone(),
+        program: request.program.clone(),
         turn: running.turn,
-        attempt: ask.attempt,
+        attempt: request.attempt,
         digest: running.digest,
         reserved,
-        endpoint: ask.endpoint.cloned(),
-        at: ask.now,
+        endpoint: request.endpoint.cloned(),
+        at: request.now,
     };
     Ok(Some(Start {
         turn: running.turn,
-        attempt: ask.attempt,
+        attempt: request.attempt,
         reserved,
-        records: vec![stopped(program, running, ask.used), started],
+        records: vec![stopped_record(program, running, request.used), started],
     }))
 }
 
@@ -222,8 +225,8 @@
     attempt: id::Attempt,
     used: Option<u64>,
 ) -> Option<Record> {
-    let (program, running) = attempt_of(state, program, attempt)?;
-    Some(stopped(program, running, used))
+    let (program, running) = running_attempt(state, program, attempt)?;
+    Some(stopped_record(program, running, used))
 }
 
 /// Commits an answer. `None` where the attempt isn't the running one: a late answer, to be
@@ -233,21 +236,21 @@
 ///
 /// [`Code::AnswerIncomplete`] (`ran: yes`) where the turn is too large for the journal; the caller
 /// then [`stop`]s.
-pub fn commit(state: &State, ask: Commit<'_>) -> Result<Option<Record>> {
-    let Some((_, running)) = attempt_of(state, ask.program, ask.attempt) else {
+pub fn commit(state: &State, request: Commit<'_>) -> Result<Option<Record>> {
+    let Some((_, running)) = running_attempt(state, request.program, request.attempt) else {
         return Ok(None);
     };
     let record = Record::Committed {
-        program: ask.program.clone(),
+        program: request.program.clone(),
         turn: running.turn,
-        attempt: ask.attempt,
-        messages: ask.messages,
-        answer: ask.answer,
-        used: ask.used,
-        endpoint: ask.endpoint.clone(),
-        at: ask.now,
+        attempt: request.attempt,
+        messages: request.messages,
+        answer: request.answer,
+        used: request.used,
+        endpoint: request.endpoint.clone(),
+        at: request.now,
     };
-    if record::size(&record) > MAX_RECORD {
+    if record::size(&record) > MAX_RECORD_BYTES {
         let detail = "the turn is too large for the journal";
         return Err(Refusal::new(Code::AnswerIncomplete, detail).ran(Ran::Yes));
     }
@@ -263,10 +266,10 @@
     endpoint: &id::Endpoint,
 ) -> Blame {
     let content = state.content_digest(program, digest);
-    let blamed = state.crashed_endpoints(content);
-    let known = blamed.contains(endpoint);
-    let count = blamed.len() + usize::from(!known);
-    let blame = (!known).then(|| Record::Blamed {
+    let crashed = state.crashed_endpoints(content);
+    let already_blamed = crashed.contains(endpoint);
+    let count = crashed.len() + usize::from(!already_blamed);
+    let blame = (!already_blamed).then(|| Record::Blamed {
         program: program.clone(),
         content,
         endpoint: endpoint.clone(),
@@ -306,7 +309,7 @@
     })
 }
 
-fn attempt_of<'a>(
+fn running_attempt<'a>(
     state: &'a State,
     program: &id::Program,
     attempt: id::Attempt,
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -4,7 +4,7 @@
 //! taken the key), "an append's answer is lost" (nothing else is written until it is settled) and
 //! "each turn costs a write of the platform" (what arrives during one append goes into the next).
 
-mod line;
+mod queue;
 mod retry;
 mod task;
 mod write;
@@ -31,9 +31,9 @@
 use crate::record::Record;
 use crate::snapshot;
 
-pub(crate) use retry::wait;
-pub(crate) use write::Item;
-pub(crate) use write::Step;
+pub(crate) use retry::backoff;
+pub(crate) use write::KeyWrite;
+pub(crate) use write::WriteOutcome;
 pub(crate) use write::encode;
 pub(crate) use write::nonce;
 pub(crate) use write::send;
@@ -134,11 +134,11 @@
 #[derive(Debug, Default)]
 struct Flags {
     /// A snapshot is due.
-    due: AtomicBool,
+    snapshot_due: AtomicBool,
     /// A naming of other holders of copies isn't in the journal yet.
-    renaming: AtomicBool,
+    changing_holders: AtomicBool,
     /// Some VM holds copies.
-    copied: AtomicBool,
+    has_holders: AtomicBool,
 }
 
 /// Resolves when an append is durable or never will be. Dropping it doesn't take the append back.
@@ -151,9 +151,9 @@
     Append(Vec<Record>, oneshot::Sender<Result<Durable>>),
     Snapshot(snapshot::Image),
     /// An image is written whole, or was given up.
-    Written(Option<snapshot::Index>),
+    ImageWritten(Option<snapshot::Index>),
     /// The journal keys up to this number are removed.
-    Removed(u64),
+    KeysRemoved(u64),
     StepDown(oneshot::Sender<Vec<copy::Batch>>),
 }
 
@@ -165,14 +165,14 @@
         let (commands, receiver) = mpsc::unbounded_channel();
         let (sender, status) = watch::channel(Status::Open);
         let flags = Arc::<Flags>::default();
-        flags.copied.store(setup.acks > 0, Ordering::SeqCst);
-        let ends = task::Ends {
+        flags.has_holders.store(setup.acks > 0, Ordering::SeqCst);
+        let channels = task::Channels {
             commands: receiver,
-            own: commands.downgrade(),
+            self_sender: commands.downgrade(),
             status: sender,
             flags: Arc::clone(&flags),
         };
-        tokio::spawn(task::run(setup, tail, ends));
+        tokio::spawn(task::run(setup, tail, channels));
         Self {
             commands,
             status,
@@ -185,9 +185,9 @@
     pub fn append(&self, records: Vec<Record>) -> Append {
         let (sender, receiver) = oneshot::channel();
         if records.iter().any(|r| matches!(r, Record::Copies { .. })) {
-            self.flags.renaming.store(true, Ordering::SeqCst);
+            self.flags.changing_holders.store(true, Ordering::SeqCst);
         }
-        self.tell(Command::Append(records, sender));
+        self.send_command(Command::Append(records, sender));
         Append(receiver)
     }
 
@@ -196,33 +196,33 @@
     /// both land late, and a claimer would then ask none of the VMs that hold copies.
     #[must_use]
     pub fn may_change_holders(&self) -> bool {
-        self.status() == Status::Open && !self.flags.renaming.load(Ordering::SeqCst)
+        self.status() == Status::Open && !self.flags.changing_holders.load(Ordering::SeqCst)
     }
 
     /// Tells whether no other VM holds copies, so that in an outage nothing can become durable.
     #[must_use]
     pub fn has_no_holders(&self) -> bool {
-        !self.flags.copied.load(Ordering::SeqCst)
+        !self.flags.has_holders.load(Ordering::SeqCst)
     }
 
     /// Tells whether the journal has grown enough for a [`snapshot`](Self::snapshot).
     #[must_use]
     pub fn is_snapshot_due(&self) -> bool {
-        self.flags.due.load(Ordering::Relaxed)
+        self.flags.snapshot_due.load(Ordering::Relaxed)
     }
 
     /// Hands an image of the state to the journal, which then drops the keys before it. The image
     /// must hold what was appended so far and no more. Without effect during an outage or while
     /// an earlier image is being written.
     pub fn snapshot(&self, image: snapshot::Image) {
-        self.tell(Command::Snapshot(image));
+        self.send_command(Command::Snapshot(image));
     }
 
     /// Steps down for a new owner, and yields the batches that aren't surely in the journal. Asked
     /// again, yields the same ones.
     pub async fn step_down(&self) -> Vec<copy::Batch> {
         let (sender, receiver) = oneshot::channel();
-        self.tell(Command::StepDown(sender));
+        self.send_command(Command::StepDown(sender));
         receiver.await.unwrap_or_default()
     }
 
@@ -238,7 +238,7 @@
         self.status.clone()
     }
 
-    fn tell(&self, command: Command) {
+    fn send_command(&self, command: Command) {
         // Fails only where the task has panicked; an append's waiter then learns that it is lost.
         let _ended = self.commands.send(command);
     }
--- a/crates/journal/src/log/line.rs
+++ b/crates/journal/src/log/queue.rs
@@ -31,13 +31,13 @@
     pub(crate) records: Vec<Record>,
     pub(crate) bytes: usize,
     /// Whether it may wait for a write that others pay for, see [`is_patient`].
-    pub(crate) patient: bool,
+    pub(crate) deferrable: bool,
     waiter: Option<Waiter>,
 }
 
 /// A batch with its place in the journal; its bytes never change.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingBatch {
     pub(crate) seq: u64,
     pub(crate) value: Bytes,
     pub(crate) index: Option<snapshot::Index>,
@@ -54,8 +54,8 @@
 
 /// The line.
 #[derive(Debug, Default)]
-pub(crate) struct Line {
-    pub(crate) batches: VecDeque<Pending>,
+pub(crate) struct Queue {
+    pub(crate) batches: VecDeque<PendingBatch>,
 }
 
 impl Arrival {
@@ -66,7 +66,7 @@
     ) -> Self {
         let intent = records.iter().any(|r| matches!(r, Record::Intent { .. }));
         Self {
-            patient: records.iter().all(is_patient),
+            deferrable: records.iter().all(is_deferrable),
             records,
             bytes,
             waiter: Some(Waiter { intent, sender }),
@@ -74,22 +74,22 @@
     }
 
     /// Tells the one who waits for an intent that it can't count now.
-    pub(crate) fn withhold(&mut self, retry_after: Millis) {
+    pub(crate) fn withhold_intents(&mut self, retry_after: Millis) {
         let ran = Ran::No;
         if let Some(waiter) = self.waiter.take_if(|waiter| waiter.intent) {
-            waiter.tell(Err(Fault::Withheld { ran, retry_after }));
+            waiter.notify(Err(Fault::Withheld { ran, retry_after }));
         }
     }
 
     /// Tells the one who waits that the shard is lost.
-    pub(crate) fn lose(self) {
+    pub(crate) fn note_lost(self) {
         if let Some(waiter) = self.waiter {
-            waiter.tell(Err(Fault::Lost { ran: Ran::No }));
+            waiter.notify(Err(Fault::Lost { ran: Ran::No }));
         }
     }
 }
 
-impl Pending {
+impl PendingBatch {
     /// Gives a place to some arrivals, whose records `value` encodes.
     pub(crate) fn new(
         seq: u64,
@@ -110,32 +110,32 @@
     }
 
     /// Tells everyone that the batch is in the journal.
-    pub(crate) fn done(self) {
+    pub(crate) fn note_journaled(self) {
         for waiter in self.waiters {
-            waiter.tell(Ok(Durable::Journal));
+            waiter.notify(Ok(Durable::Journal));
         }
     }
 
     /// Tells those for whom copies count that other VMs hold the batch.
-    pub(crate) fn copied(&mut self) {
+    pub(crate) fn note_copied(&mut self) {
         self.held = true;
         for waiter in self.waiters.extract_if(.., |waiter| !waiter.intent) {
-            waiter.tell(Ok(Durable::Copy));
+            waiter.notify(Ok(Durable::Copy));
         }
     }
 
     /// Tells those who wait for intents that they can't count now.
-    pub(crate) fn withhold(&mut self, retry_after: Millis) {
+    pub(crate) fn withhold_intents(&mut self, retry_after: Millis) {
         let ran = if self.sent { Ran::Unknown } else { Ran::No };
         for waiter in self.waiters.extract_if(.., |waiter| waiter.intent) {
-            waiter.tell(Err(Fault::Withheld { ran, retry_after }));
+            waiter.notify(Err(Fault::Withheld { ran, retry_after }));
         }
     }
 
     /// Tells everyone that the shard is lost.
-    pub(crate) fn lose(self, ran: Ran) {
+    pub(crate) fn note_lost(self, ran: Ran) {
         for waiter in self.waiters {
-            waiter.tell(Err(Fault::Lost { ran }));
+            waiter.notify(Err(Fault::Lost { ran }));
         }
     }
 
@@ -149,10 +149,10 @@
     }
 }
 
-impl Line {
+impl Queue {
     /// Yields copies of all batches.
-    pub(crate) fn copies(&self, epoch: u64) -> Vec<copy::Batch> {
-        let held = |pending: &Pending| copy::Batch {
+    pub(crate) fn to_copies(&self, epoch: u64) -> Vec<copy::Batch> {
+        let held = |pending: &PendingBatch| copy::Batch {
             epoch,
             seq: pending.seq,
             value: pending.value.clone(),
@@ -161,23 +161,23 @@
     }
 
     /// Yields the first batch that too few other VMs hold.
-    pub(crate) fn unheld(&mut self) -> Option<&mut Pending> {
+    pub(crate) fn unheld(&mut self) -> Option<&mut PendingBatch> {
         self.batches.iter_mut().find(|pending| !pending.held)
     }
 
     /// Tells everyone that the shard is lost. `head` says it of the first batch, where that is
     /// known better.
-    pub(crate) fn lose(&mut self, mut head: Option<Ran>) {
+    pub(crate) fn note_lost(&mut self, mut first_ran: Option<Ran>) {
         for pending in self.batches.drain(..) {
-            let ran = head.take().unwrap_or_else(|| pending.ran());
-            pending.lose(ran);
+            let ran = first_ran.take().unwrap_or_else(|| pending.ran());
+            pending.note_lost(ran);
         }
     }
 }
 
 /// Tells whether nothing is held up at an endpoint until the record is durable: the answer of a
 /// turn has streamed by the time that it commits, and only its last event waits.
-fn is_patient(record: &Record) -> bool {
+fn is_deferrable(record: &Record) -> bool {
     matches!(
         record,
         Record::Committed { .. } | Record::Released { .. } | Record::Forgotten { .. }
@@ -185,7 +185,7 @@
 }
 
 impl Waiter {
-    fn tell(self, result: Result<Durable>) {
+    fn notify(self, result: Result<Durable>) {
         // Who no longer waits has given the answer up; the record counts all the same.
         let _gone = self.sender.send(result);
     }
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -4,8 +4,8 @@
 //! Exists for the failure "owners stop with the platform": a call of the platform that hangs or
 //! fails is one of several things that the task waits for, so that appends go on being copied.
 
-mod form;
-mod settle;
+mod batch;
+mod outcome;
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -28,29 +28,29 @@
 use super::Setup;
 use super::Status;
 use super::Tail;
-use super::line::Arrival;
-use super::line::Line;
+use super::queue::Arrival;
+use super::queue::Queue;
 use super::retry;
-use super::write::Step;
+use super::write::WriteOutcome;
 use crate::copy;
-use crate::copy::spread::Spread;
+use crate::copy::replicate::Replication;
 use crate::record;
 use crate::record::MAX_BYTES;
 use crate::record::Record;
 use crate::snapshot;
 
 /// The task's ends of its channels.
-pub(super) struct Ends {
+pub(super) struct Channels {
     pub(super) commands: mpsc::UnboundedReceiver<Command>,
     /// To itself, from work that it starts; doesn't keep it alive.
-    pub(super) own: mpsc::WeakUnboundedSender<Command>,
+    pub(super) self_sender: mpsc::WeakUnboundedSender<Command>,
     pub(super) status: watch::Sender<Status>,
     pub(super) flags: Arc<Flags>,
 }
 
 /// The longest that patient records wait for others to go along with: a fraction of a turn, whose
 /// last event waits for them.
-const PATIENCE: Millis = Millis::new(50);
+const MAX_DEFERRAL: Millis = Millis::new(50);
 
 /// Work under way, of which there is one at most.
 type Slot<T> = Option<Pin<Box<dyn Future<Output = T> + Send>>>;
@@ -58,17 +58,17 @@
 struct Task {
     setup: Setup,
     epoch: u64,
-    own: mpsc::WeakUnboundedSender<Command>,
+    self_sender: mpsc::WeakUnboundedSender<Command>,
     status: watch::Sender<Status>,
     arrivals: VecDeque<Arrival>,
-    line: Line,
+    queue: Queue,
     /// The number of the last batch that was formed.
-    last: u64,
+    last_seq: u64,
     /// Failures in a row of writing the first batch, and of having a batch held.
-    tries: u32,
-    hold_tries: u32,
+    write_failures: u32,
+    hold_failures: u32,
     /// Whether the first batch was sent before its present send.
-    resent: bool,
+    sent_before: bool,
     /// The weight at which the next batch waits for the rate budget.
     pacing: Option<Weight>,
     /// Whether the next batch has waited for the rate budget.
@@ -79,27 +79,27 @@
 
 /// Runs until every handle is dropped and the line is empty, or the shard is lost and every handle
 /// is dropped.
-pub(super) async fn run(setup: Setup, tail: Tail, ends: Ends) {
-    let mut commands = ends.commands;
+pub(super) async fn run(setup: Setup, tail: Tail, channels: Channels) {
+    let mut commands = channels.commands;
     let mut task = Task {
         epoch: tail.epoch,
-        own: ends.own,
-        status: ends.status,
+        self_sender: channels.self_sender,
+        status: channels.status,
         arrivals: VecDeque::new(),
-        line: Line::default(),
-        last: tail.seq,
-        tries: 0,
-        hold_tries: 0,
-        resent: false,
+        queue: Queue::default(),
+        last_seq: tail.seq,
+        write_failures: 0,
+        hold_failures: 0,
+        sent_before: false,
         snapshots: snapshot::Progress::new(tail.index),
-        flags: ends.flags,
+        flags: channels.flags,
         pacing: None,
         paced: false,
         setup,
     };
-    let left = task.serve(&mut commands).await;
-    if let Some(left) = left {
-        task.refuse(&mut commands, &left).await;
+    let remaining = task.serve(&mut commands).await;
+    if let Some(remaining) = remaining {
+        task.serve_lost(&mut commands, &remaining).await;
     }
 }
 
@@ -109,63 +109,63 @@
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
     ) -> Option<Vec<copy::Batch>> {
-        let mut write: Slot<Step> = None;
-        let mut hold: Slot<(u64, Spread)> = None;
+        let mut write: Slot<WriteOutcome> = None;
+        let mut hold: Slot<(u64, Replication)> = None;
         let mut pace: Slot<()> = None;
-        let mut open = true;
+        let mut has_handles = true;
         loop {
             while let Ok(command) = commands.try_recv() {
-                if let Some(sender) = self.take(command) {
+                if let Some(sender) = self.handle(command) {
                     return Some(self.step_down(sender).await);
                 }
             }
             pace = self.begin_pace(pace);
-            self.form();
+            self.form_batch();
             write = write.or_else(|| self.begin_write());
             hold = hold.or_else(|| self.begin_hold());
-            if !open && write.is_none() && self.arrivals.is_empty() {
+            if !has_handles && write.is_none() && self.arrivals.is_empty() {
                 return None;
             }
             let lost = tokio::select! {
                 biased;
-                step = finish(&mut write) => self.settle(step),
-                (seq, spread) = finish(&mut hold) => self.copied(seq, spread),
-                () = finish(&mut pace) => {
+                step = wait_for_slot(&mut write) => self.handle_write(step),
+                (seq, replication) = wait_for_slot(&mut hold) => self.handle_hold(seq, replication),
+                () = wait_for_slot(&mut pace) => {
                     self.paced = true;
                     None
                 }
-                command = commands.recv(), if open => {
-                    open = command.is_some();
-                    if let Some(sender) = command.and_then(|command| self.take(command)) {
+                command = commands.recv(), if has_handles => {
+                    has_handles = command.is_some();
+                    if let Some(sender) = command.and_then(|command| self.handle(command)) {
                         return Some(self.step_down(sender).await);
                     }
                     None
                 }
             };
             if let Some(lost) = lost {
-                return Some(self.lose(lost.head).await);
+                return Some(self.lose(lost.first_ran).await);
             }
         }
     }
 
     /// Takes a command in; yields the asker where it is to step down.
-    fn take(&mut self, command: Command) -> Option<oneshot::Sender<Vec<copy::Batch>>> {
+    fn handle(&mut self, command: Command) -> Option<oneshot::Sender<Vec<copy::Batch>>> {
         match command {
-            Command::Append(records, sender) => self.arrive(records, sender),
+            Command::Append(records, sender) => self.enqueue(records, sender),
             Command::Snapshot(image) => {
                 if self.is_open() {
-                    self.snapshots.ask(image, self.arrivals.len());
-                    self.flags.due.store(false, Ordering::Relaxed);
+                    self.snapshots.request(image, self.arrivals.len());
+                    self.flags.snapshot_due.store(false, Ordering::Relaxed);
                 }
             }
-            Command::Written(index) => self.snapshots.written(index),
-            Command::Removed(seq) => self.snapshots.removed(seq),
+            Command::ImageWritten(index) => self.snapshots.note_written(index),
+            Command::KeysRemoved(seq) => self.snapshots.note_removed(seq),
             Command::StepDown(sender) => return Some(sender),
         }
         None
     }
 
-    fn arrive(&mut self, records: Vec<Record>, sender: oneshot::Sender<Result<Durable>>) {
+    fn enqueue(&mut self, records: Vec<Record>, sender: oneshot::Sender<Result<Durable>>) {
         let bytes = record::size(&records);
         if bytes > MAX_BYTES {
             let _gone = sender.send(Err(Fault::TooLarge));
@@ -173,16 +173,16 @@
         }
         let mut arrival = Arrival::new(records, bytes, sender);
         if !self.is_open() {
-            arrival.withhold(retry::LONGEST);
+            arrival.withhold_intents(retry::MAX_WAIT);
         }
         self.arrivals.push_back(arrival);
     }
 
     /// Refuses everything, and keeps what was in line for claimers that come to ask.
-    async fn refuse(
+    async fn serve_lost(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
-        left: &[copy::Batch],
+        remaining: &[copy::Batch],
     ) {
         while let Some(command) = commands.recv().await {
             match command {
@@ -190,9 +190,9 @@
                     let _gone = sender.send(Err(Fault::Lost { ran: Ran::No }));
                 }
                 Command::StepDown(sender) => {
-                    let _gone = sender.send(left.to_vec());
+                    let _gone = sender.send(remaining.to_vec());
                 }
-                Command::Snapshot(_) | Command::Written(_) | Command::Removed(_) => {}
+                Command::Snapshot(_) | Command::ImageWritten(_) | Command::KeysRemoved(_) => {}
             }
         }
     }
@@ -205,25 +205,25 @@
 /// The shard is another owner's.
 struct Lost {
     /// What may be said of the first batch, where that is known better than from its sends.
-    head: Option<Ran>,
+    first_ran: Option<Ran>,
 }
 
-fn named(record: &Record) -> Option<Vec<copy::Holder>> {
+fn changed_holders(record: &Record) -> Option<Vec<copy::Holder>> {
     match record {
         Record::Copies { holders } => Some(holders.clone()),
         _ => None,
     }
 }
 
-fn tell(own: &mpsc::WeakUnboundedSender<Command>, command: Command) {
-    if let Some(own) = own.upgrade() {
-        let _ended = own.send(command);
+fn send_to_self(self_sender: &mpsc::WeakUnboundedSender<Command>, command: Command) {
+    if let Some(self_sender) = self_sender.upgrade() {
+        let _ended = self_sender.send(command);
     }
 }
 
 /// Waits for the work in a slot and empties it; for ever where there is none. May be dropped and
 /// called again without loss.
-async fn finish<T>(slot: &mut Slot<T>) -> T {
+async fn wait_for_slot<T>(slot: &mut Slot<T>) -> T {
     let output = match slot {
         Some(work) => work.await,
         None => std::future::pending().await,
--- a/crates/journal/src/log/task/form.rs
+++ b/crates/journal/src/log/task/batch.rs
@@ -9,21 +9,21 @@
 use platform::edge::Weight;
 use wire::clock::Millis;
 
-use super::PATIENCE;
+use super::MAX_DEFERRAL;
 use super::Slot;
 use super::Task;
-use super::named;
-use super::tell;
+use super::changed_holders;
+use super::send_to_self;
 use crate::copy;
-use crate::copy::spread;
-use crate::copy::spread::Spread;
+use crate::copy::replicate;
+use crate::copy::replicate::Replication;
 use crate::log::Command;
-use crate::log::line::Arrival;
-use crate::log::line::Pending;
+use crate::log::queue::Arrival;
+use crate::log::queue::PendingBatch;
 use crate::log::retry;
 use crate::log::write;
-use crate::log::write::Item;
-use crate::log::write::Step;
+use crate::log::write::KeyWrite;
+use crate::log::write::WriteOutcome;
 use crate::record::MAX_BYTES;
 use crate::record::Record;
 use crate::snapshot;
@@ -31,28 +31,28 @@
 impl Task {
     /// Gives arrivals their places. While the platform answers, one batch is in line, so that the
     /// next gathers what arrives meanwhile; during an outage likewise for the copies.
-    pub(super) fn form(&mut self) {
-        let room = if self.is_open() {
-            self.line.batches.is_empty() && (self.paced || self.arrivals.is_empty())
+    pub(super) fn form_batch(&mut self) {
+        let may_form = if self.is_open() {
+            self.queue.batches.is_empty() && (self.paced || self.arrivals.is_empty())
         } else {
-            self.line.unheld().is_none()
+            self.queue.unheld().is_none()
         };
-        if let Some(image) = self.snapshots.cut() {
-            let written = snapshot::Task {
+        if let Some(image) = self.snapshots.take_requested() {
+            let context = snapshot::Context {
                 platform: Arc::clone(&self.setup.platform),
                 shard: self.setup.shard.clone(),
                 epoch: self.epoch,
-                seq: self.last,
+                seq: self.last_seq,
                 seed: self.setup.seed,
             };
             let floor = self.snapshots.floor();
-            let own = self.own.clone();
+            let self_sender = self.self_sender.clone();
             tokio::spawn(async move {
-                let index = snapshot::write(&written, &image, floor).await;
-                tell(&own, Command::Written(index));
+                let index = snapshot::write_image(&context, &image, floor).await;
+                send_to_self(&self_sender, Command::ImageWritten(index));
             });
         }
-        if !room || (self.arrivals.is_empty() && !self.snapshots.is_ready()) {
+        if !may_form || (self.arrivals.is_empty() && !self.snapshots.is_ready()) {
             return;
         }
         self.paced = false;
@@ -61,24 +61,24 @@
             bytes += arrival.bytes;
             bytes <= MAX_BYTES
         });
-        let count = self.snapshots.limit(fits.count());
+        let count = self.snapshots.limit_batch(fits.count());
         let mut arrivals: Vec<Arrival> = self.arrivals.drain(..count).collect();
         let records = arrivals.iter_mut().flat_map(|a| a.records.drain(..));
         let records: Vec<Record> = records.collect();
-        let holders = records.iter().rev().find_map(named);
-        let seq = self.last + 1;
+        let holders = records.iter().rev().find_map(changed_holders);
+        let seq = self.last_seq + 1;
         let nonce = write::nonce(self.setup.seed, seq);
         // Records that can't be encoded have no size and were refused when they arrived.
         let value = write::encode(&self.setup.vm, nonce, records).unwrap_or_default();
-        self.last = seq;
-        self.snapshots.formed(count, value.len());
+        self.last_seq = seq;
+        self.snapshots.note_batch(count, value.len());
         if self.snapshots.is_due() {
-            self.flags.due.store(true, Ordering::Relaxed);
+            self.flags.snapshot_due.store(true, Ordering::Relaxed);
         }
         let index = self.snapshots.take_ready();
-        let mut pending = Pending::new(seq, value, index, arrivals);
+        let mut pending = PendingBatch::new(seq, value, index, arrivals);
         pending.holders = holders;
-        self.line.batches.push_back(pending);
+        self.queue.batches.push_back(pending);
     }
 
     /// Has the next batch wait for the rate budget before it is formed, so that what arrives
@@ -88,12 +88,12 @@
     /// A batch that only holds patient records leaves half of the budget to others: where the
     /// budget is short it goes along with the next start, or after [`PATIENCE`].
     pub(super) fn begin_pace(&mut self, pace: Slot<()>) -> Slot<()> {
-        let idle = self.arrivals.is_empty() || !self.line.batches.is_empty();
-        if self.paced || idle || !self.is_open() {
+        let nothing_to_pace = self.arrivals.is_empty() || !self.queue.batches.is_empty();
+        if self.paced || nothing_to_pace || !self.is_open() {
             self.pacing = None;
             return None;
         }
-        let weight = if self.arrivals.iter().all(|arrival| arrival.patient) {
+        let weight = if self.arrivals.iter().all(|arrival| arrival.deferrable) {
             Weight::Background
         } else {
             Weight::Commit
@@ -105,7 +105,7 @@
         let platform = Arc::clone(&self.setup.platform);
         Some(Box::pin(async move {
             let paced = platform.pace(weight);
-            if tokio::time::timeout(PATIENCE.as_duration(), paced)
+            if tokio::time::timeout(MAX_DEFERRAL.as_duration(), paced)
                 .await
                 .is_err()
             {
@@ -114,45 +114,45 @@
         }))
     }
 
-    pub(super) fn begin_write(&mut self) -> Slot<Step> {
-        let delay = match self.tries {
+    pub(super) fn begin_write(&mut self) -> Slot<WriteOutcome> {
+        let delay = match self.write_failures {
             0 => Millis::ZERO,
-            tries => retry::wait(tries, self.setup.seed),
+            write_failures => retry::backoff(write_failures, self.setup.seed),
         };
         self.write_after(delay)
     }
 
-    pub(super) fn write_after(&mut self, delay: Millis) -> Slot<Step> {
+    pub(super) fn write_after(&mut self, delay: Millis) -> Slot<WriteOutcome> {
         let index_revision = self.snapshots.revision();
-        let head = self.line.batches.front_mut()?;
-        let item = Item {
-            seq: head.seq,
-            value: head.value.clone(),
-            index: head.index.as_ref().map(snapshot::Index::encode),
+        let first = self.queue.batches.front_mut()?;
+        let write = KeyWrite {
+            seq: first.seq,
+            value: first.value.clone(),
+            index: first.index.as_ref().map(snapshot::Index::encode),
             index_revision,
         };
-        self.resent = head.sent;
-        head.sent = true;
+        self.sent_before = first.sent;
+        first.sent = true;
         let platform = Arc::clone(&self.setup.platform);
         let shard = self.setup.shard.clone();
         Some(Box::pin(async move {
             if delay > Millis::ZERO {
                 tokio::time::sleep(delay.as_duration()).await;
             }
-            write::send(platform.as_ref(), &shard, &item).await
+            write::send(platform.as_ref(), &shard, &write).await
         }))
     }
 
-    pub(super) fn begin_hold(&mut self) -> Slot<(u64, Spread)> {
+    pub(super) fn begin_hold(&mut self) -> Slot<(u64, Replication)> {
         if self.is_open() || self.setup.acks == 0 {
             return None;
         }
         let epoch = self.epoch;
-        let delay = match self.hold_tries {
+        let delay = match self.hold_failures {
             0 => Millis::ZERO,
-            tries => retry::wait(tries, self.setup.seed),
+            write_failures => retry::backoff(write_failures, self.setup.seed),
         };
-        let pending = self.line.unheld()?;
+        let pending = self.queue.unheld()?;
         pending.offered = true;
         let held = copy::Batch {
             epoch,
@@ -165,8 +165,8 @@
                 tokio::time::sleep(delay.as_duration()).await;
             }
             let seq = held.seq;
-            let spread = spread::hold(&setup, held).await;
-            (seq, spread)
+            let replication = replicate::offer(&setup, held).await;
+            (seq, replication)
         }))
     }
 }
--- a/crates/journal/src/log/write.rs
+++ b/crates/journal/src/log/write.rs
@@ -26,7 +26,7 @@
 
 /// A value for the next journal key.
 #[derive(Clone, Debug)]
-pub(crate) struct Item {
+pub(crate) struct KeyWrite {
     /// The key's number.
     pub(crate) seq: u64,
     /// The encoded batch.
@@ -39,39 +39,50 @@
 
 /// What became of a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum WriteOutcome {
     /// The key holds the value since this revision.
-    Done(u64),
+    Written(u64),
     /// The key holds another value, and never held nor will hold this one.
     Taken,
     /// Another owner has moved the snapshot index, or has written the value in this one's place.
     /// An earlier send may have landed.
-    Passed,
+    Superseded,
     /// Not known, or not done; the same value may be sent again.
-    Again(Fault),
+    Retry(Fault),
 }
 
 /// Sends an item once.
-pub(crate) async fn send(platform: &dyn Platform, shard: &id::Shard, item: &Item) -> Step {
-    let key = key::journal(shard, item.seq);
-    match platform.commit(&txn(shard, item), Weight::Commit).await {
-        Ok(Outcome::Applied(revision)) => Step::Done(revision),
+pub(crate) async fn send(
+    platform: &dyn Platform,
+    shard: &id::Shard,
+    write: &KeyWrite,
+) -> WriteOutcome {
+    let key = key::journal(shard, write.seq);
+    match platform.commit(&txn(shard, write), Weight::Commit).await {
+        Ok(Outcome::Applied(revision)) => WriteOutcome::Written(revision),
         Ok(Outcome::Refused(present)) => match present.iter().find(|entry| entry.key == key) {
-            Some(entry) if entry.value != item.value => Step::Taken,
-            Some(entry) if is_indexed(shard, item, entry, &present) => Step::Done(entry.revision),
-            Some(_) | None => Step::Passed,
+            Some(entry) if entry.value != write.value => WriteOutcome::Taken,
+            Some(entry) if is_index_set(shard, write, entry, &present) => {
+                WriteOutcome::Written(entry.revision)
+            }
+            Some(_) | None => WriteOutcome::Superseded,
         },
-        Err(fault) => Step::Again(fault),
+        Err(fault) => WriteOutcome::Retry(fault),
     }
 }
 
 /// Tells whether the index of an item, where it has one, was set along with its key. A new owner
 /// that collected the item from a copy writes the key alone; an owner that took its index for set
 /// would go on to remove keys that no image covers.
-fn is_indexed(shard: &id::Shard, item: &Item, own: &Entry, present: &[Entry]) -> bool {
+fn is_index_set(
+    shard: &id::Shard,
+    write: &KeyWrite,
+    journal_entry: &Entry,
+    present: &[Entry],
+) -> bool {
     let key = key::index(shard);
     let index = present.iter().find(|entry| entry.key == key);
-    item.index.is_none() || index.is_some_and(|index| index.revision == own.revision)
+    write.index.is_none() || index.is_some_and(|index| index.revision == journal_entry.revision)
 }
 
 /// Encodes a batch. `None` where a record can't be encoded, which their types rule out.
@@ -92,24 +103,27 @@
     id::Digest::of(&bytes).0
 }
 
-fn txn(shard: &id::Shard, item: &Item) -> Txn {
+fn txn(shard: &id::Shard, write: &KeyWrite) -> Txn {
     let put = |key: String, value: &Bytes| Write::Put {
         key,
         value: value.to_vec(),
         lease: None,
     };
-    let index = item.index.iter().map(|value| put(key::index(shard), value));
+    let index = write
+        .index
+        .iter()
+        .map(|value| put(key::index(shard), value));
     let absent = Compare {
-        key: key::journal(shard, item.seq),
+        key: key::journal(shard, write.seq),
         revision: 0,
     };
     let known = Compare {
         key: key::index(shard),
-        revision: item.index_revision,
+        revision: write.index_revision,
     };
     Txn {
         compares: vec![absent, known],
-        writes: [put(key::journal(shard, item.seq), &item.value)]
+        writes: [put(key::journal(shard, write.seq), &write.value)]
             .into_iter()
             .chain(index)
             .collect(),
--- a/crates/journal/src/log/write/tests.rs
+++ b/crates/journal/src/log/write/tests.rs
@@ -9,8 +9,8 @@
     }
 }
 
-fn item(value: &'static [u8], index: Option<&'static [u8]>) -> Item {
-    Item {
+fn item(value: &'static [u8], index: Option<&'static [u8]>) -> KeyWrite {
+    KeyWrite {
         seq: 3,
         value: Bytes::from_static(value),
         index: index.map(Bytes::from_static),
@@ -22,14 +22,14 @@
 async fn the_same_bytes_again_are_done_and_others_taken() {
     let memory = Memory::default();
     let first = send(&memory, &shard(), &item(b"a", Some(b"i"))).await;
-    assert!(matches!(first, Step::Done(_)));
+    assert!(matches!(first, WriteOutcome::Written(_)));
     assert_eq!(
         send(&memory, &shard(), &item(b"a", Some(b"i"))).await,
         first
     );
     assert_eq!(
         send(&memory, &shard(), &item(b"b", None)).await,
-        Step::Taken
+        WriteOutcome::Taken
     );
 }
 
@@ -40,9 +40,9 @@
     // image covers.
     let memory = Memory::default();
     let drained = send(&memory, &shard(), &item(b"a", None)).await;
-    assert!(matches!(drained, Step::Done(_)));
+    assert!(matches!(drained, WriteOutcome::Written(_)));
     assert_eq!(
         send(&memory, &shard(), &item(b"a", Some(b"i"))).await,
-        Step::Passed
+        WriteOutcome::Superseded
     );
 }
--- a/crates/journal/src/program.rs
+++ b/crates/journal/src/program.rs
@@ -131,7 +131,7 @@
     }
 
     /// Makes a program of its first record; `None` where the record is another one.
-    pub(crate) fn of(record: &Record) -> Option<Self> {
+    pub(crate) fn from_created(record: &Record) -> Option<Self> {
         let Record::Created {
             program,
             caller,
@@ -161,15 +161,15 @@
     }
 
     /// Tells whether a record of this program fits it.
-    pub(crate) fn takes(&self, record: &Record) -> bool {
-        let runs = |attempt| self.running.as_ref().is_some_and(|r| r.attempt == attempt);
+    pub(crate) fn accepts(&self, record: &Record) -> bool {
+        let is_running = |attempt| self.running.as_ref().is_some_and(|r| r.attempt == attempt);
         match record {
             Record::Started { turn, .. } => {
                 self.ended.is_none() && self.running.is_none() && *turn == self.committed() + 1
             }
-            Record::Stopped { attempt, .. } => runs(*attempt),
+            Record::Stopped { attempt, .. } => is_running(*attempt),
             Record::Committed { turn, attempt, .. } => {
-                runs(*attempt) && *turn == self.committed() + 1
+                is_running(*attempt) && *turn == self.committed() + 1
             }
             Record::Intent { key, .. } => self.ended.is_none() && self.call(key).is_none(),
             Record::Outcome { key, attempt, .. } => self.call(key).is_some_and(|call| {
@@ -186,10 +186,10 @@
     pub(crate) fn apply(&mut self, epoch: u64, record: &Record) {
         match record {
             Record::Started { endpoint, at, .. } => {
-                self.running = Running::of(epoch, record);
+                self.running = Running::from_started(epoch, record);
                 self.touched = self.touched.max(*at);
                 if let Some(endpoint) = endpoint {
-                    insert(&mut self.holders, endpoint);
+                    insert_sorted(&mut self.holders, endpoint);
                 }
             }
             Record::Stopped { used, .. } => {
@@ -206,14 +206,14 @@
             } => {
                 self.spent = self.spent.saturating_add(*used);
                 self.touched = self.touched.max(*at);
-                insert(&mut self.holders, endpoint);
-                self.add(messages, answer);
+                insert_sorted(&mut self.holders, endpoint);
+                self.add_turn(messages, answer);
             }
             Record::Intent { at, .. } => {
                 self.touched = self.touched.max(*at);
-                self.intend(epoch, record);
+                self.add_call(epoch, record);
             }
-            Record::Outcome { key, result, .. } => self.resolve(key, result),
+            Record::Outcome { key, result, .. } => self.set_outcome(key, result),
             Record::Ended { code, at, .. } => {
                 self.ended = Some(Ending {
                     code: *code,
@@ -233,11 +233,14 @@
         }
     }
 
-    fn add(&mut self, messages: &[chat::Message], answer: &chat::Answer) {
+    fn add_turn(&mut self, messages: &[chat::Message], answer: &chat::Answer) {
         let Some(running) = self.running.take() else {
             return;
         };
-        self.chain = link(link(self.chain, running.digest), digest_of(&answer.message));
+        self.chain = chain_digest(
+            chain_digest(self.chain, running.digest),
+            message_digest(&answer.message),
+        );
         self.history.push(Turn {
             digest: running.digest,
             messages: messages.to_vec(),
@@ -245,7 +248,7 @@
         });
     }
 
-    fn intend(&mut self, epoch: u64, record: &Record) {
+    fn add_call(&mut self, epoch: u64, record: &Record) {
         let Record::Intent {
             key,
             attempt,
@@ -267,7 +270,7 @@
         }
     }
 
-    fn resolve(&mut self, key: &id::Key, result: &Outcome) {
+    fn set_outcome(&mut self, key: &id::Key, result: &Outcome) {
         let Ok(at) = self.find_call(key) else { return };
         match result {
             Outcome::NotRun => {
@@ -285,7 +288,7 @@
 }
 
 impl Running {
-    fn of(epoch: u64, record: &Record) -> Option<Self> {
+    fn from_started(epoch: u64, record: &Record) -> Option<Self> {
         let Record::Started {
             turn,
             attempt,
@@ -307,14 +310,14 @@
 }
 
 /// Adds an endpoint to a sorted list; one that stands there already isn't added again.
-pub(crate) fn insert(sorted: &mut Vec<id::Endpoint>, endpoint: &id::Endpoint) {
+pub(crate) fn insert_sorted(sorted: &mut Vec<id::Endpoint>, endpoint: &id::Endpoint) {
     if let Err(at) = sorted.binary_search(endpoint) {
         sorted.insert(at, endpoint.clone());
     }
 }
 
 /// Continues a chain of digests.
-pub(crate) fn link(chain: id::Digest, next: id::Digest) -> id::Digest {
+pub(crate) fn chain_digest(chain: id::Digest, next: id::Digest) -> id::Digest {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&chain.0.to_be_bytes());
     bytes[8..].copy_from_slice(&next.0.to_be_bytes());
@@ -323,6 +326,6 @@
 
 /// Yields the digest of a message. A message that can't be encoded, which JSON values never are,
 /// counts as empty.
-fn digest_of(message: &chat::Message) -> id::Digest {
+fn message_digest(message: &chat::Message) -> id::Digest {
     id::Digest::of(&serde_json::to_vec(message).unwrap_or_default())
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -185,17 +185,17 @@
 /// Yields the encoded size in bytes of a value that becomes part of a journal key.
 #[must_use]
 pub fn size<T: Serialize + ?Sized>(value: &T) -> usize {
-    let mut count = Count(0);
-    match rmp_serde::encode::write_named(&mut count, value) {
-        Ok(()) => count.0,
+    let mut counter = ByteCounter(0);
+    match rmp_serde::encode::write_named(&mut counter, value) {
+        Ok(()) => counter.0,
         // What can't be encoded fits nowhere.
         Err(_) => usize::MAX,
     }
 }
 
-struct Count(usize);
+struct ByteCounter(usize);
 
-impl io::Write for Count {
+impl io::Write for ByteCounter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0 += bytes.len();
         Ok(bytes.len())
--- a/crates/journal/src/snapshot.rs
+++ b/crates/journal/src/snapshot.rs
@@ -33,7 +33,7 @@
 use wire::id;
 
 use crate::key;
-use crate::log::wait;
+use crate::log::backoff;
 use crate::state::State;
 
 pub(crate) use progress::Progress;
@@ -41,11 +41,11 @@
 
 /// Tries to write one chunk or removal before the image or removal is given up; with the longest
 /// waits about a quarter of a minute. The next image is another chance.
-const TRIES: u32 = 20;
+const MAX_TRIES: u32 = 20;
 /// Keys removed in one transaction; half of what etcd takes by default.
-const REMOVED_AT_ONCE: u64 = 64;
+const KEYS_PER_REMOVAL: u64 = 64;
 /// Chunks listed at once when leftovers are swept; each may be as large as a value can be.
-const SWEPT_AT_ONCE: usize = 2;
+const CHUNKS_PER_PAGE: usize = 2;
 
 /// An encoded state.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 }
 
 /// What an image is written for.
-pub(crate) struct Task {
+pub(crate) struct Context {
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) shard: id::Shard,
     pub(crate) epoch: u64,
@@ -120,7 +120,7 @@
 }
 
 /// Writes an image's chunks; `None` where the platform didn't let it.
-pub(crate) async fn write(task: &Task, image: &Image, floor: u64) -> Option<Index> {
+pub(crate) async fn write_image(context: &Context, image: &Image, floor: u64) -> Option<Index> {
     if image.0.is_empty() {
         return None;
     }
@@ -128,19 +128,19 @@
     for start in (0..image.0.len()).step_by(MAX_VALUE) {
         let end = image.0.len().min(start + MAX_VALUE);
         let put = Write::Put {
-            key: key::chunk(&task.shard, task.epoch, task.seq, chunks),
+            key: key::chunk(&context.shard, context.epoch, context.seq, chunks),
             value: image.0[start..end].to_vec(),
             lease: None,
         };
-        let platform = task.platform.as_ref();
-        if !persist(platform, vec![put], task.seed).await {
+        let platform = context.platform.as_ref();
+        if !commit_until_done(platform, vec![put], context.seed).await {
             return None;
         }
         chunks += 1;
     }
     Some(Index {
-        seq: task.seq,
-        epoch: task.epoch,
+        seq: context.seq,
+        epoch: context.epoch,
         chunks,
         bytes: image.0.len() as u64,
         floor,
@@ -190,7 +190,7 @@
 }
 
 /// Removes what a new index has made useless; `false` where the platform didn't let it.
-pub(crate) async fn remove(
+pub(crate) async fn remove_superseded(
     platform: &dyn Platform,
     shard: &id::Shard,
     epoch: u64,
@@ -203,25 +203,30 @@
     if let Some(old) = &removal.image {
         keys.extend((0..old.chunks).map(|chunk| key::chunk(shard, old.epoch, old.seq, chunk)));
     }
-    for keys in keys.chunks(usize::try_from(REMOVED_AT_ONCE).unwrap_or(1)) {
+    for keys in keys.chunks(usize::try_from(KEYS_PER_REMOVAL).unwrap_or(1)) {
         let deletes = keys.iter().cloned().map(Write::Delete).collect();
-        if !persist(platform, deletes, seed).await {
+        if !commit_until_done(platform, deletes, seed).await {
             return false;
         }
     }
-    let swept = removal.image.as_ref().is_some_and(|old| old.epoch == epoch);
-    swept || sweep(platform, shard, epoch, seed).await
+    let no_leftovers = removal.image.as_ref().is_some_and(|old| old.epoch == epoch);
+    no_leftovers || remove_leftovers(platform, shard, epoch, seed).await
 }
 
 /// Removes chunks of images whose writer lost the shard before it had set their index. Only an
 /// earlier epoch's are touched: a later owner may be writing its own. Done with the first image of
 /// an epoch.
-async fn sweep(platform: &dyn Platform, shard: &id::Shard, epoch: u64, seed: u64) -> bool {
+async fn remove_leftovers(
+    platform: &dyn Platform,
+    shard: &id::Shard,
+    epoch: u64,
+    seed: u64,
+) -> bool {
     let prefix = key::images_prefix(shard);
     let end = key::image_prefix(shard, epoch, 0);
     let mut from = prefix.clone();
     while from < end {
-        let Ok(listed) = platform.range(&prefix, &from, SWEPT_AT_ONCE).await else {
+        let Ok(listed) = platform.range(&prefix, &from, CHUNKS_PER_PAGE).await else {
             return false;
         };
         let Some(last) = listed.last() else {
@@ -231,7 +236,7 @@
         from = format!("{}!", last.key);
         let keys = listed.into_iter().map(|entry| entry.key);
         let deletes: Vec<Write> = keys.filter(|key| *key < end).map(Write::Delete).collect();
-        if !deletes.is_empty() && !persist(platform, deletes, seed).await {
+        if !deletes.is_empty() && !commit_until_done(platform, deletes, seed).await {
             return false;
         }
     }
@@ -239,16 +244,16 @@
 }
 
 /// Makes writes that may be repeated, until they are known to have taken effect.
-async fn persist(platform: &dyn Platform, writes: Vec<Write>, seed: u64) -> bool {
+async fn commit_until_done(platform: &dyn Platform, writes: Vec<Write>, seed: u64) -> bool {
     let txn = Txn {
         compares: Vec::<Compare>::new(),
         writes,
     };
-    for tries in 1..=TRIES {
+    for tries in 1..=MAX_TRIES {
         let pause = match platform.commit(&txn, Weight::Background).await {
             Ok(_) => return true,
             Err(Fault::Limited(pause)) => pause,
-            Err(_) => wait(tries, seed),
+            Err(_) => backoff(tries, seed),
         };
         tokio::time::sleep(pause.as_duration()).await;
     }
--- a/crates/journal/src/snapshot/progress.rs
+++ b/crates/journal/src/snapshot/progress.rs
@@ -10,7 +10,7 @@
 
 /// Batches after which an image may be due: a takeover reads at most this many small keys, in
 /// tens of milliseconds by the range.
-const BATCHES: u64 = 256;
+const BATCHES_BEFORE_IMAGE: u64 = 256;
 
 /// What a new index has made useless.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 enum Stage {
     Idle,
     /// An image waits for the appends before it to get their places.
-    Asked {
+    Requested {
         image: Image,
         arrivals: usize,
     },
@@ -61,34 +61,34 @@
     }
 
     /// Takes an image that covers the batches formed so far and the next `arrivals` appends.
-    pub(crate) fn ask(&mut self, image: Image, arrivals: usize) {
+    pub(crate) fn request(&mut self, image: Image, arrivals: usize) {
         if matches!(self.stage, Stage::Idle) {
-            self.stage = Stage::Asked { image, arrivals };
+            self.stage = Stage::Requested { image, arrivals };
         }
     }
 
     /// Yields the image once every append before it has its place.
-    pub(crate) fn cut(&mut self) -> Option<Image> {
-        if !matches!(self.stage, Stage::Asked { arrivals: 0, .. }) {
+    pub(crate) fn take_requested(&mut self) -> Option<Image> {
+        if !matches!(self.stage, Stage::Requested { arrivals: 0, .. }) {
             return None;
         }
         match std::mem::replace(&mut self.stage, Stage::Writing) {
-            Stage::Asked { image, .. } => Some(image),
+            Stage::Requested { image, .. } => Some(image),
             _ => None,
         }
     }
 
     /// Limits the appends of the next batch to those before an image.
-    pub(crate) fn limit(&self, count: usize) -> usize {
+    pub(crate) fn limit_batch(&self, count: usize) -> usize {
         match self.stage {
-            Stage::Asked { arrivals, .. } => count.min(arrivals),
+            Stage::Requested { arrivals, .. } => count.min(arrivals),
             _ => count,
         }
     }
 
     /// Notes a batch of so many appends.
-    pub(crate) fn formed(&mut self, count: usize, bytes: usize) {
-        if let Stage::Asked { arrivals, .. } = &mut self.stage {
+    pub(crate) fn note_batch(&mut self, count: usize, bytes: usize) {
+        if let Stage::Requested { arrivals, .. } = &mut self.stage {
             *arrivals -= count;
         }
         self.batches += 1;
@@ -98,11 +98,13 @@
     /// Tells whether the journal has grown enough since the last image.
     pub(crate) fn is_due(&self) -> bool {
         let last = self.known.index.as_ref().map_or(0, |index| index.bytes);
-        self.batches >= BATCHES && self.bytes >= last && matches!(self.stage, Stage::Idle)
+        self.batches >= BATCHES_BEFORE_IMAGE
+            && self.bytes >= last
+            && matches!(self.stage, Stage::Idle)
     }
 
     /// Notes that an image is written, or given up.
-    pub(crate) fn written(&mut self, index: Option<Index>) {
+    pub(crate) fn note_written(&mut self, index: Option<Index>) {
         self.stage = index.map_or(Stage::Idle, Stage::Ready);
     }
 
@@ -122,7 +124,7 @@
     }
 
     /// Notes that the index is set.
-    pub(crate) fn indexed(&mut self, revision: u64, index: &Index) -> Removal {
+    pub(crate) fn note_index_set(&mut self, revision: u64, index: &Index) -> Removal {
         let known = KnownIndex {
             revision,
             index: Some(index.clone()),
@@ -139,7 +141,7 @@
     }
 
     /// Notes that the journal keys up to `seq` are removed.
-    pub(crate) fn removed(&mut self, seq: u64) {
+    pub(crate) fn note_removed(&mut self, seq: u64) {
         self.floor = self.floor.max(seq + 1);
     }
 
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -13,8 +13,8 @@
 
 use crate::copy::Holder;
 use crate::program::Program;
-use crate::program::insert;
-use crate::program::link;
+use crate::program::chain_digest;
+use crate::program::insert_sorted;
 use crate::record::Record;
 
 /// How many different endpoints must have crashed on a content before it is refused for good. One
@@ -26,13 +26,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Mismatch {
     /// The record speaks of a program that doesn't exist.
-    #[display("program {_0} isn't known")]
+    #[display("program {_0} isn't stored")]
     Unknown(#[error(not(source))] id::Program),
     /// A program is made twice.
     #[display("program {_0} exists")]
     Exists(#[error(not(source))] id::Program),
     /// A turn or attempt isn't the one that is due.
-    #[display("program {_0} isn't at this turn or attempt")]
+    #[display("program {_0} isn't index this turn or attempt")]
     Order(#[error(not(source))] id::Program),
     /// A shard is opened with an epoch that isn't higher than the last.
     #[display("epoch {_0} isn't new")]
@@ -93,7 +93,7 @@
                 self.named.clone_from(copies);
                 self.copies.clone_from(copies);
             }
-            Record::Copies { holders } => self.name(holders),
+            Record::Copies { holders } => self.set_copy_holders(holders),
             Record::Created { program, .. } => self.create(program, record),
             Record::Blamed {
                 content, endpoint, ..
@@ -107,8 +107,8 @@
             | Record::Ended { program, .. }
             | Record::Released { program, .. } => {
                 let epoch = self.epoch;
-                if let Ok(at) = self.find(program) {
-                    self.programs[at].apply(epoch, record);
+                if let Ok(index) = self.find(program) {
+                    self.programs[index].apply(epoch, record);
                 }
             }
         }
@@ -137,9 +137,9 @@
             | Record::Ended { program, .. }
             | Record::Released { program, .. }
             | Record::Forgotten { program } => {
-                let known = self.program(program);
-                let known = known.ok_or_else(|| Mismatch::Unknown(program.clone()))?;
-                if known.takes(record) {
+                let stored = self.program(program);
+                let stored = stored.ok_or_else(|| Mismatch::Unknown(program.clone()))?;
+                if stored.accepts(record) {
                     return Ok(());
                 }
                 Err(Mismatch::Order(program.clone()))
@@ -169,8 +169,8 @@
     /// Looks a program up.
     #[must_use]
     pub fn program(&self, id: &id::Program) -> Option<&Program> {
-        let at = self.find(id).ok()?;
-        Some(&self.programs[at])
+        let index = self.find(id).ok()?;
+        Some(&self.programs[index])
     }
 
     /// Walks the programs by name, ended ones among them.
@@ -183,14 +183,14 @@
     #[must_use]
     pub fn content_digest(&self, id: &id::Program, digest: id::Digest) -> id::Digest {
         let chain = self.program(id).map_or(id::Digest(0), |p| p.chain);
-        link(chain, digest)
+        chain_digest(chain, digest)
     }
 
     /// Yields the endpoints that crashed on a content.
     #[must_use]
     pub fn crashed_endpoints(&self, content: id::Digest) -> &[id::Endpoint] {
         match self.find_blame(content) {
-            Ok(at) => &self.blames[at].endpoints,
+            Ok(index) => &self.blames[index].endpoints,
             Err(_) => &[],
         }
     }
@@ -201,7 +201,7 @@
         self.crashed_endpoints(content).len() >= POISON_THRESHOLD
     }
 
-    fn name(&mut self, holders: &[Holder]) {
+    fn set_copy_holders(&mut self, holders: &[Holder]) {
         self.copies.clone_from(&self.named);
         for holder in holders {
             if !self.copies.contains(holder) {
@@ -212,40 +212,40 @@
     }
 
     fn create(&mut self, id: &id::Program, record: &Record) {
-        let (Err(at), Some(program)) = (self.find(id), Program::of(record)) else {
+        let (Err(index), Some(program)) = (self.find(id), Program::from_created(record)) else {
             return;
         };
-        self.programs.insert(at, Box::new(program));
+        self.programs.insert(index, Box::new(program));
     }
 
     fn forget(&mut self, id: &id::Program) {
-        if let Ok(at) = self.find(id) {
-            self.programs.remove(at);
+        if let Ok(index) = self.find(id) {
+            self.programs.remove(index);
         }
     }
 
     /// Adds the turn, and clears the content of a crash that it was blamed for: it has run whole,
     /// so what crashed was something else that ran beside it.
     fn commit(&mut self, id: &id::Program, record: &Record) {
-        let Ok(at) = self.find(id) else { return };
-        let digest = self.programs[at].running.as_ref().map(|r| r.digest);
-        let content = digest.map(|digest| link(self.programs[at].chain, digest));
-        self.programs[at].apply(self.epoch, record);
+        let Ok(index) = self.find(id) else { return };
+        let digest = self.programs[index].running.as_ref().map(|r| r.digest);
+        let content = digest.map(|digest| chain_digest(self.programs[index].chain, digest));
+        self.programs[index].apply(self.epoch, record);
         let Some(content) = content.filter(|content| !self.is_poisoned(*content)) else {
             return;
         };
-        if let Ok(at) = self.find_blame(content) {
-            self.blames.remove(at);
+        if let Ok(index) = self.find_blame(content) {
+            self.blames.remove(index);
         }
     }
 
     fn blame(&mut self, content: id::Digest, endpoint: &id::Endpoint) {
-        let at = self.find_blame(content).unwrap_or_else(|at| {
+        let index = self.find_blame(content).unwrap_or_else(|index| {
             let endpoints = Vec::new();
-            self.blames.insert(at, Blame { content, endpoints });
-            at
+            self.blames.insert(index, Blame { content, endpoints });
+            index
         });
-        insert(&mut self.blames[at].endpoints, endpoint);
+        insert_sorted(&mut self.blames[index].endpoints, endpoint);
     }
 
     fn find(&self, id: &id::Program) -> std::result::Result<usize, usize> {
