--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -1,6 +1,7 @@
-//! Measures what a shard costs: appends a second over a platform that answers in 2 ms, memory a
-//! program, processor time a turn, and the time to rebuild a shard. Everything runs on one thread;
-//! processor times are that thread's by the system's count, so that other load doesn't add to them.
+//! Measures the costs of a shard: appends per second on a platform that answers in 2 ms, memory per
+//! program, CPU time per turn, and the time to rebuild a shard. Everything runs on one thread. CPU
+//! times are those of this thread as counted by the operating system, so other load doesn't affect
+//! them.
 //!
 //! `cargo run --release -p journal --example costs`
 
@@ -27,11 +28,11 @@
 use wire::clock::Millis;
 use wire::id;
 
-/// How long the platform takes to answer.
+/// The response time of the platform.
 const ANSWER: Duration = Duration::from_millis(2);
-/// How long each load of the appends is measured.
+/// How long each append load is measured.
 const SPAN: Duration = Duration::from_secs(3);
-/// Bytes of a turn's question and of its answer, about 250 tokens each.
+/// The size of a turn's question and of its answer in bytes, about 250 tokens each.
 const TEXT: usize = 1_000;
 
 #[tokio::main(flavor = "current_thread")]
@@ -73,7 +74,7 @@
     }
 }
 
-/// Appends turns one after another for the span, and yields how long each took.
+/// Appends turns one after another for the measured time, and returns how long each append took.
 async fn ask(log: Log, caller: usize, start: Instant) -> Vec<Duration> {
     let mut waits = Vec::new();
     while start.elapsed() < SPAN {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Begins and commits a turn by way of the gate.
+/// Starts and commits a turn through the decision functions.
 fn turn(state: &mut State, program: usize, number: u32) {
     let attempt = id::Attempt(program as u64 * 100 + u64::from(number));
     let messages = [message("user")];
@@ -168,7 +169,7 @@
     }
 }
 
-/// Writes programs of one turn each, two batches a program.
+/// Writes programs of one turn each, in two batches per program.
 async fn fill(memory: &Memory, batches: usize) {
     let mut opened = open(memory, Duration::ZERO).await;
     for program in 0..batches / 2 {
@@ -268,7 +269,7 @@
 }
 
 fn program_id(program: usize) -> id::Program {
-    // Spread, as drawn names are.
+    // Distributes the names evenly, like random names.
     let spread = id::Digest::of(&program.to_be_bytes()).0;
     id::Program::parse(&format!("c-{spread:016x}")).expect("an id")
 }
@@ -294,14 +295,14 @@
     processor().saturating_sub(start)
 }
 
-/// Yields the processor time of this thread; zero where the system doesn't tell.
+/// Returns the CPU time of this thread; zero if the system doesn't provide it.
 fn processor() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text.split(' ').next().and_then(|nanos| nanos.parse().ok());
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
-/// Yields the process's resident memory in bytes; 0 where the system doesn't tell.
+/// Returns the resident memory of the process in bytes; 0 if the system doesn't provide it.
 fn resident() -> usize {
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -309,7 +310,7 @@
     pages.unwrap_or(0_usize) * PAGE
 }
 
-/// A platform that takes its time.
+/// A platform with a delay before each response.
 struct Slow {
     memory: Memory,
     answer: Duration,
@@ -370,7 +371,7 @@
     }
 }
 
-/// A centre of one VM.
+/// A centre with a single VM.
 struct Alone;
 
 #[async_trait]
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -1,16 +1,17 @@
 //! How a VM becomes the owner of a shard.
 //!
-//! Exists for the failure "a VM dies or pauses and its programs wait for ever, or are run by two
-//! VMs". The ownership record decides who tries; the [`Record::Opened`] in the journal is the fence
-//! that makes every earlier owner's next append fail.
+//! Prevents this failure: a VM dies or pauses, and its programs wait for ever or run on two VMs.
+//! The ownership record decides which VM tries; the [`Record::Opened`] in the journal is the fence
+//! that makes the next append of every earlier owner fail.
 //!
-//! In order: read the journal; write the ownership record where it is free; collect what other VMs
-//! hold for the old owner, which fences it there; write that into the journal at the places and
-//! with the bytes that the old owner gave it, so that its own hand and this one can't differ; then
-//! write the fence. What the old owner appends meanwhile is read and applied like all else.
+//! The steps of a claim: read the journal; write the ownership record if it is free; collect the
+//! batches that other VMs hold for the old owner, which also fences the old owner on those VMs;
+//! write these batches to the journal keys and with the bytes that the old owner chose, so that the
+//! result is the same whichever of the two writes them; then append the fence. Records that the old
+//! owner appends in the meantime are read and applied as usual.
 //!
-//! After an outage every lease has lapsed at once: who claims shards waits one lease time first, so
-//! that their holders can [`reclaim`] them.
+//! After an outage all leases have expired at once. Claimers therefore wait for one lease time
+//! first, so that the owners can [`reclaim`] their shards.
 
 mod collect;
 mod load;
@@ -44,52 +45,52 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// Sends of one key before a claim is given up; the caller tries again from the beginning.
+/// How often one key is sent before the claim fails; the caller then starts the claim again.
 const MAX_TRIES: u32 = 5;
 
-/// The value of the ownership key `owner/<centre>/<index>`, which goes with its VM's lease.
+/// The value of the ownership key `owner/<centre>/<index>`. The key expires with the owner's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
     /// The owner.
     pub vm: id::Vm,
-    /// One more than at the last opening.
+    /// One more than the epoch of the shard's previous opening.
     pub epoch: u64,
-    /// The VMs that hold copies.
+    /// The VMs that hold copies of pending batches.
     pub copies: Vec<copy::Holder>,
 }
 
 /// A shard that this VM owns.
 #[derive(Debug)]
 pub struct Opened {
-    /// The number of the ownership, the fencing number of its orders.
+    /// The epoch of this ownership, used as the fencing token of the orders that the owner sends.
     pub epoch: u64,
-    /// The state, rebuilt.
+    /// The state rebuilt from the journal.
     pub state: State,
     /// The log to append to.
     pub log: Log,
 }
 
-/// Why a claim failed. Nothing is owned then.
+/// Why a claim failed. The VM doesn't own the shard then.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
     /// The ownership record belongs to another VM.
     #[display("{} owns the shard", _0.vm)]
     Owned(#[error(not(source))] Ownership),
-    /// Another VM claims or opened the shard meanwhile.
+    /// Another VM has claimed or opened the shard in the meantime.
     #[display("another VM claims the shard")]
     Raced,
-    /// A VM that may hold pending batches doesn't answer and isn't gone by the platform's list.
+    /// A VM that may hold pending batches doesn't answer, and the platform still lists it.
     #[display("{_0} may hold pending batches and doesn't answer")]
     Waiting(#[error(not(source))] id::Vm),
-    /// The platform doesn't answer as it should.
+    /// The platform doesn't answer as expected.
     #[display("{_0}")]
     Platform(edge::Fault),
-    /// The journal has a gap or records that don't fit.
+    /// The journal has a gap or records that don't match the state.
     #[display("the journal is damaged: {_0}")]
     Damaged(#[error(not(source))] String),
 }
 
-/// The outcome of a claim.
+/// The result of a claim.
 pub type Result<T> = std::result::Result<T, Fault>;
 
 impl From<edge::Fault> for Fault {
@@ -99,7 +100,7 @@
 }
 
 impl Ownership {
-    /// Decodes the value of an ownership key; `None` where the bytes are damaged.
+    /// Decodes the value of an ownership key. Returns `None` if the bytes are damaged.
     #[must_use]
     pub fn decode(value: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(value).ok()
@@ -114,9 +115,10 @@
 ///
 /// # Errors
 ///
-/// Fails with a [`Fault`]; the caller may try again later.
+/// Returns a [`Fault`]; the caller may try again later.
 pub async fn open(setup: Setup, lease: edge::Lease) -> Result<Opened> {
-    // Read before the journal is, which may be long, so that a shard that has an owner costs one.
+    // Checked before the journal is read, which may be long, so that claiming a shard that has an
+    // owner costs only one read.
     let expected = free_revision(&setup).await?;
     let mut loaded = load::load(setup.platform.as_ref(), &setup.shard).await?;
     let epoch = loaded.state.epoch() + 1;
@@ -148,12 +150,12 @@
     })
 }
 
-/// Writes the ownership record anew after its lease has lapsed, for an owner that still has the
-/// shard open. `false` where another VM holds the record.
+/// Writes the ownership record again after its lease has expired, for an owner that still has the
+/// shard open. Returns `false` if another VM holds the record.
 ///
 /// # Errors
 ///
-/// Fails where the platform doesn't answer as it should.
+/// Fails if the platform doesn't answer as expected.
 pub async fn reclaim(setup: &Setup, epoch: u64, lease: edge::Lease) -> Result<bool> {
     let ownership = Ownership {
         vm: setup.vm.clone(),
@@ -172,12 +174,12 @@
     }
 }
 
-/// Gives a shard up: removes the ownership record, where it is this VM's. The caller has ended its
-/// appends.
+/// Releases a shard: removes the ownership record if it belongs to this VM. The caller must have
+/// ended its appends.
 ///
 /// # Errors
 ///
-/// Fails where the platform doesn't answer as it should; the lease's end does the same.
+/// Fails if the platform doesn't answer as expected; the record then goes when the lease expires.
 pub async fn release(setup: &Setup, epoch: u64) -> Result<()> {
     let key = key::owner(&setup.shard);
     let Some(entry) = setup.platform.read(&key).await? else {
@@ -202,14 +204,14 @@
     Ok(())
 }
 
-/// Yields the revision of the ownership record where it is absent (0) or this VM's own.
+/// Returns the revision of the ownership record if the record is absent (0) or belongs to this VM.
 async fn free_revision(setup: &Setup) -> Result<u64> {
     let Some(entry) = setup.platform.read(&key::owner(&setup.shard)).await? else {
         return Ok(0);
     };
     match Ownership::decode(&entry.value) {
         Some(ownership) if ownership.vm != setup.vm => Err(Fault::Owned(ownership)),
-        // One that can't be decoded protects nobody: the fence in the journal does.
+        // A record that can't be decoded protects no owner; the fence in the journal does.
         Some(_) | None => Ok(entry.revision),
     }
 }
@@ -235,16 +237,18 @@
     match setup.platform.commit(&txn, Weight::Claim).await {
         Ok(Outcome::Applied(_)) => Ok(()),
         Ok(Outcome::Refused(_)) => Err(Fault::Raced),
-        // It may land later; then the record is this VM's, which tries again anyway.
+        // The write may still take effect later. The record then belongs to this VM, which tries
+        // again anyway.
         Err(fault) => Err(fault.into()),
     }
 }
 
-/// Writes what the old owner left pending to where it was meant to go. A batch of another epoch
-/// than the journal's last is a leftover of an owner that has lost: its place is long taken.
+/// Writes the batches that the old owner left pending to the keys they were meant for. A batch
+/// whose epoch isn't the journal's current one is left over from an owner that lost the shard
+/// earlier; its key already holds another batch.
 async fn write_pending(setup: &Setup, loaded: &mut Loaded, held: &[copy::Batch]) -> Result<()> {
-    // The old owner may have appended until it was fenced by the collection; without these the
-    // first pending batch would look as if others were missing before it.
+    // The old owner may have appended until the collection fenced it. Without those keys, the first
+    // pending batch would appear to follow a gap.
     let epoch = loaded.state.epoch();
     load::read_tail(setup.platform.as_ref(), &setup.shard, loaded).await?;
     if loaded.state.epoch() > epoch {
@@ -264,7 +268,7 @@
     Ok(())
 }
 
-/// Appends the fence, after whatever the old owner appends meanwhile.
+/// Appends the fence after everything that the old owner appends in the meantime.
 async fn append_fence(setup: &Setup, loaded: &mut Loaded, epoch: u64) -> Result<()> {
     loop {
         let seq = loaded.next;
@@ -282,8 +286,9 @@
     }
 }
 
-/// Puts a value at the journal's end. `false` where another value stands there; that one is
-/// applied, and the end is one further. Fails where it is a newer owner's.
+/// Writes a value to the key at the journal's end. Returns `false` if that key holds another value:
+/// the other value is applied, and the journal's end moves on by one key. Fails if a newer owner
+/// wrote the other value.
 async fn append_value(
     setup: &Setup,
     loaded: &mut Loaded,
@@ -310,7 +315,7 @@
                 }
                 return Ok(false);
             }
-            // The old owner has snapshotted meanwhile; the claim begins anew.
+            // The old owner has written a snapshot in the meantime; the claim must start again.
             WriteOutcome::Superseded => return Err(Fault::Raced),
             WriteOutcome::Retry(fault) => {
                 tries += 1;
@@ -323,7 +328,8 @@
     }
 }
 
-/// Lets the old owner's copies go.
+/// Tells the holders that served the old owner that its batches are in the journal, so that they
+/// drop them.
 async fn notify_drained(setup: &Setup, loaded: &Loaded, held: &[copy::Batch]) {
     if held.is_empty() {
         return;
--- a/crates/journal/src/claim/collect.rs
+++ b/crates/journal/src/claim/collect.rs
@@ -1,10 +1,10 @@
-//! Gathers what other VMs hold for a shard's old owner.
+//! Collects the batches that other VMs hold for a shard's old owner.
 //!
-//! Exists for the failure "a turn that was answered during an outage is missing after the
-//! takeover". Every VM that may hold a copy must have answered, since each answer may hold the one
-//! copy of a turn, and since answering fences the old owner there. One that is gone (by the
-//! platform's list, not by its silence) or was restarted has lost its copies; then the old owner
-//! itself must answer, and steps down by that, unless it is gone as well.
+//! Prevents the failure "a turn that was answered during an outage is missing after the takeover".
+//! Every VM that may hold a copy must answer, because it may hold the only copy of a turn, and
+//! because its answer fences the old owner there. A VM that is gone (no longer listed by the
+//! platform; silence isn't enough) or was restarted has lost its copies. In that case the old owner
+//! itself must answer, which makes it step down, unless it is gone as well.
 
 use platform::edge::Machine;
 use wire::id;
@@ -17,7 +17,7 @@
 use crate::log::Setup;
 use crate::state::State;
 
-/// Yields the pending batches by their numbers, each once.
+/// Returns the pending batches sorted by epoch and number, without duplicates.
 pub(super) async fn collect(setup: &Setup, state: &State, epoch: u64) -> Result<Vec<Batch>> {
     let mut held = Vec::new();
     if state.copies().is_empty() {
@@ -43,7 +43,7 @@
     Ok(held)
 }
 
-/// Asks one VM; `None` where it is gone.
+/// Asks one VM. Returns `None` if it is gone.
 async fn collect_from(
     setup: &Setup,
     vm: &id::Vm,
--- a/crates/journal/src/claim/load.rs
+++ b/crates/journal/src/claim/load.rs
@@ -1,8 +1,8 @@
 //! Reads a shard from the platform: the image that the index names, then the journal after it.
 //!
-//! Exists for the failure "the state is rebuilt from a part of the journal": numbers must follow
-//! one another without a gap, and each record must fit. The old owner may snapshot and remove keys
-//! meanwhile, which looks like a gap and is gone at the next reading.
+//! Prevents the failure "the state is rebuilt from only a part of the journal": the key numbers
+//! must be consecutive, and each record must match the state. The old owner may write a snapshot
+//! and remove keys during the read, which looks like a gap and is resolved by reading again.
 
 use platform::edge::Platform;
 use wire::id;
@@ -16,25 +16,27 @@
 use crate::snapshot::KnownIndex;
 use crate::state::State;
 
-/// Keys listed first; each may be as large as a value can be.
+/// The number of keys in the first page; each value may have the maximum size.
 const FIRST_PAGE_KEYS: usize = 16;
-/// Keys listed at once when they are small; a journal of a few hundred keys is one page then.
+/// The maximum number of keys in a page of small values; a journal of a few hundred keys then fits
+/// one page.
 const MAX_PAGE_KEYS: usize = 512;
-/// Bytes that a page is meant to have, by the largest value of the page before: enough to make the
-/// platform's answer time small beside the transfer, and a small part of a VM's memory.
+/// The target size of a page, estimated from the largest value of the previous page: large enough
+/// that the platform's response time is small compared with the transfer, and small compared with a
+/// VM's memory.
 const PAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Readings of a journal that changes meanwhile. Each image takes hundreds of appends, so one
-/// that moved twice while it was read is rare.
+/// How often a journal that changes during the read is read. Each image takes hundreds of appends,
+/// so an image rarely changes twice during one read.
 const MAX_READS: u32 = 5;
 
-/// A shard as far as it was read.
+/// A shard as far as it has been read.
 #[derive(Debug)]
 pub(super) struct Loaded {
     pub(super) state: State,
-    /// The number of the first key that wasn't read.
+    /// The number of the first key that hasn't been read.
     pub(super) next: u64,
     pub(super) index: KnownIndex,
-    /// The VMs that hold copies for the owner that opened the shard last, at the first reading.
+    /// The VMs that held copies for the last owner, as of the first read.
     pub(super) old_copies: Vec<copy::Holder>,
 }
 
@@ -57,7 +59,7 @@
     }
 }
 
-/// Reads a shard.
+/// Reads a shard. Reads it again, [`MAX_READS`] times in all, while it appears damaged.
 pub(super) async fn load(platform: &dyn Platform, shard: &id::Shard) -> Result<Loaded> {
     let mut fault = Fault::Raced;
     for _ in 0..MAX_READS {
@@ -69,7 +71,7 @@
     Err(fault)
 }
 
-/// Reads on to the journal's end.
+/// Reads and applies the rest of the journal.
 pub(super) async fn read_tail(
     platform: &dyn Platform,
     shard: &id::Shard,
--- a/crates/journal/src/copy.rs
+++ b/crates/journal/src/copy.rs
@@ -1,7 +1,8 @@
 //! Copies of batches that wait for the platform, held by other VMs of the centre.
 //!
-//! Exists for the failure "a VM dies during an outage of the platform and takes answered turns
-//! with it". The copies are pending writes, not a store: they go to the journal and are dropped.
+//! Prevents the failure "a VM dies during a platform outage and answered turns are lost with it".
+//! The copies are pending writes, not a permanent store: once they are in the journal, they are
+//! dropped.
 
 pub(crate) mod replicate;
 
@@ -18,8 +19,8 @@
 pub struct Holder {
     /// The VM.
     pub vm: id::Vm,
-    /// Drawn at random at each start of the VM's process. One that was restarted has lost what it
-    /// held, and would otherwise pass for one that never held anything.
+    /// Random for each start of the VM's process. A restarted VM has lost its copies, and without
+    /// this number couldn't be told from a VM that never held any.
     pub incarnation: u64,
 }
 
@@ -28,32 +29,32 @@
 pub struct Batch {
     /// The epoch of the owner that wrote it.
     pub epoch: u64,
-    /// The number of the journal key that it is meant for.
+    /// The number of the journal key that the batch is meant for.
     pub seq: u64,
-    /// The value of that key, byte for byte.
+    /// The exact value of that key.
     pub value: Bytes,
 }
 
-/// What a VM yields to a new owner.
+/// The response of a VM to a new owner that collects copies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Collected {
-    /// The incarnation of the VM that answers.
+    /// The incarnation of the responding VM.
     pub incarnation: u64,
-    /// What it holds of the shard.
+    /// The batches that it holds for the shard.
     pub held: Vec<Batch>,
 }
 
-/// Why a VM doesn't hold or yield copies.
+/// Why a VM doesn't hold or return copies.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error, Serialize, Deserialize)]
 pub enum Fault {
     /// A newer owner has collected the shard's copies there.
     #[display("fenced by epoch {_0}")]
     Fenced(#[error(not(source))] u64),
-    /// The VM was restarted since the owner opened the shard; what it held is lost, and a new
-    /// owner wouldn't count its answer.
+    /// The VM was restarted after the owner recorded it as a holder. Its copies are lost, and a new
+    /// owner wouldn't count its response.
     #[display("the VM was restarted")]
     Restarted,
-    /// The VM holds as much as it may.
+    /// The VM holds as many copies as its limit allows.
     #[display("no room for more copies")]
     Full,
     /// The VM doesn't answer.
@@ -61,12 +62,12 @@
     Unreachable,
 }
 
-/// The outcome of a call on copies.
+/// The result of a call on copies.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// Yields how many of a shard's holders must have a batch before it counts as durable in an outage.
-/// Each acknowledgement survives one more death: with one or two holders there is room for one,
-/// with more it takes two.
+/// Returns how many of a shard's holders must have a batch before it counts as durable in an
+/// outage. Each acknowledgement covers the loss of one more VM: with one or two holders, one is
+/// required; with more, two.
 #[must_use]
 pub const fn acks(holders: usize) -> usize {
     match holders {
@@ -76,28 +77,29 @@
     }
 }
 
-/// The VMs of the centre, this one among them, as the journal sees them.
+/// The VMs of the centre, including this one, as seen by the journal.
 #[async_trait]
 pub trait Peers: Send + Sync + 'static {
     /// Asks a VM to hold a batch of a shard ([`Store::hold`]).
-    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> Result<()>;
+    async fn hold(&self, holder: &Holder, shard: &id::Shard, batch: &Batch) -> Result<()>;
 
-    /// Asks a VM for the batches that it holds of a shard, and fences owners before `epoch` there
+    /// Asks a VM for the batches that it holds for a shard, and fences owners before `epoch` there
     /// ([`Store::collect`]). A VM that owns the shard under an earlier epoch first steps down
-    /// ([`crate::log::Log::step_down`]) and puts what that yields into its own store
-    /// ([`Store::keep`]), so that a second claimer finds it there if the first one dies.
+    /// ([`crate::log::Log::step_down`]) and puts the returned batches into its own store
+    /// ([`Store::keep`]), so that a second claimer finds them there if the first one dies.
     async fn collect(&self, vm: &id::Vm, shard: &id::Shard, epoch: u64) -> Result<Collected>;
 
-    /// Puts what was in line when this VM lost a shard into its own store ([`Store::keep`]). It
-    /// may have been acknowledged by a VM that is gone since, and the next claimer asks for it.
+    /// Puts the batches that were queued when this VM lost a shard into its own store
+    /// ([`Store::keep`]). They may have been acknowledged by a VM that is gone by now, and the next
+    /// claimer asks for them.
     async fn keep(&self, shard: &id::Shard, held: Vec<Batch>);
 
     /// Tells a VM that the batches of a shard up to `seq` are in the journal ([`Store::drained`]).
-    /// May be lost: later batches of a higher epoch drop them as well.
+    /// The message may get lost: later batches of a higher epoch also drop the older ones.
     async fn drained(&self, holder: &Holder, shard: &id::Shard, epoch: u64, seq: u64);
 }
 
-/// The copies that one VM holds for others.
+/// The copies that one VM holds for other VMs.
 #[derive(Debug)]
 pub struct Store {
     incarnation: u64,
@@ -111,12 +113,12 @@
     shard: id::Shard,
     /// Owners of an earlier epoch are refused.
     fence: u64,
-    /// By epoch and number.
+    /// Sorted by epoch and number.
     held: Vec<Batch>,
 }
 
 impl Store {
-    /// Makes an empty store that holds up to `limit` bytes. `incarnation` is drawn at random.
+    /// Creates an empty store for up to `limit` bytes. `incarnation` must be random.
     #[must_use]
     pub fn new(incarnation: u64, limit: usize) -> Self {
         Self {
@@ -127,41 +129,43 @@
         }
     }
 
-    /// Yields the incarnation to name in [`Holder`].
+    /// Returns the incarnation to put into [`Holder`].
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Holds a batch for an owner that means this `incarnation`. The same batch again is no fault.
+    /// Holds a batch for an owner that expects this `incarnation`. Holding the same batch again
+    /// succeeds.
     ///
     /// # Errors
     ///
-    /// [`Fault::Restarted`], [`Fault::Fenced`], [`Fault::Full`]; nothing is held then.
-    pub fn hold(&mut self, incarnation: u64, shard: &id::Shard, held: &Batch) -> Result<()> {
+    /// [`Fault::Restarted`], [`Fault::Fenced`], [`Fault::Full`]; the batch isn't held then.
+    pub fn hold(&mut self, incarnation: u64, shard: &id::Shard, batch: &Batch) -> Result<()> {
         if incarnation != self.incarnation {
             return Err(Fault::Restarted);
         }
         let index = self.index_of(shard);
-        if held.epoch < self.shards[index].fence {
+        if batch.epoch < self.shards[index].fence {
             return Err(Fault::Fenced(self.shards[index].fence));
         }
-        if self.used.saturating_add(held.value.len()) > self.limit {
+        if self.used.saturating_add(batch.value.len()) > self.limit {
             return Err(Fault::Full);
         }
-        // An owner has opened the shard before it sends copies, and by then what earlier owners
-        // left here was in the journal.
-        self.remove_where(index, |old| old.epoch < held.epoch);
-        self.insert_batch(index, held.clone());
+        // An owner opens the shard before it sends copies, and the batches of earlier owners were
+        // in the journal by then.
+        self.remove_where(index, |old| old.epoch < batch.epoch);
+        self.insert_batch(index, batch.clone());
         Ok(())
     }
 
-    /// Yields what is held of a shard and fences owners before `epoch`. The batches stay until
-    /// they are [`drained`](Self::drained): the claimer may die before it has written them.
+    /// Returns the batches held for a shard and fences owners before `epoch`. The batches stay
+    /// until they are [`drained`](Self::drained), because the claimer may die before it has written
+    /// them.
     ///
     /// # Errors
     ///
-    /// [`Fault::Fenced`] where an owner of a later epoch has collected.
+    /// [`Fault::Fenced`] if an owner of a later epoch has collected.
     pub fn collect(&mut self, shard: &id::Shard, epoch: u64) -> Result<Collected> {
         let index = self.index_of(shard);
         let copies = &mut self.shards[index];
@@ -175,20 +179,20 @@
         })
     }
 
-    /// Keeps what this VM's own log had in line when it stepped down; the limit doesn't count, as
-    /// the batches were in this VM's memory already.
+    /// Keeps the batches that this VM's own log had queued when it lost the shard. The limit
+    /// doesn't apply, because the batches were already in this VM's memory.
     pub fn keep(&mut self, shard: &id::Shard, held: Vec<Batch>) {
         let index = self.index_of(shard);
-        for held in held {
-            self.insert_batch(index, held);
+        for batch in held {
+            self.insert_batch(index, batch);
         }
     }
 
     /// Drops the batches of a shard that are in the journal: those of `epoch` up to `seq`, and all
-    /// of earlier epochs.
+    /// batches of earlier epochs.
     pub fn drained(&mut self, shard: &id::Shard, epoch: u64, seq: u64) {
         let index = self.index_of(shard);
-        self.remove_where(index, |held| (held.epoch, held.seq) <= (epoch, seq));
+        self.remove_where(index, |batch| (batch.epoch, batch.seq) <= (epoch, seq));
     }
 
     fn index_of(&mut self, shard: &id::Shard) -> usize {
@@ -204,12 +208,12 @@
         })
     }
 
-    fn insert_batch(&mut self, index: usize, held: Batch) {
+    fn insert_batch(&mut self, index: usize, batch: Batch) {
         let batches = &mut self.shards[index].held;
-        let found = batches.binary_search_by_key(&(held.epoch, held.seq), |h| (h.epoch, h.seq));
+        let found = batches.binary_search_by_key(&(batch.epoch, batch.seq), |h| (h.epoch, h.seq));
         if let Err(position) = found {
-            self.used += held.value.len();
-            batches.insert(position, held);
+            self.used += batch.value.len();
+            batches.insert(position, batch);
         }
     }
 
@@ -217,10 +221,10 @@
         let batches = &mut self.shards[index].held;
         let freed: usize = batches
             .iter()
-            .filter(|held| is_removed(held))
-            .map(|held| held.value.len())
+            .filter(|batch| is_removed(batch))
+            .map(|batch| batch.value.len())
             .sum();
-        batches.retain(|held| !is_removed(held));
+        batches.retain(|batch| !is_removed(batch));
         self.used -= freed;
     }
 }
--- a/crates/journal/src/copy/replicate.rs
+++ b/crates/journal/src/copy/replicate.rs
@@ -1,7 +1,7 @@
-//! Offers one batch to the VMs that hold a shard's copies, all at once.
+//! Offers a batch to all VMs that hold a shard's copies at the same time.
 //!
-//! Exists for the failure "one VM that hangs holds up every turn of an outage": the first
-//! acknowledgements count, and the others may come when they like.
+//! Prevents the failure "one hanging VM delays every turn of an outage": the first acknowledgements
+//! suffice, and the others may arrive later.
 
 use std::sync::Arc;
 
@@ -12,33 +12,33 @@
 use super::Result;
 use crate::log::Setup;
 
-/// What became of an offer.
+/// The outcome of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Replication {
     /// Enough VMs hold the batch.
     Acknowledged,
-    /// Too few do; it may be offered again.
+    /// Too few VMs hold the batch; it may be offered again.
     Insufficient,
     /// A newer owner has collected the shard's copies.
     Fenced,
 }
 
-/// Offers a batch.
-pub(crate) async fn offer(setup: &Setup, held: Batch) -> Replication {
+/// Offers a batch to the holders and waits for the required acknowledgements.
+pub(crate) async fn offer(setup: &Setup, batch: Batch) -> Replication {
     let mut offers = JoinSet::new();
-    let held = Arc::new(held);
+    let batch = Arc::new(batch);
     for holder in setup.copies.clone() {
         let (peers, shard) = (Arc::clone(&setup.peers), setup.shard.clone());
-        let held = Arc::clone(&held);
-        offers.spawn(async move { peers.hold(&holder, &shard, &held).await });
+        let batch = Arc::clone(&batch);
+        offers.spawn(async move { peers.hold(&holder, &shard, &batch).await });
     }
     let replication = count_acks(&mut offers, setup.acks).await;
-    // The rest still reaches the other VMs.
+    // The remaining offers still reach their VMs.
     offers.detach_all();
     replication
 }
 
-/// Tells the VMs that a shard's batches up to `seq` are in the journal.
+/// Tells the holders that a shard's batches up to `seq` are in the journal.
 pub(crate) async fn notify_drained(setup: &Setup, epoch: u64, seq: u64) {
     for holder in &setup.copies {
         let peers = &setup.peers;
@@ -52,7 +52,7 @@
         match answer {
             Ok(Ok(())) => acks += 1,
             Ok(Err(Fault::Fenced(_))) => return Replication::Fenced,
-            // Panicked, restarted, full or out of reach: no acknowledgement.
+            // The VM panicked, was restarted, is full or is unreachable: no acknowledgement.
             Ok(Err(_)) | Err(_) => {}
         }
         if acks >= required {
--- a/crates/journal/src/copy/tests.rs
+++ b/crates/journal/src/copy/tests.rs
@@ -17,9 +17,9 @@
 
 #[test]
 fn a_collected_shard_refuses_its_earlier_owner() {
-    // The owner is cut off from the platform and copies its turns here. Another VM takes over and
-    // collects. From then on the earlier owner must not get an acknowledgement: the new one
-    // wouldn't see that turn.
+    // The owner is cut off from the platform and sends copies of its turns here. Another VM takes
+    // over and collects them. From then on the earlier owner must not get an acknowledgement,
+    // because the new owner wouldn't see that turn.
     let mut store = Store::new(1, 100);
     store.hold(1, &shard(), &held(1, 5)).unwrap();
     assert_eq!(store.collect(&shard(), 2).unwrap().held, [held(1, 5)]);
--- a/crates/journal/src/decision.rs
+++ b/crates/journal/src/decision.rs
@@ -1,12 +1,12 @@
-//! The owner's decisions on order, history, budget and at-most-once, as pure functions.
+//! The owner's decisions on turn order, history, budget and at-most-once calls, as pure functions.
 //!
-//! Exists for the failures "a turn runs twice or out of order", "a program spends more than its
-//! budget" and "an order that must not run twice runs twice". Each function looks at a [`State`]
-//! and yields the records that the caller must apply and append before it acts, or the refusal.
-//! The functions never change the state, so a verdict that isn't used leaves nothing behind.
+//! Prevents these failures: a turn runs twice or out of order, a program spends more than its
+//! budget, and a call that must not run twice runs twice. Each function reads a [`State`] and
+//! returns either the records that the caller must apply and append before it acts, or a refusal.
+//! The functions never change the state, so a decision that isn't used has no effect.
 //!
-//! Every refusal says `ran: no` but for an unknown outcome, which says `unknown`, and a turn that ran
-//! and is too large to be kept, which says `yes`.
+//! Every refusal says `ran: no`, with two exceptions: an unknown outcome says `unknown`, and a turn
+//! that ran but is too large to be stored says `yes`.
 
 mod call;
 mod lifecycle;
@@ -48,10 +48,11 @@
 pub use turn::restart;
 pub use turn::stop;
 
-/// The most bytes of one record. The list around it takes the rest of [`record::MAX_BYTES`].
+/// The maximum encoded size of one record in bytes. The list around it needs the rest of
+/// [`record::MAX_BYTES`].
 const MAX_RECORD_BYTES: usize = record::MAX_BYTES - 16;
 
-/// The outcome of a decision.
+/// The result of a decision.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
 fn find_program<'a>(
@@ -59,7 +60,7 @@
     program: &id::Program,
     caller: &id::Caller,
 ) -> Result<&'a Program> {
-    // Another caller's program looks like one that doesn't exist, so that names can't be probed.
+    // Another caller's program is reported as unknown, so that callers can't probe for names.
     let found = state.program(program).filter(|p| p.caller == *caller);
     found.ok_or_else(|| Refusal::new(Code::UnknownProgram, program.as_str()))
 }
@@ -81,7 +82,7 @@
     Ok(found)
 }
 
-fn check_idle(program: &Program, now: Millis) -> Result<()> {
+fn check_not_idle(program: &Program, now: Millis) -> Result<()> {
     if now.since(program.touched) <= program.idle {
         return Ok(());
     }
@@ -89,8 +90,9 @@
     Err(Refusal::new(Code::IdleExpired, &detail))
 }
 
-/// Yields the attempt that this owner began. One of an earlier owner has nobody who waits for its
-/// answer; the turn may be begun again, and the old reservation counts as spent.
+/// Returns the running attempt if this owner started it. Nobody waits for the answer of an attempt
+/// that an earlier owner started: the turn may be started again, and the old reservation counts as
+/// spent.
 fn running_here<'a>(state: &State, program: &'a Program) -> Option<&'a Running> {
     let running = program.running.as_ref()?;
     (running.epoch == state.epoch()).then_some(running)
--- a/crates/journal/src/decision/call.rs
+++ b/crates/journal/src/decision/call.rs
@@ -1,7 +1,8 @@
 //! Decides on calls that may run at most once.
 //!
-//! Exists for the failure "a switching order goes through twice": the intent is in the journal
-//! before the dispatch, and one that has no outcome is never dispatched again.
+//! Prevents the failure "an order, such as a switching order, is executed twice": the intent is in
+//! the journal before the call is dispatched, and a call whose outcome is missing is never
+//! dispatched again.
 
 use bytes::Bytes;
 use wire::clock::Millis;
@@ -12,8 +13,8 @@
 
 use super::MAX_RECORD_BYTES;
 use super::Result;
-use super::check_idle;
 use super::check_not_ended;
+use super::check_not_idle;
 use super::find_program;
 use crate::log::Status;
 use crate::program;
@@ -22,33 +23,33 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// A wish to make a call that may run at most once.
+/// A request for a call that may run at most once.
 #[derive(Clone, Copy, Debug)]
 pub struct Intend<'a> {
     /// The program.
     pub program: &'a id::Program,
-    /// Who asks.
+    /// The caller that sent the request.
     pub caller: &'a id::Caller,
     /// The caller's idempotency key.
     pub key: &'a id::Key,
     /// The digest of service, operation and body.
     pub digest: id::Digest,
-    /// The attempt, drawn at random.
+    /// The attempt's random ID.
     pub attempt: id::Attempt,
-    /// The time.
+    /// The current time.
     pub now: Millis,
-    /// Where the log stands; an intent counts in the journal only.
+    /// The state of the log. An intent counts only once it is in the journal; copies aren't enough.
     pub status: Status,
 }
 
-/// What to do for a call that may run at most once.
+/// How to handle a request for a call that may run at most once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call<'a> {
-    /// Dispatch it once, when the records are durable.
+    /// Dispatch the call once, after the records are durable.
     Start(Vec<Record>),
-    /// The same call runs here; its outcome is this request's outcome, too.
+    /// The same call is already running here; its outcome also answers this request.
     Join(id::Attempt),
-    /// The service has answered.
+    /// The service has already answered.
     Replay {
         /// The HTTP status.
         status: u16,
@@ -57,25 +58,26 @@
     },
 }
 
-/// Decides on a call that may run at most once.
+/// Decides whether a call is started, joined, replayed or refused.
 ///
 /// # Errors
 ///
 /// [`Code::UnknownProgram`], [`Code::KeyConflict`], [`Code::OutcomeUnknown`] (`ran: unknown`),
-/// [`Code::ProgramEnded`], [`Code::PlatformDown`], [`Code::OwnerLost`] (`ran: unknown`).
+/// [`Code::ProgramEnded`], [`Code::IdleExpired`], [`Code::PlatformDown`], [`Code::OwnerLost`]
+/// (`ran: unknown`).
 pub fn intend<'a>(state: &'a State, request: &Intend<'_>) -> Result<Call<'a>> {
     let program = find_program(state, request.program, request.caller)?;
     if let Some(call) = program.call(request.key) {
         return answer_repeated(state, call, request.digest);
     }
     check_not_ended(program)?;
-    check_idle(program, request.now)?;
+    check_not_idle(program, request.now)?;
     match request.status {
         Status::Open => {}
         Status::Outage { retry_after } => {
             return Err(Refusal::new(Code::PlatformDown, "").retry_after(retry_after));
         }
-        // The next owner may have run it: its records aren't seen here.
+        // The next owner may have run the call; its records aren't visible here.
         Status::Lost => return Err(Refusal::new(Code::OwnerLost, "").ran(Ran::Unknown)),
     }
     Ok(Call::Start(vec![Record::Intent {
@@ -87,8 +89,9 @@
     }]))
 }
 
-/// Records the outcome of a call. `None` where the call is resolved already, or its key belongs to
-/// another attempt, or [`Outcome::NotRun`] is said of an earlier owner's call.
+/// Records the outcome of a call. Returns `None` if the call is already resolved, if its key
+/// belongs to another attempt, or if the outcome is [`Outcome::NotRun`] and an earlier owner made
+/// the call.
 ///
 /// A caller whose append was [withheld](crate::log::Fault::Withheld) withdraws the call with
 /// [`Outcome::NotRun`].
@@ -105,7 +108,7 @@
         return None;
     }
     match (&call.result, &result) {
-        // Only the owner that sent the call, or held it back, knows that it didn't run.
+        // Only the owner that sent or withheld the call knows that it didn't run.
         (None, Outcome::NotRun) if call.epoch != state.epoch() => return None,
         (Some(Outcome::Unknown), Outcome::Answered { .. }) | (None, _) => {}
         (Some(_), _) => return None,
@@ -123,7 +126,7 @@
     Some(record)
 }
 
-/// Answers a key that was used before.
+/// Decides on a request whose idempotency key was used before.
 fn answer_repeated<'a>(
     state: &State,
     call: &'a program::Call,
@@ -138,8 +141,8 @@
             body,
         }),
         None if call.epoch == state.epoch() => Ok(Call::Join(call.attempt)),
-        // Either the answer was lost, or an earlier owner may have sent the call before it died:
-        // to send it again could run it twice, and to say that it didn't run could be false.
+        // Either the answer was lost, or an earlier owner may have sent the call before it died.
+        // Sending it again could run it twice, and saying that it didn't run could be false.
         None | Some(Outcome::Unknown | Outcome::NotRun) => {
             Err(Refusal::new(Code::OutcomeUnknown, "").ran(Ran::Unknown))
         }
--- a/crates/journal/src/decision/lifecycle.rs
+++ b/crates/journal/src/decision/lifecycle.rs
@@ -1,14 +1,14 @@
-//! Decides on the beginning and the end of programs.
+//! Decides on the creation and the end of programs, and on the VMs that hold copies.
 //!
-//! Exists for the failures "a program waits for ever" (idle limit) and "an engine keeps the cache
-//! of a program that is gone" (holders are listed until each has confirmed the release).
+//! Prevents these failures: a program stays open for ever (idle limit), and an engine keeps the
+//! cache of a program that has ended (endpoints stay listed until each has confirmed the release).
 
 use wire::clock::Millis;
 use wire::code::Code;
 use wire::id;
 
 use super::Result;
-use super::check_idle;
+use super::check_not_idle;
 use super::find_live_program;
 use super::find_program;
 use super::running_here;
@@ -19,28 +19,29 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// A wish to make a program.
+/// A request to create a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Create<'a> {
     /// The program.
     pub program: &'a id::Program,
-    /// Who asks.
+    /// The caller that sent the request.
     pub caller: &'a id::Caller,
-    /// Tokens that it may generate.
+    /// The maximum number of tokens the program may generate.
     pub tokens: u64,
-    /// Turns that it may have.
+    /// The maximum number of turns.
     pub turns: u32,
-    /// The longest pause between turns.
+    /// The longest allowed pause between turns.
     pub idle: Millis,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// Decides on making a program. Yields no record where the caller has made it already.
+/// Decides whether a program may be created. Returns no record if the caller has already created
+/// it.
 ///
 /// # Errors
 ///
-/// [`Code::UnknownProgram`] where another caller has made it, [`Code::ProgramEnded`].
+/// [`Code::UnknownProgram`] if another caller created it, [`Code::ProgramEnded`].
 pub fn create(state: &State, request: &Create<'_>) -> Result<Option<Record>> {
     match state.program(request.program) {
         None => Ok(Some(Record::Created {
@@ -55,11 +56,12 @@
     }
 }
 
-/// Ends a program; a running attempt counts its whole reservation. Empty where it has ended.
+/// Ends a program; the whole reservation of a running attempt counts as spent. Returns no records
+/// if the program has already ended.
 ///
 /// # Errors
 ///
-/// [`Code::UnknownProgram`] where there is none of this caller's.
+/// [`Code::UnknownProgram`] if this caller has no such program.
 pub fn end(
     state: &State,
     program: &id::Program,
@@ -81,12 +83,12 @@
     Ok(stopped.into_iter().chain([ended]).collect())
 }
 
-/// Lists the programs that have been idle for too long, to be [`end`]ed.
+/// Lists the programs whose idle limit has passed; the owner [`end`]s them.
 pub fn idle_programs(state: &State, now: Millis) -> impl Iterator<Item = &id::Program> {
     let idle = move |program: &&Program| {
         program.ended.is_none()
             && running_here(state, program).is_none()
-            && check_idle(program, now).is_err()
+            && check_not_idle(program, now).is_err()
     };
     state.programs().filter(idle).map(|program| &program.id)
 }
@@ -104,7 +106,8 @@
         })
 }
 
-/// Records that an endpoint holds no cache of an ended program. `None` where it is recorded.
+/// Records that an endpoint holds no cache of an ended program. Returns `None` if this is already
+/// recorded.
 #[must_use]
 pub fn cache_released(
     state: &State,
@@ -120,8 +123,9 @@
     })
 }
 
-/// Drops an ended program: `None` until `retention` has passed since its end and no endpoint
-/// holds cache of it. Idempotency keys of the program are protected until then.
+/// Drops an ended program. Returns `None` until `retention` has passed since its end, no endpoint
+/// holds cache of it and none of this owner's calls is unresolved. Until then the program's
+/// idempotency keys protect against repeated calls.
 #[must_use]
 pub fn forget(
     state: &State,
@@ -142,10 +146,10 @@
     })
 }
 
-/// Names the VMs that hold pending batches from now on. `None` where nothing changes. To be asked
-/// whenever they may have changed, and only while [`crate::log::Log::may_change_holders`] says so. A change
-/// takes two records: after the first, the VMs named before may still hold batches, and a claimer
-/// asks them as well; the second ends that.
+/// Sets the VMs that hold pending batches from now on. Returns `None` if nothing changes. Must be
+/// called whenever the set may have changed, and only while [`crate::log::Log::may_change_holders`]
+/// returns true. A change takes two records: after the first, the previous holders may still hold
+/// batches, so a claimer asks them too; the second record ends that.
 #[must_use]
 pub fn change_copy_holders(state: &State, holders: &[Holder]) -> Option<Record> {
     let current = state.copies();
--- a/crates/journal/src/decision/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -218,8 +218,9 @@
 
 #[test]
 fn a_crash_spends_the_reservation_and_the_turn_begins_again() {
-    // The caller's turn runs when the owner dies. Nobody knows what the engine generated, so the
-    // whole reservation counts as spent; what remains still lets the turn run, once.
+    // The owner dies while a turn is running. Nobody knows how many tokens the engine generated, so
+    // the whole reservation counts as spent. The remaining budget still lets the turn run once
+    // more.
     let mut state = fresh();
     start(&mut state, Asked { want: 60, ..FIRST });
     reopen(&mut state);
@@ -246,7 +247,7 @@
 
 #[test]
 fn an_answer_of_a_superseded_attempt_is_dropped() {
-    // An engine answers after the turn was moved to another one. Only the later attempt's answer
+    // An engine answers after the turn was moved to another engine. Only the later attempt's answer
     // may enter the history.
     let mut state = fresh();
     start(&mut state, FIRST);
@@ -270,8 +271,8 @@
 
 #[test]
 fn an_intent_of_a_dead_owner_is_unknown_for_good() {
-    // The owner dies between the intent and the service's answer. The service may have run the
-    // order, so the next owner neither sends it again nor says that it didn't run.
+    // The owner dies between the intent and the service's response. The service may have run the
+    // call, so the next owner neither sends it again nor says that it didn't run.
     let mut state = ordered();
     assert_eq!(
         order(&state, 1, Status::Open),
@@ -320,8 +321,9 @@
     assert_eq!(refusal.retry_after, Some(retry_after));
 }
 
-// A VM has lost its shard and doesn't see what the next owner writes. An order that ran there is asked
-// again here; told that it didn't run, the caller would give another one and both would have run.
+// A VM has lost its shard and doesn't see what the next owner writes. A call that ran there is
+// requested again here. If the caller were told that it didn't run, the caller would send another
+// one, and both would run.
 #[test]
 fn a_lost_log_says_no_of_no_call() {
     let refusal = order(&fresh(), 1, Status::Lost).unwrap_err();
@@ -330,8 +332,8 @@
 
 #[test]
 fn the_second_endpoint_that_crashes_condemns_the_content() {
-    // A request crashes the runner that it runs on, is moved, and crashes the next one. It is
-    // refused from then on, also in another program, and other content isn't.
+    // A request crashes its runner, is moved to another runner and crashes that one too. From then
+    // on it is refused, also in another program; other content isn't.
     let mut state = fresh();
     start(&mut state, FIRST);
     for (name, poisoned) in [("a", false), ("a", false), ("b", true)] {
--- a/crates/journal/src/decision/turn.rs
+++ b/crates/journal/src/decision/turn.rs
@@ -1,6 +1,7 @@
-//! Decides which attempt of which turn may run, and what its end means.
+//! Decides which attempt of which turn may run, and what follows when an attempt ends.
 //!
-//! Exists for the failures "turns out of order", "a turn twice" and "more tokens than the budget".
+//! Prevents these failures: turns run out of order, a turn runs twice, and a program generates more
+//! tokens than its budget.
 
 use wire::chat;
 use wire::clock::Millis;
@@ -11,7 +12,7 @@
 
 use super::MAX_RECORD_BYTES;
 use super::Result;
-use super::check_idle;
+use super::check_not_idle;
 use super::find_live_program;
 use super::running_here;
 use super::stopped_record;
@@ -22,50 +23,52 @@
 use crate::state::POISON_THRESHOLD;
 use crate::state::State;
 
-/// The most bytes of a turn's new messages, encoded; leaves the other half of a journal key to the
-/// answer.
+/// The maximum encoded size of a turn's new messages in bytes. Half of a journal key's value is
+/// left for the answer.
 pub const MAX_MESSAGES_BYTES: usize = record::MAX_BYTES / 2;
 
-/// A wish to run a turn.
+/// A request to run a turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Begin<'a> {
     /// The program.
     pub program: &'a id::Program,
-    /// Who asks.
+    /// The caller that sent the request.
     pub caller: &'a id::Caller,
-    /// The turn; `None` takes the next, or joins the running one where the content is the same.
+    /// The turn number. `None` takes the next turn, or joins the running one if its content is the
+    /// same.
     pub turn: Option<u32>,
-    /// The new messages; refused where the committed turn couldn't hold them.
+    /// The new messages; refused if the committed turn would be too large to store.
     pub messages: &'a [chat::Message],
     /// The digest of the new messages and options.
     pub digest: id::Digest,
-    /// Tokens that the answer may have; the reservation is what remains of the budget at most.
+    /// The maximum number of tokens for the answer. The reservation is at most the remaining
+    /// budget.
     pub want: u64,
-    /// The attempt, drawn at random.
+    /// The attempt's random ID.
     pub attempt: id::Attempt,
-    /// The endpoint, where it is known already.
+    /// The endpoint, if it is already known.
     pub endpoint: Option<&'a id::Endpoint>,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// What to do for a turn.
+/// How to handle a request for a turn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Turn<'a> {
-    /// Dispatch it once the records are durable.
+    /// Dispatch the turn once the records are durable.
     Start(Start),
-    /// The same turn runs here; its answer is this request's answer, too.
+    /// The same turn is already running here; its answer also answers this request.
     Join {
         /// The turn.
         turn: u32,
-        /// The attempt that runs now.
+        /// The attempt that is running.
         attempt: id::Attempt,
     },
-    /// The turn is committed.
+    /// The turn is already committed.
     Replay {
         /// The turn.
         turn: u32,
-        /// Its answer.
+        /// The stored answer.
         answer: &'a chat::Answer,
     },
 }
@@ -77,66 +80,67 @@
     pub turn: u32,
     /// The attempt.
     pub attempt: id::Attempt,
-    /// The output limit in tokens to send to the endpoint.
+    /// The output limit to send to the endpoint, in tokens.
     pub reserved: u64,
     /// The records to apply and append.
     pub records: Vec<Record>,
 }
 
-/// The end of an attempt, to be followed by a further one of the same turn.
+/// The end of an attempt that is followed by another attempt of the same turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart<'a> {
     /// The program.
     pub program: &'a id::Program,
     /// The attempt that ended.
     pub ended: id::Attempt,
-    /// Tokens that it generated; `None` where that isn't known, which counts the reservation.
+    /// The number of tokens it generated. `None` if unknown; the whole reservation then counts as
+    /// spent.
     pub used: Option<u64>,
-    /// Tokens that the rest of the answer may have.
+    /// The maximum number of tokens for the rest of the answer.
     pub want: u64,
-    /// The new attempt, drawn at random.
+    /// The new attempt's random ID.
     pub attempt: id::Attempt,
-    /// The new endpoint, where it is known already.
+    /// The new endpoint, if it is already known.
     pub endpoint: Option<&'a id::Endpoint>,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// A whole answer of an attempt.
+/// The complete answer of an attempt.
 #[derive(Clone, Debug)]
 pub struct Commit<'a> {
     /// The program.
     pub program: &'a id::Program,
     /// The attempt.
     pub attempt: id::Attempt,
-    /// The turn's new messages, as begun.
+    /// The turn's new messages, as given in [`Begin`].
     pub messages: Vec<chat::Message>,
     /// The answer.
     pub answer: chat::Answer,
-    /// Tokens that this attempt generated.
+    /// The number of tokens this attempt generated.
     pub used: u64,
     /// The endpoint that ran it.
     pub endpoint: &'a id::Endpoint,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// What a crash means for the content that was running.
+/// What an endpoint crash means for the content that was running there.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Blame {
-    /// The content may be tried at another endpoint.
+    /// The content may be tried on another endpoint.
     Suspect(Vec<Record>),
-    /// The content is refused for good once the records are applied.
+    /// The content is permanently refused once the records are applied.
     Poisoned(Vec<Record>),
 }
 
-/// Decides on a turn.
+/// Decides whether a turn is started, joined, replayed or refused.
 ///
 /// # Errors
 ///
-/// [`Code::UnknownProgram`] (also for another caller's), [`Code::ProgramEnded`],
-/// [`Code::TurnConflict`], [`Code::WrongTurn`], [`Code::Poisoned`], [`Code::IdleExpired`],
-/// [`Code::TurnLimit`], [`Code::BudgetSpent`], [`Code::BodyTooLarge`].
+/// [`Code::UnknownProgram`] (also if the program belongs to another caller),
+/// [`Code::ProgramEnded`], [`Code::TurnConflict`], [`Code::WrongTurn`], [`Code::Poisoned`],
+/// [`Code::IdleExpired`], [`Code::TurnLimit`], [`Code::BudgetSpent`], [`Code::BodyTooLarge`].
 pub fn begin<'a>(state: &'a State, request: &Begin<'_>) -> Result<Turn<'a>> {
     let program = find_live_program(state, request.program, request.caller)?;
     let next = program.committed() + 1;
@@ -153,7 +157,7 @@
     if state.is_poisoned(state.content_digest(request.program, request.digest)) {
         return Err(Refusal::new(Code::Poisoned, ""));
     }
-    check_idle(program, request.now)?;
+    check_not_idle(program, request.now)?;
     if turn > program.turns {
         return Err(Refusal::new(Code::TurnLimit, &program.turns.to_string()));
     }
@@ -183,12 +187,12 @@
     }))
 }
 
-/// Decides on a further attempt of a running turn. `None` where the attempt that ended isn't the
-/// running one: it was superseded, and nothing follows from its end.
+/// Decides on another attempt of a running turn. Returns `None` if the attempt that ended isn't the
+/// running one: it was superseded, and its end has no effect.
 ///
 /// # Errors
 ///
-/// [`Code::BudgetSpent`] where nothing remains, [`Code::Poisoned`]; the caller then [`stop`]s.
+/// [`Code::BudgetSpent`] if no tokens remain, [`Code::Poisoned`]; the caller then calls [`stop`].
 pub fn restart(state: &State, request: &Restart<'_>) -> Result<Option<Start>> {
     let Some((program, running)) = running_attempt(state, request.program, request.ended) else {
         return Ok(None);
@@ -216,8 +220,9 @@
     }))
 }
 
-/// Ends an attempt without an answer; the turn may be begun again. `None` where the attempt isn't
-/// the running one. `used` is `None` where it isn't known, which counts the reservation.
+/// Ends an attempt without an answer; the turn may be started again. Returns `None` if the attempt
+/// isn't the running one. `used` is `None` if the number of generated tokens is unknown; the whole
+/// reservation then counts as spent.
 #[must_use]
 pub fn stop(
     state: &State,
@@ -229,13 +234,13 @@
     Some(stopped_record(program, running, used))
 }
 
-/// Commits an answer. `None` where the attempt isn't the running one: a late answer, to be
-/// dropped.
+/// Commits an answer. Returns `None` if the attempt isn't the running one: the answer is late and
+/// must be dropped.
 ///
 /// # Errors
 ///
-/// [`Code::AnswerIncomplete`] (`ran: yes`) where the turn is too large for the journal; the caller
-/// then [`stop`]s.
+/// [`Code::AnswerIncomplete`] (`ran: yes`) if the turn is too large for the journal; the caller
+/// then calls [`stop`].
 pub fn commit(state: &State, request: Commit<'_>) -> Result<Option<Record>> {
     let Some((_, running)) = running_attempt(state, request.program, request.attempt) else {
         return Ok(None);
@@ -257,7 +262,7 @@
     Ok(Some(record))
 }
 
-/// Blames an endpoint's crash on the content of a turn that ran there.
+/// Attributes an endpoint's crash to the content of a turn that ran there.
 #[must_use]
 pub fn blame(
     state: &State,
--- a/crates/journal/src/log/queue.rs
+++ b/crates/journal/src/log/queue.rs
@@ -1,7 +1,7 @@
-//! The batches that wait for the journal, in order, and those who wait for them.
+//! The ordered batches that wait for the journal, and the waiters for each of them.
 //!
-//! Exists for the failure "a caller is told something of an append that isn't so": what may be
-//! said of each append follows from whether its batch ever left this VM.
+//! Prevents the failure "a caller is told something false about an append": what may be said about
+//! each append depends on whether its batch ever left this VM.
 
 use std::collections::VecDeque;
 
@@ -17,31 +17,31 @@
 use crate::record::Record;
 use crate::snapshot;
 
-/// Who waits for an append.
+/// Waits for the result of an append.
 #[derive(Debug)]
 pub(crate) struct Waiter {
-    /// Whether the append carries an intent, for which copies don't count.
+    /// Whether the append contains an intent, for which copies don't count.
     intent: bool,
     sender: oneshot::Sender<Result<Durable>>,
 }
 
-/// An append that has no place in the journal yet.
+/// An append that isn't part of a batch yet.
 #[derive(Debug)]
 pub(crate) struct Arrival {
     pub(crate) records: Vec<Record>,
     pub(crate) bytes: usize,
-    /// Whether it may wait for a write that others pay for, see [`is_patient`].
+    /// Whether it may wait and share a write with other appends, see [`is_deferrable`].
     pub(crate) deferrable: bool,
     waiter: Option<Waiter>,
 }
 
-/// A batch with its place in the journal; its bytes never change.
+/// A batch with its journal key assigned; its bytes never change.
 #[derive(Debug)]
 pub(crate) struct PendingBatch {
     pub(crate) seq: u64,
     pub(crate) value: Bytes,
     pub(crate) index: Option<snapshot::Index>,
-    /// The holders of copies from when it is in the journal.
+    /// The copy holders that apply once the batch is in the journal.
     pub(crate) holders: Option<Vec<copy::Holder>>,
     /// Whether it was sent to the platform.
     pub(crate) sent: bool,
@@ -52,7 +52,7 @@
     waiters: Vec<Waiter>,
 }
 
-/// The line.
+/// The batches in journal order.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     pub(crate) batches: VecDeque<PendingBatch>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tells the one who waits for an intent that it can't count now.
+    /// Tells the waiter of an intent that the intent can't count now.
     pub(crate) fn withhold_intents(&mut self, retry_after: Millis) {
         let ran = Ran::No;
         if let Some(waiter) = self.waiter.take_if(|waiter| waiter.intent) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells the one who waits that the shard is lost.
+    /// Tells the waiter that the shard is lost.
     pub(crate) fn note_lost(self) {
         if let Some(waiter) = self.waiter {
             waiter.notify(Err(Fault::Lost { ran: Ran::No }));
@@ -90,7 +90,7 @@
 }
 
 impl PendingBatch {
-    /// Gives a place to some arrivals, whose records `value` encodes.
+    /// Creates a batch from some arrivals, whose records `value` encodes.
     pub(crate) fn new(
         seq: u64,
         value: Bytes,
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Tells everyone that the batch is in the journal.
+    /// Tells all waiters that the batch is in the journal.
     pub(crate) fn note_journaled(self) {
         for waiter in self.waiters {
             waiter.notify(Ok(Durable::Journal));
         }
     }
 
-    /// Tells those for whom copies count that other VMs hold the batch.
+    /// Tells the waiters for which copies count that other VMs hold the batch.
     pub(crate) fn note_copied(&mut self) {
         self.held = true;
         for waiter in self.waiters.extract_if(.., |waiter| !waiter.intent) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Tells those who wait for intents that they can't count now.
+    /// Tells the waiters of intents that the intents can't count now.
     pub(crate) fn withhold_intents(&mut self, retry_after: Millis) {
         let ran = if self.sent { Ran::Unknown } else { Ran::No };
         for waiter in self.waiters.extract_if(.., |waiter| waiter.intent) {
@@ -132,15 +132,15 @@
         }
     }
 
-    /// Tells everyone that the shard is lost.
+    /// Tells all waiters that the shard is lost.
     pub(crate) fn note_lost(self, ran: Ran) {
         for waiter in self.waiters {
             waiter.notify(Err(Fault::Lost { ran }));
         }
     }
 
-    /// Yields what may be said of the batch when the shard is lost: one that left this VM may be
-    /// in the journal, or come there by the new owner's hand.
+    /// Returns what may be said about the batch when the shard is lost. A batch that left this VM
+    /// may be in the journal, or the new owner may write it there.
     pub(crate) fn ran(&self) -> Ran {
         if self.sent || self.offered {
             return Ran::Unknown;
@@ -150,7 +150,7 @@
 }
 
 impl Queue {
-    /// Yields copies of all batches.
+    /// Returns copies of all batches.
     pub(crate) fn to_copies(&self, epoch: u64) -> Vec<copy::Batch> {
         let held = |pending: &PendingBatch| copy::Batch {
             epoch,
@@ -160,13 +160,13 @@
         self.batches.iter().map(held).collect()
     }
 
-    /// Yields the first batch that too few other VMs hold.
+    /// Returns the first batch that too few other VMs hold.
     pub(crate) fn unheld(&mut self) -> Option<&mut PendingBatch> {
         self.batches.iter_mut().find(|pending| !pending.held)
     }
 
-    /// Tells everyone that the shard is lost. `head` says it of the first batch, where that is
-    /// known better.
+    /// Tells all waiters that the shard is lost. `first_ran` overrides the answer for the first
+    /// batch if more is known about it.
     pub(crate) fn note_lost(&mut self, mut first_ran: Option<Ran>) {
         for pending in self.batches.drain(..) {
             let ran = first_ran.take().unwrap_or_else(|| pending.ran());
@@ -175,8 +175,8 @@
     }
 }
 
-/// Tells whether nothing is held up at an endpoint until the record is durable: the answer of a
-/// turn has streamed by the time that it commits, and only its last event waits.
+/// Returns whether no request to an endpoint waits for the record to become durable. A turn's
+/// answer has already been streamed when it is committed, and only its last event waits.
 fn is_deferrable(record: &Record) -> bool {
     matches!(
         record,
@@ -186,7 +186,7 @@
 
 impl Waiter {
     fn notify(self, result: Result<Durable>) {
-        // Who no longer waits has given the answer up; the record counts all the same.
+        // A waiter that is gone doesn't need the result; the record counts anyway.
         let _gone = self.sender.send(result);
     }
 }
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -1,8 +1,8 @@
-//! The task that owns a log: gathers appends, writes the first batch of the line, and during an
-//! outage has the others held by other VMs.
+//! The task that owns a log: gathers appends, writes the first batch of the queue, and during an
+//! outage sends the other batches to other VMs for holding.
 //!
-//! Exists for the failure "owners stop with the platform": a call of the platform that hangs or
-//! fails is one of several things that the task waits for, so that appends go on being copied.
+//! Prevents the failure "owners stop when the platform stops": a platform call that hangs or fails
+//! is only one of several events that the task waits for, so appends continue to be copied.
 
 mod batch;
 mod outcome;
@@ -42,17 +42,17 @@
 /// The task's ends of its channels.
 pub(super) struct Channels {
     pub(super) commands: mpsc::UnboundedReceiver<Command>,
-    /// To itself, from work that it starts; doesn't keep it alive.
+    /// For messages to itself from work that it spawns; doesn't keep the task alive.
     pub(super) self_sender: mpsc::WeakUnboundedSender<Command>,
     pub(super) status: watch::Sender<Status>,
     pub(super) flags: Arc<Flags>,
 }
 
-/// The longest that patient records wait for others to go along with: a fraction of a turn, whose
-/// last event waits for them.
+/// The longest time that deferrable records wait to share a write: a fraction of the duration of a
+/// turn, whose last event waits for them.
 const MAX_DEFERRAL: Millis = Millis::new(50);
 
-/// Work under way, of which there is one at most.
+/// At most one operation in progress.
 type Slot<T> = Option<Pin<Box<dyn Future<Output = T> + Send>>>;
 
 struct Task {
@@ -64,21 +64,21 @@
     queue: Queue,
     /// The number of the last batch that was formed.
     last_seq: u64,
-    /// Failures in a row of writing the first batch, and of having a batch held.
+    /// Consecutive failures to write the first batch, and (below) to have a batch held.
     write_failures: u32,
     hold_failures: u32,
-    /// Whether the first batch was sent before its present send.
+    /// Whether the first batch had been sent before its current send.
     sent_before: bool,
     /// The weight at which the next batch waits for the rate budget.
     pacing: Option<Weight>,
-    /// Whether the next batch has waited for the rate budget.
+    /// Whether the next batch has finished waiting for the rate budget.
     paced: bool,
     snapshots: snapshot::Progress,
     flags: Arc<Flags>,
 }
 
-/// Runs until every handle is dropped and the line is empty, or the shard is lost and every handle
-/// is dropped.
+/// Runs until every handle is dropped and the queue is empty, or until the shard is lost and every
+/// handle is dropped.
 pub(super) async fn run(setup: Setup, tail: Tail, channels: Channels) {
     let mut commands = channels.commands;
     let mut task = Task {
@@ -104,7 +104,8 @@
 }
 
 impl Task {
-    /// Serves until the shard is lost, which yields what was in line, or nothing is left to do.
+    /// Serves until nothing is left to do, or until the shard is lost; then returns the queued
+    /// batches.
     async fn serve(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Takes a command in; yields the asker where it is to step down.
+    /// Handles a command. Returns the sender if the task must step down.
     fn handle(&mut self, command: Command) -> Option<oneshot::Sender<Vec<copy::Batch>>> {
         match command {
             Command::Append(records, sender) => self.enqueue(records, sender),
@@ -178,7 +179,7 @@
         self.arrivals.push_back(arrival);
     }
 
-    /// Refuses everything, and keeps what was in line for claimers that come to ask.
+    /// Refuses all appends, and keeps the queued batches for claimers that ask for them.
     async fn serve_lost(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -202,9 +203,9 @@
     }
 }
 
-/// The shard is another owner's.
+/// The shard belongs to another owner.
 struct Lost {
-    /// What may be said of the first batch, where that is known better than from its sends.
+    /// What may be said about the first batch, if more is known than follows from its sends.
     first_ran: Option<Ran>,
 }
 
@@ -221,8 +222,8 @@
     }
 }
 
-/// Waits for the work in a slot and empties it; for ever where there is none. May be dropped and
-/// called again without loss.
+/// Waits for the operation in a slot and clears the slot; waits for ever if the slot is empty.
+/// Cancel-safe.
 async fn wait_for_slot<T>(slot: &mut Slot<T>) -> T {
     let output = match slot {
         Some(work) => work.await,
--- a/crates/journal/src/log/task/batch.rs
+++ b/crates/journal/src/log/task/batch.rs
@@ -1,7 +1,7 @@
-//! Gives appends their places and begins the work on them.
+//! Forms batches from appends and starts the work on them.
 //!
-//! Exists for the failure "each turn costs a write of the platform": what arrives while a batch is
-//! on its way, or while the rate budget is short, goes into the next.
+//! Prevents the failure "each turn costs one write to the platform": appends that arrive while a
+//! batch is being written, or while the rate budget is short, share the next batch.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -29,8 +29,9 @@
 use crate::snapshot;
 
 impl Task {
-    /// Gives arrivals their places. While the platform answers, one batch is in line, so that the
-    /// next gathers what arrives meanwhile; during an outage likewise for the copies.
+    /// Forms a batch from the arrivals. While the platform answers, the queue holds one batch at a
+    /// time, so that the next batch gathers what arrives in the meantime. During an outage, the
+    /// same applies to the batch that is being copied.
     pub(super) fn form_batch(&mut self) {
         let may_form = if self.is_open() {
             self.queue.batches.is_empty() && (self.paced || self.arrivals.is_empty())
@@ -68,7 +69,7 @@
         let holders = records.iter().rev().find_map(changed_holders);
         let seq = self.last_seq + 1;
         let nonce = write::nonce(self.setup.seed, seq);
-        // Records that can't be encoded have no size and were refused when they arrived.
+        // Records that can't be encoded have no size and were refused on arrival.
         let value = write::encode(&self.setup.vm, nonce, records).unwrap_or_default();
         self.last_seq = seq;
         self.snapshots.note_batch(count, value.len());
@@ -81,12 +82,12 @@
         self.queue.batches.push_back(pending);
     }
 
-    /// Has the next batch wait for the rate budget before it is formed, so that what arrives
-    /// meanwhile goes along. Without it a burst of commits spends the budget, and the starts of
-    /// turns queue behind batches of one record each.
+    /// Makes the next batch wait for the rate budget before it is formed, so that it includes what
+    /// arrives in the meantime. Without this wait, a burst of commits uses up the budget, and the
+    /// starts of turns queue behind batches of one record each.
     ///
-    /// A batch that only holds patient records leaves half of the budget to others: where the
-    /// budget is short it goes along with the next start, or after [`PATIENCE`].
+    /// A batch of only deferrable records leaves half of the budget to other writes. If the budget
+    /// is short, it is written together with the next turn start, or after [`MAX_DEFERRAL`].
     pub(super) fn begin_pace(&mut self, pace: Slot<()>) -> Slot<()> {
         let nothing_to_pace = self.arrivals.is_empty() || !self.queue.batches.is_empty();
         if self.paced || nothing_to_pace || !self.is_open() {
@@ -117,7 +118,7 @@
     pub(super) fn begin_write(&mut self) -> Slot<WriteOutcome> {
         let delay = match self.write_failures {
             0 => Millis::ZERO,
-            write_failures => retry::backoff(write_failures, self.setup.seed),
+            failures => retry::backoff(failures, self.setup.seed),
         };
         self.write_after(delay)
     }
@@ -125,7 +126,7 @@
     pub(super) fn write_after(&mut self, delay: Millis) -> Slot<WriteOutcome> {
         let index_revision = self.snapshots.revision();
         let first = self.queue.batches.front_mut()?;
-        let write = KeyWrite {
+        let key_write = KeyWrite {
             seq: first.seq,
             value: first.value.clone(),
             index: first.index.as_ref().map(snapshot::Index::encode),
@@ -139,7 +140,7 @@
             if delay > Millis::ZERO {
                 tokio::time::sleep(delay.as_duration()).await;
             }
-            write::send(platform.as_ref(), &shard, &write).await
+            write::send(platform.as_ref(), &shard, &key_write).await
         }))
     }
 
@@ -150,11 +151,11 @@
         let epoch = self.epoch;
         let delay = match self.hold_failures {
             0 => Millis::ZERO,
-            write_failures => retry::backoff(write_failures, self.setup.seed),
+            failures => retry::backoff(failures, self.setup.seed),
         };
         let pending = self.queue.unheld()?;
         pending.offered = true;
-        let held = copy::Batch {
+        let batch = copy::Batch {
             epoch,
             seq: pending.seq,
             value: pending.value.clone(),
@@ -164,8 +165,8 @@
             if delay > Millis::ZERO {
                 tokio::time::sleep(delay.as_duration()).await;
             }
-            let seq = held.seq;
-            let replication = replicate::offer(&setup, held).await;
+            let seq = batch.seq;
+            let replication = replicate::offer(&setup, batch).await;
             (seq, replication)
         }))
     }
--- a/crates/journal/src/log/task/outcome.rs
+++ b/crates/journal/src/log/task/outcome.rs
@@ -1,7 +1,7 @@
-//! Draws the consequences of what became of a batch.
+//! Handles the outcomes of writing batches and of offering them to other VMs.
 //!
-//! Exists for the failures "an outage stops the owner" and "someone is told of an append what isn't
-//! so": every end of a write or of an offer to other VMs is judged here.
+//! Prevents these failures: an outage stops the owner, and a waiter is told something false about
+//! an append. Every outcome of a write or an offer is handled here.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -24,7 +24,7 @@
 use crate::snapshot;
 
 impl Task {
-    /// Draws the consequence of a try to write the first batch.
+    /// Handles the outcome of an attempt to write the first batch.
     pub(super) fn handle_write(&mut self, step: WriteOutcome) -> Option<Lost> {
         match step {
             WriteOutcome::Written(revision) => {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Has other VMs hold copies from now on; the earlier ones let go of what is in the journal.
+    /// Replaces the copy holders, and tells the previous ones which batches are in the journal so
+    /// that they drop them.
     pub(super) fn replace_holders(&mut self, holders: Vec<copy::Holder>, seq: u64) {
         let (old, epoch) = (self.setup.clone(), self.epoch);
         tokio::spawn(async move { replicate::notify_drained(&old, epoch, seq).await });
@@ -91,7 +92,7 @@
     pub(super) fn handle_fault(&mut self, fault: &edge::Fault) {
         let shard = &self.setup.shard;
         match fault {
-            // The platform answers; the line waits for as long as it says.
+            // The platform answers; the queue waits for as long as the platform says.
             edge::Fault::Limited(_) => {}
             edge::Fault::Unknown(_) => {
                 self.write_failures = self.write_failures.saturating_add(1);
@@ -140,7 +141,7 @@
         tokio::spawn(async move { replicate::notify_drained(&setup, epoch, seq).await });
     }
 
-    /// Draws the consequence of offering a batch to other VMs.
+    /// Handles the outcome of offering a batch to other VMs.
     pub(super) fn handle_hold(&mut self, seq: u64, replication: Replication) -> Option<Lost> {
         match replication {
             Replication::Acknowledged => {
@@ -163,7 +164,8 @@
         &mut self,
         sender: oneshot::Sender<Vec<copy::Batch>>,
     ) -> Vec<copy::Batch> {
-        // The new owner writes what it gets, so none of it may be called absent from the journal.
+        // The new owner writes the batches that it gets, so none of them may be reported as absent
+        // from the journal.
         for pending in &mut self.queue.batches {
             pending.offered = true;
         }
@@ -172,13 +174,14 @@
         remaining
     }
 
-    /// Keeps what was in line for later claimers, and tells everyone that the shard is lost.
+    /// Keeps the queued batches for later claimers, and tells all waiters that the shard is lost.
     pub(super) async fn lose(&mut self, first_ran: Option<Ran>) -> Vec<copy::Batch> {
         let shard = &self.setup.shard;
         let epoch = self.epoch;
         log::warn!("{} shard={shard} epoch={epoch}", Event::ShardLost);
         let remaining = self.queue.to_copies(epoch);
-        // Before anyone can learn of the loss and drop this log with its line.
+        // Must happen before anyone can learn of the loss and drop this log together with its
+        // queue.
         self.setup.peers.keep(shard, remaining.clone()).await;
         self.status.send_replace(Status::Lost);
         self.queue.note_lost(first_ran);
--- a/crates/journal/src/log/write.rs
+++ b/crates/journal/src/log/write.rs
@@ -1,13 +1,13 @@
-//! One try to create a journal key, and what its outcome means.
+//! One attempt to create a journal key, and the meaning of its outcome.
 //!
-//! Exists for the failures "a stale owner appends" and "the answer of an append is lost". The key
-//! is created only where it is absent *and* the snapshot index is the one that the writer knows.
-//! The second condition covers a stale owner that wakes up after the new one has snapshotted and
-//! removed the keys that stood in its way: without it, that owner would find its next key absent
-//! and take its append for durable.
+//! Prevents these failures: a stale owner appends, and the response to an append is lost. The key
+//! is created only if it is absent *and* the snapshot index has the revision that the writer knows.
+//! The second condition covers a stale owner that wakes up after the new owner has written a
+//! snapshot and removed the keys that would have blocked the stale one. Without it, the stale owner
+//! would find its next key absent and consider its append durable.
 //!
-//! The same bytes may be sent any number of times: they carry a nonce, so that a key which holds
-//! them can only hold them on account of an earlier send.
+//! The same bytes may be sent any number of times: they contain a nonce, so a key that holds them
+//! got them from an earlier send of the same write.
 
 use bytes::Bytes;
 use platform::edge::Compare;
@@ -24,34 +24,34 @@
 use crate::record::Batch;
 use crate::record::Record;
 
-/// A value for the next journal key.
+/// A write of the next journal key.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyWrite {
     /// The key's number.
     pub(crate) seq: u64,
     /// The encoded batch.
     pub(crate) value: Bytes,
-    /// The new value of the snapshot index that is set along with it.
+    /// The new value of the snapshot index, if it is set in the same transaction.
     pub(crate) index: Option<Bytes>,
-    /// The revision of the snapshot index that the writer knows; 0 where there is none.
+    /// The revision of the snapshot index that the writer knows; 0 if there is none.
     pub(crate) index_revision: u64,
 }
 
-/// What became of a try.
+/// The outcome of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// The key holds the value since this revision.
+    /// The key has held the value since this revision.
     Written(u64),
-    /// The key holds another value, and never held nor will hold this one.
+    /// The key holds another value. It has never held this value and never will.
     Taken,
-    /// Another owner has moved the snapshot index, or has written the value in this one's place.
-    /// An earlier send may have landed.
+    /// Another owner has changed the snapshot index, or has written this value in the writer's
+    /// place. An earlier send may have taken effect.
     Superseded,
-    /// Not known, or not done; the same value may be sent again.
+    /// The outcome is unknown, or the write had no effect; the same value may be sent again.
     Retry(Fault),
 }
 
-/// Sends an item once.
+/// Sends a write once.
 pub(crate) async fn send(
     platform: &dyn Platform,
     shard: &id::Shard,
@@ -71,9 +71,9 @@
     }
 }
 
-/// Tells whether the index of an item, where it has one, was set along with its key. A new owner
-/// that collected the item from a copy writes the key alone; an owner that took its index for set
-/// would go on to remove keys that no image covers.
+/// Returns whether the write's index, if it has one, was set together with its key. A new owner
+/// that collected the batch from a copy writes only the key; if the old owner then assumed that its
+/// index was set, it would remove keys that no image covers.
 fn is_index_set(
     shard: &id::Shard,
     write: &KeyWrite,
@@ -85,7 +85,7 @@
     write.index.is_none() || index.is_some_and(|index| index.revision == journal_entry.revision)
 }
 
-/// Encodes a batch. `None` where a record can't be encoded, which their types rule out.
+/// Encodes a batch. Returns `None` if a record can't be encoded, which the record types rule out.
 pub(crate) fn encode(writer: &id::Vm, nonce: u64, records: Vec<Record>) -> Option<Bytes> {
     let batch = Batch {
         writer: writer.clone(),
@@ -95,7 +95,7 @@
     rmp_serde::to_vec_named(&batch).ok().map(Bytes::from)
 }
 
-/// Yields the nonce of a batch: differs from claim to claim by `seed` and from key to key.
+/// Returns the nonce of a batch. It differs between claims by `seed` and between keys by `seq`.
 pub(crate) fn nonce(seed: u64, seq: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&seed.to_be_bytes());
--- a/crates/journal/src/log/write/tests.rs
+++ b/crates/journal/src/log/write/tests.rs
@@ -35,8 +35,8 @@
 
 #[tokio::test]
 async fn bytes_without_their_index_are_another_owners_work() {
-    // A new owner collects a batch from a copy and writes it, without the index that the old owner
-    // sends along with it. If the old one took its index for set, it would remove keys that no
+    // A new owner collects a batch from a copy and writes it without the index that the old owner
+    // sends with it. If the old owner assumed that its index was set, it would remove keys that no
     // image covers.
     let memory = Memory::default();
     let drained = send(&memory, &shard(), &item(b"a", None)).await;
--- a/crates/journal/src/program.rs
+++ b/crates/journal/src/program.rs
@@ -1,11 +1,11 @@
-//! One program of a shard: its history, budget, calls and the endpoints that hold its cache.
+//! One program of a shard: its history, budget, calls, and the endpoints that hold its cache.
 //!
-//! Exists for the failure "a program's history is lost or mixed with another's": everything that a
-//! program has stands in one value that only its own records change, each of them checked against
-//! the turn and attempt that are due.
+//! Prevents the failure "a program's history is lost or mixed with another program's": everything
+//! that belongs to a program is stored in one value, which only the program's own records change.
+//! Each record is checked against the expected turn and attempt.
 //!
-//! A program's model and labels aren't kept: each request names its model, and labels come from the
-//! operators' configuration, so that a change of theirs holds for programs under way as well.
+//! A program's model and labels aren't stored. Each request names its model, and labels come from
+//! the operators' configuration, so that configuration changes also apply to running programs.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -20,29 +20,30 @@
 /// One program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Program {
-    /// Its name.
+    /// The program's name.
     pub id: id::Program,
-    /// Who made it; no one else may ask of it.
+    /// The caller that created it; no other caller may use it.
     pub caller: id::Caller,
-    /// Tokens that it may generate.
+    /// The maximum number of tokens it may generate.
     pub tokens: u64,
-    /// Turns that it may have.
+    /// The maximum number of turns.
     pub turns: u32,
-    /// The longest pause between turns.
+    /// The longest allowed pause between turns.
     pub idle: Millis,
-    /// When its last turn began or was committed, or when it was made.
+    /// The last time a turn or a call was started or a turn was committed; initially the creation
+    /// time.
     pub touched: Millis,
     /// Tokens spent by attempts that have ended.
     pub spent: u64,
-    /// The committed turns in order; turn n stands at n - 1. Empty once the program has ended.
+    /// The committed turns in order; turn n has the index n - 1. Empty once the program has ended.
     pub history: Vec<Turn>,
-    /// The attempt that began last, where it hasn't ended.
+    /// The attempt that was started last, if it hasn't ended.
     pub running: Option<Running>,
-    /// The calls that may run at most once, by key.
+    /// The calls that may run at most once, sorted by key.
     pub calls: Vec<Call>,
-    /// The endpoints that may hold cache of the program, by name.
+    /// The endpoints that may hold cache of the program, sorted by name.
     pub holders: Vec<id::Endpoint>,
-    /// Why and when it ended, where it has.
+    /// Why and when it ended, if it has.
     pub ended: Option<Ending>,
     /// The digest of the history.
     pub chain: id::Digest,
@@ -59,10 +60,10 @@
     pub answer: chat::Answer,
 }
 
-/// An attempt that began and hasn't ended.
+/// An attempt that was started and hasn't ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Running {
-    /// The epoch of the owner that began it.
+    /// The epoch of the owner that started it.
     pub epoch: u64,
     /// The turn.
     pub turn: u32,
@@ -70,7 +71,7 @@
     pub attempt: id::Attempt,
     /// The digest of the new messages.
     pub digest: id::Digest,
-    /// Tokens set aside.
+    /// Tokens reserved for it.
     pub reserved: u64,
 }
 
@@ -79,35 +80,35 @@
 pub struct Call {
     /// The caller's idempotency key.
     pub key: id::Key,
-    /// The epoch of the owner that journaled the intent.
+    /// The epoch of the owner that recorded the intent.
     pub epoch: u64,
-    /// The one dispatch that the intent allows.
+    /// The only dispatch that the intent allows.
     pub attempt: id::Attempt,
     /// The digest of service, operation and body.
     pub digest: id::Digest,
-    /// What became of it, where that is known. [`Outcome::NotRun`] never stands here: such a call
-    /// is dropped, so that its key can be used again.
+    /// The outcome, if it is known. Never [`Outcome::NotRun`]: such a call is removed, so that its
+    /// key can be used again.
     pub result: Option<Outcome>,
 }
 
 /// The end of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ending {
-    /// Why.
+    /// Why the program ended.
     pub code: Code,
-    /// When.
+    /// When the program ended.
     pub at: Millis,
 }
 
 impl Program {
-    /// Yields the number of committed turns.
+    /// Returns the number of committed turns.
     #[must_use]
     pub fn committed(&self) -> u32 {
         u32::try_from(self.history.len()).unwrap_or(u32::MAX)
     }
 
-    /// Yields the tokens that may still be reserved. A reservation that hasn't ended counts as
-    /// spent, also one that a crash left behind.
+    /// Returns the number of tokens that may still be reserved. A reservation that hasn't ended
+    /// counts as spent, even if it was left behind by a crash.
     #[must_use]
     pub fn remaining(&self) -> u64 {
         let reserved = self.running.as_ref().map_or(0, |r| r.reserved);
@@ -116,21 +117,22 @@
             .saturating_sub(reserved)
     }
 
-    /// Yields every message of the committed turns in order: the prompt before the new messages.
+    /// Iterates over all messages of the committed turns in order. They form the prompt before the
+    /// new messages.
     pub fn messages(&self) -> impl Iterator<Item = &chat::Message> {
         self.history
             .iter()
             .flat_map(|turn| turn.messages.iter().chain([&turn.answer.message]))
     }
 
-    /// Looks a call up by its key.
+    /// Returns a call by its key.
     #[must_use]
     pub fn call(&self, key: &id::Key) -> Option<&Call> {
         let at = self.find_call(key).ok()?;
         Some(&self.calls[at])
     }
 
-    /// Makes a program of its first record; `None` where the record is another one.
+    /// Creates a program from its first record. Returns `None` for any other record.
     pub(crate) fn from_created(record: &Record) -> Option<Self> {
         let Record::Created {
             program,
@@ -160,7 +162,7 @@
         })
     }
 
-    /// Tells whether a record of this program fits it.
+    /// Returns whether one of this program's records matches its current state.
     pub(crate) fn accepts(&self, record: &Record) -> bool {
         let is_running = |attempt| self.running.as_ref().is_some_and(|r| r.attempt == attempt);
         match record {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Applies a record that [`takes`](Self::takes) has let through.
+    /// Applies a record for which [`accepts`](Self::accepts) returned true.
     pub(crate) fn apply(&mut self, epoch: u64, record: &Record) {
         match record {
             Record::Started { endpoint, at, .. } => {
@@ -309,14 +311,14 @@
     }
 }
 
-/// Adds an endpoint to a sorted list; one that stands there already isn't added again.
+/// Adds an endpoint to a sorted list unless the list already contains it.
 pub(crate) fn insert_sorted(sorted: &mut Vec<id::Endpoint>, endpoint: &id::Endpoint) {
     if let Err(at) = sorted.binary_search(endpoint) {
         sorted.insert(at, endpoint.clone());
     }
 }
 
-/// Continues a chain of digests.
+/// Returns the next digest of a chain of digests.
 pub(crate) fn chain_digest(chain: id::Digest, next: id::Digest) -> id::Digest {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&chain.0.to_be_bytes());
@@ -324,8 +326,8 @@
     id::Digest::of(&bytes)
 }
 
-/// Yields the digest of a message. A message that can't be encoded, which JSON values never are,
-/// counts as empty.
+/// Returns the digest of a message. A message that can't be encoded counts as empty; JSON values
+/// can always be encoded.
 fn message_digest(message: &chat::Message) -> id::Digest {
     id::Digest::of(&serde_json::to_vec(message).unwrap_or_default())
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,7 +1,7 @@
-//! The facts that a journal holds.
+//! The records that a journal consists of.
 //!
-//! Exists for the failure "a takeover can't tell what had happened": whatever a later owner must
-//! know is a record, and a record names all that it depends on.
+//! Prevents the failure "a takeover can't tell what had happened": everything that a later owner
+//! must know is in a record, and each record names everything that it depends on.
 
 use std::io;
 
@@ -14,69 +14,72 @@
 
 use crate::copy::Holder;
 
-/// The most bytes of the records of one append, encoded. The rest of the platform's largest value
-/// is for the batch's own fields.
+/// The maximum encoded size of the records of one append, in bytes. The rest of the platform's
+/// maximum value size is for the batch's other fields.
 pub const MAX_BYTES: usize = platform::edge::MAX_VALUE - 1024;
 
 /// The value of one journal key: records that take effect together, in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The VM that wrote it.
+    /// The VM that wrote the batch.
     pub writer: id::Vm,
-    /// Drawn at random for each batch; settles an append whose answer was lost.
+    /// Differs for each batch; shows whether an append whose response was lost has taken effect.
     pub nonce: u64,
-    /// The facts.
+    /// The records.
     pub records: Vec<Record>,
 }
 
-/// One fact.
+/// One record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A VM took the shard over; every earlier writer has lost it.
+    /// A VM took over the shard; all earlier writers have lost it.
     Opened {
         /// The VM.
         vm: id::Vm,
-        /// One more than at the shard's last opening; the fencing number of its orders.
+        /// One more than the epoch of the shard's previous opening; the fencing token of the
+        /// owner's orders.
         epoch: u64,
         /// The VMs that hold this owner's pending batches during an outage of the platform. They
-        /// stand here as well as in the ownership record, since that record goes with its lease.
+        /// are stored here as well as in the ownership record, because that record is deleted when
+        /// its lease expires.
         copies: Vec<Holder>,
     },
-    /// Other VMs hold the owner's pending batches from now on: one was restarted or has left.
+    /// Other VMs hold the owner's pending batches from now on, because one was restarted or has
+    /// left.
     Copies {
         /// The VMs.
         holders: Vec<Holder>,
     },
-    /// A program was made.
+    /// A program was created.
     Created {
         /// The program.
         program: id::Program,
-        /// Who made it; no one else may ask of it.
+        /// The caller that created it; no other caller may use it.
         caller: id::Caller,
-        /// Tokens that it may generate.
+        /// The maximum number of tokens it may generate.
         tokens: u64,
-        /// Turns that it may have.
+        /// The maximum number of turns.
         turns: u32,
-        /// The longest pause between turns.
+        /// The longest allowed pause between turns.
         idle: Millis,
-        /// When.
+        /// The creation time.
         at: Millis,
     },
-    /// A turn may now be dispatched; its reservation counts as spent until the attempt ends.
+    /// A turn may now be dispatched. Its reservation counts as spent until the attempt ends.
     Started {
         /// The program.
         program: id::Program,
         /// The turn.
         turn: u32,
-        /// The attempt, matched with answers.
+        /// The attempt; answers are matched against it.
         attempt: id::Attempt,
         /// The digest of the turn's new messages.
         digest: id::Digest,
-        /// Tokens set aside.
+        /// Tokens reserved for the attempt.
         reserved: u64,
-        /// The endpoint, where it was known beforehand; holds cache from now on.
+        /// The endpoint, if it was known in advance; it holds cache from now on.
         endpoint: Option<id::Endpoint>,
-        /// When.
+        /// The start time.
         at: Millis,
     },
     /// An attempt ended without a committed answer.
@@ -87,16 +90,16 @@
         turn: u32,
         /// The attempt.
         attempt: id::Attempt,
-        /// Tokens generated, or the whole reservation where that isn't known.
+        /// The number of generated tokens, or the whole reservation if the number is unknown.
         used: u64,
     },
-    /// A turn is part of the history.
+    /// A turn was committed to the history.
     Committed {
         /// The program.
         program: id::Program,
         /// The turn.
         turn: u32,
-        /// The attempt whose answer it is.
+        /// The attempt that produced the answer.
         attempt: id::Attempt,
         /// The turn's new messages.
         messages: Vec<chat::Message>,
@@ -104,51 +107,53 @@
         answer: chat::Answer,
         /// Tokens spent by the attempt.
         used: u64,
-        /// The endpoint that ran it and holds cache of it.
+        /// The endpoint that ran the attempt and holds cache of it.
         endpoint: id::Endpoint,
-        /// When.
+        /// The commit time.
         at: Millis,
     },
     /// A call that may run at most once is about to be sent.
     Intent {
-        /// The program it belongs to.
+        /// The program that the call belongs to.
         program: id::Program,
         /// The caller's idempotency key.
         key: id::Key,
-        /// The one dispatch that this intent allows.
+        /// The only dispatch that this intent allows.
         attempt: id::Attempt,
         /// The digest of service, operation and body.
         digest: id::Digest,
-        /// When.
+        /// The time of the intent.
         at: Millis,
     },
-    /// What became of such a call.
+    /// The outcome of a call that may run at most once.
     Outcome {
-        /// The program it belongs to.
+        /// The program that the call belongs to.
         program: id::Program,
         /// The caller's idempotency key.
         key: id::Key,
-        /// The intent's attempt.
+        /// The attempt named in the intent.
         attempt: id::Attempt,
-        /// What became of it.
+        /// The outcome.
         result: Outcome,
     },
     /// An endpoint crashed while it ran this content.
     Blamed {
         /// The program.
         program: id::Program,
-        /// The content, with the history before it: [`crate::state::State::content_digest`].
+        /// The digest of the content including the history before it:
+        /// [`crate::state::State::content_digest`].
         content: id::Digest,
         /// The endpoint.
         endpoint: id::Endpoint,
     },
-    /// A program ended; its history may go.
+    /// A program ended; its history may be dropped.
     Ended {
         /// The program.
         program: id::Program,
-        /// Why: [`Code::ProgramEnded`] at the caller's wish, else the limit that was met.
+        /// The reason: [`Code::ProgramEnded`] if the caller ended it, otherwise the limit that was
+        /// reached.
         code: Code,
-        /// When.
+        /// The end time.
         at: Millis,
     },
     /// An endpoint confirmed that it holds no cache of an ended program.
@@ -158,14 +163,14 @@
         /// The endpoint.
         endpoint: id::Endpoint,
     },
-    /// An ended program that nothing depends on any more is dropped, and its name is free.
+    /// An ended program on which nothing depends any more is dropped, and its name is free again.
     Forgotten {
         /// The program.
         program: id::Program,
     },
 }
 
-/// What became of a call that may run at most once.
+/// The outcome of a call that may run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The service answered.
@@ -182,13 +187,13 @@
     Unknown,
 }
 
-/// Yields the encoded size in bytes of a value that becomes part of a journal key.
+/// Returns the encoded size in bytes of a value that becomes part of a journal key's value.
 #[must_use]
 pub fn size<T: Serialize + ?Sized>(value: &T) -> usize {
     let mut counter = ByteCounter(0);
     match rmp_serde::encode::write_named(&mut counter, value) {
         Ok(()) => counter.0,
-        // What can't be encoded fits nowhere.
+        // A value that can't be encoded doesn't fit into any key.
         Err(_) => usize::MAX,
     }
 }
--- a/crates/journal/src/snapshot.rs
+++ b/crates/journal/src/snapshot.rs
@@ -1,19 +1,19 @@
-//! Images of a shard's state, so that a takeover needn't read the journal from its beginning and
-//! its old keys can go.
+//! Images of a shard's state, which let a takeover start without reading the whole journal and
+//! allow old journal keys to be removed.
 //!
-//! Exists for the failure "the journal outgrows the platform, and a takeover outlasts the callers'
-//! patience".
+//! Prevents these failures: the journal outgrows the platform, and a takeover takes longer than
+//! callers wait.
 //!
-//! An image is the whole state, histories among it, in chunks under the platform's largest value.
-//! The chunks are written first, under a name that no other image has; then the index that names
-//! them is set in the same transaction as the next append, so that a stale owner can't set it; then
-//! the covered keys and the previous image go. A crash before the index leaves the earlier image
-//! and every key in place; one after it leaves keys that no takeover reads, which the next removal
-//! takes along.
+//! An image is the whole state, including histories, split into chunks below the platform's maximum
+//! value size. The chunks are written first, under a name that no other image has. Then the index
+//! that names them is set in the same transaction as the next append, so that a stale owner can't
+//! set it. Then the covered keys and the previous image are removed. A crash before the index is
+//! set leaves the earlier image and every key in place. A crash after it leaves keys that no
+//! takeover reads, which the next removal deletes.
 //!
-//! Not built: loading a program's history only when it is asked for, and images that hold only what
-//! changed. An image is as large as the state, and is due when the journal since the last one is
-//! as large as that one, so that images at most double what is written.
+//! Not implemented: loading a program's history on demand, and incremental images. An image is as
+//! large as the state, and one is due when the journal since the last image has grown as large as
+//! that image, so images at most double the amount written.
 
 mod progress;
 
@@ -39,43 +39,43 @@
 pub(crate) use progress::Progress;
 pub(crate) use progress::Removal;
 
-/// Tries to write one chunk or removal before the image or removal is given up; with the longest
-/// waits about a quarter of a minute. The next image is another chance.
+/// How often one chunk or removal is tried before the image or removal is abandoned; about 15 s
+/// with the longest waits. The next image tries again.
 const MAX_TRIES: u32 = 20;
-/// Keys removed in one transaction; half of what etcd takes by default.
+/// Keys removed in one transaction; half of etcd's default limit.
 const KEYS_PER_REMOVAL: u64 = 64;
-/// Chunks listed at once when leftovers are swept; each may be as large as a value can be.
+/// Chunks listed at once when leftovers are removed; each may have the maximum value size.
 const CHUNKS_PER_PAGE: usize = 2;
 
 /// An encoded state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Image(Bytes);
 
-/// The value of the index key: names the image that a takeover begins with.
+/// The value of the index key; names the image that a takeover starts from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Index {
     /// The number of the last journal key that the image covers.
     pub seq: u64,
     /// The epoch of the owner that wrote it.
     pub epoch: u64,
-    /// How many keys hold the image.
+    /// The number of keys that hold the image.
     pub chunks: u32,
-    /// The bytes of the image.
+    /// The size of the image in bytes.
     pub bytes: u64,
-    /// The number of the first journal key that may not have been removed yet.
+    /// The number of the first journal key that may still exist.
     pub floor: u64,
 }
 
-/// The index as a VM knows it.
+/// The index as known to a VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownIndex {
-    /// The platform's revision at which it was set; 0 where it never was.
+    /// The platform's revision at which the index was set; 0 if it was never set.
     pub revision: u64,
     /// The index.
     pub index: Option<Index>,
 }
 
-/// What an image is written for.
+/// The parameters of writing an image.
 pub(crate) struct Context {
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) shard: id::Shard,
@@ -86,21 +86,21 @@
 }
 
 impl Image {
-    /// Encodes a state. Takes time in proportion to the state.
+    /// Encodes a state. Takes time proportional to the size of the state.
     #[must_use]
     pub fn of(state: &State) -> Self {
-        // A state is built of what was decoded from the same encoding; an empty image is never
-        // written.
+        // Encoding doesn't fail: the state consists of values decoded from the same format. An
+        // empty image is never written.
         Self(rmp_serde::to_vec_named(state).map_or_else(|_| Bytes::new(), Bytes::from))
     }
 
-    /// Yields the size in bytes.
+    /// Returns the size in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.0.len()
     }
 
-    /// Decodes the state; `None` where the bytes are damaged.
+    /// Decodes the state. Returns `None` if the bytes are damaged.
     #[must_use]
     pub fn decode(&self) -> Option<State> {
         rmp_serde::from_slice(&self.0).ok()
@@ -112,14 +112,14 @@
         rmp_serde::to_vec_named(self).map_or_else(|_| Bytes::new(), Bytes::from)
     }
 
-    /// Decodes the value of an index key; `None` where the bytes are damaged.
+    /// Decodes the value of an index key. Returns `None` if the bytes are damaged.
     #[must_use]
     pub fn decode(value: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(value).ok()
     }
 }
 
-/// Writes an image's chunks; `None` where the platform didn't let it.
+/// Writes an image's chunks. Returns `None` if the platform didn't accept them.
 pub(crate) async fn write_image(context: &Context, image: &Image, floor: u64) -> Option<Index> {
     if image.0.is_empty() {
         return None;
@@ -147,12 +147,12 @@
     })
 }
 
-/// Reads the image that an index names; `None` where a chunk is missing, as it is when a newer
-/// index was set meanwhile, or damaged.
+/// Reads the image that an index names. Returns `None` if a chunk is damaged or missing, which
+/// happens when a newer index has been set in the meantime.
 ///
 /// # Errors
 ///
-/// Fails where the platform doesn't answer.
+/// Fails if the platform doesn't answer.
 pub async fn read_image(
     platform: &dyn Platform,
     shard: &id::Shard,
@@ -176,7 +176,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the platform doesn't answer, and with [`Fault::Invalid`] where the index is damaged.
+/// Fails if the platform doesn't answer, and with [`Fault::Invalid`] if the index is damaged.
 pub async fn read_index(platform: &dyn Platform, shard: &id::Shard) -> Result<KnownIndex> {
     let Some(entry) = platform.read(&key::index(shard)).await? else {
         return Ok(KnownIndex::default());
@@ -189,7 +189,8 @@
     })
 }
 
-/// Removes what a new index has made useless; `false` where the platform didn't let it.
+/// Removes the keys that a new index has superseded. Returns `false` if the platform didn't accept
+/// a removal.
 pub(crate) async fn remove_superseded(
     platform: &dyn Platform,
     shard: &id::Shard,
@@ -213,9 +214,9 @@
     no_leftovers || remove_leftovers(platform, shard, epoch, seed).await
 }
 
-/// Removes chunks of images whose writer lost the shard before it had set their index. Only an
-/// earlier epoch's are touched: a later owner may be writing its own. Done with the first image of
-/// an epoch.
+/// Removes the chunks of images whose writer lost the shard before it set their index. Removes only
+/// chunks of earlier epochs, because a later owner may be writing its own. Runs with the first
+/// image of an epoch.
 async fn remove_leftovers(
     platform: &dyn Platform,
     shard: &id::Shard,
@@ -232,7 +233,7 @@
         let Some(last) = listed.last() else {
             return true;
         };
-        // The first name after the last one.
+        // The smallest listed name after the last one.
         from = format!("{}!", last.key);
         let keys = listed.into_iter().map(|entry| entry.key);
         let deletes: Vec<Write> = keys.filter(|key| *key < end).map(Write::Delete).collect();
@@ -243,7 +244,8 @@
     true
 }
 
-/// Makes writes that may be repeated, until they are known to have taken effect.
+/// Repeats idempotent writes until they are known to have taken effect. Returns `false` after
+/// [`MAX_TRIES`].
 async fn commit_until_done(platform: &dyn Platform, writes: Vec<Write>, seed: u64) -> bool {
     let txn = Txn {
         compares: Vec::<Compare>::new(),
--- a/crates/journal/src/snapshot/progress.rs
+++ b/crates/journal/src/snapshot/progress.rs
@@ -1,29 +1,30 @@
-//! How far a log has come with its images: when one is due, what it covers, what may go.
+//! The snapshot progress of a log: when an image is due, what it covers, and which keys may be
+//! removed.
 //!
-//! Exists for the failure "an image covers a record that it doesn't hold": an image asked for
-//! covers exactly the appends that were handed over before it, and the log forms no batch across
-//! that border.
+//! Prevents the failure "an image covers a record that it doesn't contain": a requested image
+//! covers exactly the appends made before the request, and the log forms no batch across that
+//! boundary.
 
 use super::Image;
 use super::Index;
 use super::KnownIndex;
 
-/// Batches after which an image may be due: a takeover reads at most this many small keys, in
-/// tens of milliseconds by the range.
+/// The number of batches after which an image may be due. A takeover then reads about this many
+/// small keys, which takes tens of milliseconds with range reads.
 const BATCHES_BEFORE_IMAGE: u64 = 256;
 
-/// What a new index has made useless.
+/// The keys that a new index has superseded.
 #[derive(Debug)]
 pub(crate) struct Removal {
     /// The number of the first journal key to remove.
     pub(crate) from: u64,
-    /// The number of the last one.
+    /// The number of the last journal key to remove.
     pub(crate) through: u64,
     /// The previous image.
     pub(crate) image: Option<Index>,
 }
 
-/// A log's images.
+/// The snapshot state of a log.
 #[derive(Debug)]
 pub(crate) struct Progress {
     known: KnownIndex,
@@ -36,16 +37,16 @@
 #[derive(Debug)]
 enum Stage {
     Idle,
-    /// An image waits for the appends before it to get their places.
+    /// An image waits until all appends made before it are part of a batch.
     Requested {
         image: Image,
         arrivals: usize,
     },
-    /// Its chunks are being written.
+    /// The image's chunks are being written.
     Writing,
-    /// Its index goes with the next batch.
+    /// The image's index is set together with the next batch.
     Ready(Index),
-    /// The batch with its index is in line.
+    /// The batch that sets the index is queued.
     Sent,
 }
 
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Takes an image that covers the batches formed so far and the next `arrivals` appends.
+    /// Accepts an image that covers the batches formed so far and the next `arrivals` appends.
     pub(crate) fn request(&mut self, image: Image, arrivals: usize) {
         if matches!(self.stage, Stage::Idle) {
             self.stage = Stage::Requested { image, arrivals };
         }
     }
 
-    /// Yields the image once every append before it has its place.
+    /// Returns the image once every append made before it is part of a batch.
     pub(crate) fn take_requested(&mut self) -> Option<Image> {
         if !matches!(self.stage, Stage::Requested { arrivals: 0, .. }) {
             return None;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Limits the appends of the next batch to those before an image.
+    /// Limits the appends of the next batch to those that a requested image covers.
     pub(crate) fn limit_batch(&self, count: usize) -> usize {
         match self.stage {
             Stage::Requested { arrivals, .. } => count.min(arrivals),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Notes a batch of so many appends.
+    /// Records that a batch of `count` appends was formed.
     pub(crate) fn note_batch(&mut self, count: usize, bytes: usize) {
         if let Stage::Requested { arrivals, .. } = &mut self.stage {
             *arrivals -= count;
@@ -95,7 +96,7 @@
         self.bytes += bytes as u64;
     }
 
-    /// Tells whether the journal has grown enough since the last image.
+    /// Returns whether the journal has grown enough since the last image.
     pub(crate) fn is_due(&self) -> bool {
         let last = self.known.index.as_ref().map_or(0, |index| index.bytes);
         self.batches >= BATCHES_BEFORE_IMAGE
@@ -103,12 +104,12 @@
             && matches!(self.stage, Stage::Idle)
     }
 
-    /// Notes that an image is written, or given up.
+    /// Records that an image was written, or abandoned.
     pub(crate) fn note_written(&mut self, index: Option<Index>) {
         self.stage = index.map_or(Stage::Idle, Stage::Ready);
     }
 
-    /// Tells whether an index waits for a batch to go with.
+    /// Returns whether an index waits for the next batch.
     pub(crate) fn is_ready(&self) -> bool {
         matches!(self.stage, Stage::Ready(_))
     }
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Notes that the index is set.
+    /// Records that the index is set, and returns what may now be removed.
     pub(crate) fn note_index_set(&mut self, revision: u64, index: &Index) -> Removal {
         let known = KnownIndex {
             revision,
@@ -140,17 +141,17 @@
         }
     }
 
-    /// Notes that the journal keys up to `seq` are removed.
+    /// Records that the journal keys up to `seq` are removed.
     pub(crate) fn note_removed(&mut self, seq: u64) {
         self.floor = self.floor.max(seq + 1);
     }
 
-    /// Yields the revision of the index that appends must find.
+    /// Returns the revision that appends require the index to have.
     pub(crate) fn revision(&self) -> u64 {
         self.known.revision
     }
 
-    /// Yields the number of the first journal key that may not have been removed.
+    /// Returns the number of the first journal key that may still exist.
     pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -1,9 +1,9 @@
-//! What a shard's journal says, as one value in memory.
+//! The state of a shard in memory, as described by its journal.
 //!
-//! Exists for the failure "the new owner decides otherwise than the old one would have": the state
-//! is a function of the records alone, so one rebuilt after a takeover equals the one that the old
-//! owner held. What ran under an earlier owner is told from what runs here by the epoch of the
-//! last [`Record::Opened`], not by anything that lives beside the records.
+//! Prevents the failure "the new owner decides differently from the old owner": the state is a
+//! function of the records alone, so a state rebuilt after a takeover equals the one that the old
+//! owner held. Attempts and calls of an earlier owner are told apart from this owner's by the epoch
+//! of the last [`Record::Opened`], not by information outside the records.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -17,39 +17,39 @@
 use crate::program::insert_sorted;
 use crate::record::Record;
 
-/// How many different endpoints must have crashed on a content before it is refused for good. One
-/// crash can be the endpoint's own fault; two different endpoints that crash on the same content
-/// are the content's.
+/// The number of different endpoints that must have crashed on the same content before the content
+/// is permanently refused. One crash can be the endpoint's fault; if two different endpoints crash
+/// on the same content, the content is at fault.
 pub const POISON_THRESHOLD: usize = 2;
 
-/// A record that doesn't fit the state: the journal was damaged or mixed with another one.
+/// A record that doesn't match the state: the journal is damaged or mixed with another one.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Mismatch {
-    /// The record speaks of a program that doesn't exist.
-    #[display("program {_0} isn't stored")]
+    /// The record names a program that doesn't exist.
+    #[display("program {_0} doesn't exist")]
     Unknown(#[error(not(source))] id::Program),
-    /// A program is made twice.
-    #[display("program {_0} exists")]
+    /// A program is created twice.
+    #[display("program {_0} already exists")]
     Exists(#[error(not(source))] id::Program),
-    /// A turn or attempt isn't the one that is due.
-    #[display("program {_0} isn't index this turn or attempt")]
+    /// The record's turn or attempt isn't the expected one.
+    #[display("the record isn't for the current turn or attempt of program {_0}")]
     Order(#[error(not(source))] id::Program),
-    /// A shard is opened with an epoch that isn't higher than the last.
-    #[display("epoch {_0} isn't new")]
+    /// A shard is opened with an epoch that isn't higher than the current one.
+    #[display("epoch {_0} isn't higher than the current epoch")]
     Epoch(#[error(not(source))] u64),
 }
 
-/// The outcome of checking a record.
+/// The result of checking a record.
 pub type Result<T> = std::result::Result<T, Mismatch>;
 
-/// The facts of one shard.
+/// The state of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     epoch: u64,
     owner: Option<id::Vm>,
-    /// The holders that were named last.
+    /// The holders set by the last change.
     named: Vec<Holder>,
-    /// These and the ones named before.
+    /// The holders set by the last change and by the one before it.
     copies: Vec<Holder>,
     #[expect(
         clippy::vec_box,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Fails on the first record that doesn't fit.
+    /// Fails on the first record that doesn't match the state.
     pub fn rebuild<'a>(records: impl IntoIterator<Item = &'a Record>) -> Result<Self> {
         let mut state = Self::default();
         for record in records {
@@ -80,8 +80,8 @@
         Ok(state)
     }
 
-    /// Applies a record. One that doesn't [`fit`](Self::check) has no effect; records that
-    /// [`crate::decision`] yields fit the state that they were asked of.
+    /// Applies a record. A record that doesn't pass [`check`](Self::check) has no effect. Records
+    /// returned by [`crate::decision`] match the state that they were decided on.
     pub fn apply(&mut self, record: &Record) {
         if self.check(record).is_err() {
             return;
@@ -114,11 +114,11 @@
         }
     }
 
-    /// Tells whether a record fits the state.
+    /// Checks whether a record matches the state.
     ///
     /// # Errors
     ///
-    /// Fails with the reason where it doesn't.
+    /// Returns the reason if it doesn't.
     pub fn check(&self, record: &Record) -> Result<()> {
         match record {
             Record::Opened { epoch, .. } if *epoch > self.epoch => Ok(()),
@@ -147,46 +147,47 @@
         }
     }
 
-    /// Yields the epoch of the last opening; 0 where the shard was never opened.
+    /// Returns the epoch of the last opening; 0 if the shard was never opened.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Yields the VM that opened the shard last.
+    /// Returns the VM that opened the shard last.
     #[must_use]
     pub fn owner(&self) -> Option<&id::Vm> {
         self.owner.as_ref()
     }
 
-    /// Yields the VMs that may hold that owner's pending batches: those that it named last and
-    /// those before, as it can't tell when the last naming lands.
+    /// Returns the VMs that may hold the current owner's pending batches: the holders of the last
+    /// change and those before it, because the owner can't tell when the last change takes effect
+    /// in the journal.
     #[must_use]
     pub fn copies(&self) -> &[Holder] {
         &self.copies
     }
 
-    /// Looks a program up.
+    /// Returns a program by its name.
     #[must_use]
     pub fn program(&self, id: &id::Program) -> Option<&Program> {
         let index = self.find(id).ok()?;
         Some(&self.programs[index])
     }
 
-    /// Walks the programs by name, ended ones among them.
+    /// Iterates over all programs, including ended ones, sorted by name.
     pub fn programs(&self) -> impl Iterator<Item = &Program> {
         self.programs.iter().map(Box::as_ref)
     }
 
-    /// Yields the digest of a turn's content: its new messages after the program's history. The
-    /// same content in another program yields the same digest.
+    /// Returns the digest of a turn's content: the program's history followed by the turn's new
+    /// messages. The same content in another program has the same digest.
     #[must_use]
     pub fn content_digest(&self, id: &id::Program, digest: id::Digest) -> id::Digest {
         let chain = self.program(id).map_or(id::Digest(0), |p| p.chain);
         chain_digest(chain, digest)
     }
 
-    /// Yields the endpoints that crashed on a content.
+    /// Returns the endpoints that crashed on this content.
     #[must_use]
     pub fn crashed_endpoints(&self, content: id::Digest) -> &[id::Endpoint] {
         match self.find_blame(content) {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Tells whether a content is refused for good.
+    /// Returns whether this content is permanently refused.
     #[must_use]
     pub fn is_poisoned(&self, content: id::Digest) -> bool {
         self.crashed_endpoints(content).len() >= POISON_THRESHOLD
@@ -224,8 +225,9 @@
         }
     }
 
-    /// Adds the turn, and clears the content of a crash that it was blamed for: it has run whole,
-    /// so what crashed was something else that ran beside it.
+    /// Adds the turn. Unless the content is already refused, also clears it of earlier blame: it
+    /// has now run to completion, so a crash was caused by something else that ran at the same
+    /// time.
     fn commit(&mut self, id: &id::Program, record: &Record) {
         let Ok(index) = self.find(id) else { return };
         let digest = self.programs[index].running.as_ref().map(|r| r.digest);
--- a/crates/journal/src/state/tests.rs
+++ b/crates/journal/src/state/tests.rs
@@ -32,8 +32,8 @@
 
 #[test]
 fn a_journal_that_does_not_fit_is_reported() {
-    // An operator restores the platform from a mixture of two backups. The new owner must not
-    // serve a history that was pieced together from both.
+    // An operator restores the platform from a mixture of two backups. The new owner must not serve
+    // a history combined from both.
     let twice = State::rebuild(&[opened(1), created("a"), created("a")]);
     assert!(matches!(twice, Err(Mismatch::Exists(_))));
     let back = State::rebuild(&[opened(2), opened(2)]);
@@ -49,8 +49,9 @@
 
 #[test]
 fn holders_named_before_are_asked_until_the_second_naming() {
-    // The naming of new holders is on its way when the platform goes down, and lands while batches
-    // are still held by the earlier ones. A claimer that asked the new ones alone would miss them.
+    // A change of the holders is being written when the platform goes down, and it takes effect
+    // while the previous holders still hold batches. A claimer that asked only the new holders
+    // would miss those batches.
     let holder = |name: &str| Holder {
         vm: id::Vm::parse(name).unwrap(),
         incarnation: 1,
--- a/crates/journal/tests/fuzz/main.rs
+++ b/crates/journal/tests/fuzz/main.rs
@@ -1,6 +1,6 @@
-//! A state machine test of gate, state, log, claim, snapshot and copies together: three VMs own
-//! one shard in turn, over a platform with faults, against an oracle of what callers were told and
-//! what endpoints ran.
+//! A state machine test of decision, state, log, claim, snapshot and copies together. Three VMs own
+//! one shard in turn, on a platform with injected faults. An oracle checks what callers were told
+//! against what endpoints ran.
 //!
 //! `cargo test -p journal --test fuzz` runs 256 cases of up to 120 steps from a fixed seed;
 //! `PROPTEST_CASES=20000 cargo test --release -p journal --test fuzz` is a longer run.
@@ -19,45 +19,45 @@
 use owner::Then;
 use world::World;
 
-/// VMs.
+/// The number of VMs.
 const VMS: usize = 3;
 
-/// One step. Steps that don't fit the moment (a dead VM is killed, say) do nothing.
+/// One step. A step that doesn't apply at the moment (killing a dead VM, for example) does nothing.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A VM tries to take the shard over.
+    /// A VM tries to take over the shard.
     Claim(usize),
-    /// A caller asks for a turn of a program with one of some contents.
+    /// A caller requests a turn of a program with one of several contents.
     Ask(usize, usize, u64),
-    /// A caller asks again for a turn that was committed.
+    /// A caller requests a committed turn again.
     Again(usize, usize),
-    /// An engine answers an attempt, having generated so many parts of the reservation in 4.
+    /// An engine answers an attempt, having generated this many quarters of the reservation.
     Answer(usize, u64),
-    /// An engine fails an attempt, which goes on elsewhere or is given up.
+    /// An engine fails an attempt, which is retried elsewhere or abandoned.
     Fail(usize, Then),
-    /// A caller asks for a call under one of some keys, with one of some contents.
+    /// A caller requests a call under one of several keys, with one of several contents.
     Order(usize, usize, u64),
-    /// A service answers a call, refuses it before it runs, or its answer is lost.
+    /// A service answers a call, refuses it before running it, or its response is lost.
     Called(usize, u8),
-    /// The owner snapshots.
+    /// The owner writes a snapshot.
     Snapshot(usize),
-    /// The owner names the VMs that hold copies as they are now.
+    /// The owner updates the copy holders to the current VMs.
     Rename(usize),
-    /// The platform plays a fault on a write.
+    /// The platform injects a fault into a write.
     Play(platform::memory::Play),
-    /// The platform's delayed writes land.
+    /// The platform's delayed writes take effect.
     Deliver,
-    /// The platform is down for all, or for one VM.
+    /// The platform goes down or comes back for all VMs, or (below) for one VM.
     Down(bool),
     Cut(usize, bool),
-    /// Every lease lapses.
+    /// All leases expire.
     Lapse,
-    /// A VM is paused or goes on; dies or starts anew; the list of VMs catches up.
+    /// A VM is paused or resumed; (below) it dies or restarts, or the list of VMs is updated.
     Pause(usize, bool),
     Kill(usize),
     Restart(usize),
     List,
-    /// Time passes: waits for a retry end.
+    /// Time passes, so that retry waits end.
     Wait(u64),
 }
 
--- a/crates/journal/tests/fuzz/oracle.rs
+++ b/crates/journal/tests/fuzz/oracle.rs
@@ -1,11 +1,11 @@
-//! What callers were told and what endpoints ran, and whether the two agree.
+//! Records what callers were told and what endpoints ran, and checks that the two agree.
 
 use journal::state::State;
 use wire::chat;
 use wire::code::Ran;
 use wire::id;
 
-/// Tokens that a program may generate.
+/// A program's token budget.
 pub const TOKENS: u64 = 200;
 
 /// An attempt at an engine.
@@ -14,13 +14,13 @@
     pub program: id::Program,
     pub turn: u32,
     pub attempt: id::Attempt,
-    /// The prompt that the engine got, by the texts of its messages.
+    /// The prompt that the engine got, as the texts of its messages.
     pub prompt: Vec<String>,
-    /// Tokens generated; the whole reservation until it is known better.
+    /// The number of generated tokens; the whole reservation until the number is known.
     pub generated: u64,
 }
 
-/// A turn of which a caller got the answer.
+/// A turn whose answer a caller received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
     pub program: id::Program,
@@ -28,12 +28,12 @@
     pub answer: chat::Answer,
 }
 
-/// A call that a service ran.
+/// A call that a service received.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub key: id::Key,
     pub attempt: id::Attempt,
-    /// A service that refused didn't run it.
+    /// Whether the service refused the call and so didn't run it.
     pub refused: bool,
 }
 
@@ -42,16 +42,16 @@
     pub runs: Vec<Run>,
     pub told: Vec<Told>,
     pub calls: Vec<Call>,
-    /// Calls whose outcome a caller got.
+    /// Calls whose outcome a caller received.
     pub called: Vec<(id::Key, id::Attempt)>,
-    /// Attempts whose callers were told whether they ran, before a dispatch.
+    /// Attempts refused before the dispatch, and whether their callers were told that they ran.
     pub refused: Vec<(id::Attempt, Ran)>,
-    /// Attempts whose records surely aren't in the journal, as was said.
+    /// Attempts whose records were reported as certainly absent from the journal.
     pub absent: Vec<id::Attempt>,
 }
 
 impl Oracle {
-    /// Notes an answer that reached a caller.
+    /// Records an answer that reached a caller.
     pub fn tell(&mut self, told: Told) {
         let same = |other: &&Told| other.program == told.program && other.turn == told.turn;
         match self.told.iter().find(same) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Checks what holds at each moment.
+    /// Checks the invariants that hold after each step.
     pub fn check(&self) {
         for (at, call) in self.calls.iter().enumerate() {
             let again = |other: &&Call| other.key == call.key && !other.refused;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Checks a state that was rebuilt after everything.
+    /// Checks a state that was rebuilt at the end.
     pub fn check_rebuilt(&self, state: &State) {
         for told in &self.told {
             let program = state.program(&told.program);
@@ -140,7 +140,7 @@
     }
 }
 
-/// Yields a message's text.
+/// Returns a message's text.
 pub fn text(message: &chat::Message) -> String {
     message.content.as_str().unwrap_or_default().to_owned()
 }
--- a/crates/journal/tests/fuzz/owner.rs
+++ b/crates/journal/tests/fuzz/owner.rs
@@ -1,5 +1,5 @@
-//! The owner of a shard as the node's actor will be: asks the gate, applies, appends, and acts when
-//! the append is durable.
+//! The owner of a shard, modelled on the node's actor: calls the decision functions, applies and
+//! appends their records, and acts when the append is durable.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -37,17 +37,17 @@
 use super::oracle::text;
 use super::world::World;
 
-/// Tokens asked for by each turn; the last turns of a program meet its budget.
+/// Tokens requested for each turn; the last turns of a program reach its budget.
 const WANT: u64 = 70;
-/// The program that calls belong to.
+/// The program that makes the calls.
 const CALLS: usize = 0;
 
 /// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Then {
-    /// A further attempt elsewhere.
+    /// Another attempt elsewhere.
     Retry,
-    /// Nothing.
+    /// No further attempt.
     Stop,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What waits for an append.
+/// A side effect that waits for an append.
 enum Effect {
     None,
     Dispatch(Run),
@@ -71,7 +71,7 @@
     pub state: State,
     pub log: Log,
     waiting: Vec<(Append, Effect)>,
-    /// Attempts at engines that haven't ended, and calls at services.
+    /// Attempts at engines that haven't ended, and (below) calls at services.
     running: Vec<Run>,
     calling: Vec<(id::Key, id::Attempt)>,
     exposed: bool,
@@ -92,17 +92,17 @@
         }
     }
 
-    /// Whether every record that it applied is durable.
+    /// Returns whether every applied record is durable.
     pub fn is_quiet(&self) -> bool {
         self.waiting.is_empty() && !self.dead
     }
 
-    /// Whether something that was told may stand in copies only.
+    /// Returns whether something that a caller was told may exist only in copies.
     pub fn is_exposed(&self) -> bool {
         self.exposed && (self.dead || self.log.status() != Status::Open)
     }
 
-    /// Whether it serves, as far as it knows.
+    /// Returns whether it serves requests, as far as it knows.
     pub fn is_open(&self) -> bool {
         !self.dead && self.log.status() != Status::Lost
     }
@@ -126,7 +126,7 @@
 }
 
 impl World {
-    /// Yields the owner that a VM is as far as it knows.
+    /// Returns the owner on a VM, if the VM believes it owns the shard.
     fn owner(&mut self, vm: usize) -> Option<&mut Owner> {
         if !self.is_running(vm) {
             return None;
@@ -278,7 +278,7 @@
                 ..run.clone()
             };
             owner.put(start.records, Effect::Dispatch(next));
-            // Its engine may still answer, too late.
+            // The old engine may still answer, too late.
             owner.running.push(run.clone());
         } else {
             let used = Some(run.generated);
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Acts on what became durable, or never will be.
+    /// Acts on appends that became durable or failed.
     pub fn act(&mut self, vm: usize) {
         if !self.is_running(vm) {
             return;
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Picks something at an owner that runs, in any VM.
+    /// Picks an item of an active owner on any VM.
     fn pick(&mut self, pick: usize, count: impl Fn(&Owner) -> usize) -> Option<(usize, usize)> {
         let mut all = Vec::new();
         for vm in 0..self.vms.len() {
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -1,4 +1,4 @@
-//! The VMs, the platform between them and the steps.
+//! The simulated VMs, the platform that they share, and the steps.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -34,11 +34,11 @@
 use super::oracle::Oracle;
 use super::owner::Owner;
 
-/// How long leases last.
+/// The duration of leases.
 const LEASE: Millis = Millis::new(5_000);
-/// Turns of the scheduler that let everything run that needn't wait for time.
+/// The number of scheduler yields after which every task that doesn't wait for time has run.
 const TURNS: usize = 30;
-/// What a VM holds for others, in bytes.
+/// How many bytes of copies a VM holds for other VMs.
 const ROOM: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,11 +48,11 @@
     Dead,
 }
 
-/// What other VMs see of a VM.
+/// The part of a VM that other VMs can reach.
 struct Public {
     mode: watch::Receiver<Mode>,
     store: Store,
-    /// The logs that it has or had, by epoch.
+    /// The logs that the VM has or had, with their epochs.
     logs: Vec<(u64, Log)>,
 }
 
@@ -78,7 +78,7 @@
     pub vms: Vec<Vm>,
     pub oracle: Oracle,
     draws: u64,
-    /// Deaths since the last moment at which all that was told stood in the journal.
+    /// Deaths since everything that was told was last in the journal.
     deaths: u32,
     opened: u64,
 }
@@ -134,7 +134,7 @@
         (vm, public)
     }
 
-    /// Picks a VM that thinks it owns the shard, where there is one.
+    /// Picks a VM that believes it owns the shard, if there is one.
     fn some(&self, pick: usize) -> usize {
         let owners = (0..VMS).filter(|vm| self.is_running(*vm) && self.vms[*vm].is_owner());
         let owners: Vec<usize> = owners.collect();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Lets tasks run, then lets owners act on what became durable.
+    /// Lets tasks run, then lets owners act on the appends that became durable.
     pub async fn settle(&mut self) {
         for _ in 0..3 {
             for _ in 0..TURNS {
@@ -183,7 +183,7 @@
                 self.act(vm);
             }
         }
-        // A node forgets a shard that it has lost.
+        // A node drops a shard that it has lost.
         for public in self.publics.lock().unwrap().iter_mut() {
             public.logs.retain(|(_, log)| log.status() != Status::Lost);
         }
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Heals everything, and checks what a new owner reads against what was told.
+    /// Repairs all faults, and checks the state that a new owner reads against what callers were
+    /// told.
     pub async fn finish(&mut self) {
         self.memory.set_down(false);
         self.memory.deliver();
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Has a VM take over, which must work once everything is healed.
+    /// Makes a VM take over, which must succeed once all faults are repaired.
     async fn take_over(&mut self, vm: usize) -> u64 {
         for _ in 0..20 {
             self.time.fetch_add(LEASE.as_u64() + 1, Ordering::SeqCst);
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Yields the holders of a VM's copies as they are now.
+    /// Returns the current holders of a VM's copies.
     pub fn holders(&self, vm: usize) -> Vec<Holder> {
         let publics = self.publics.lock().unwrap();
         let others = (0..VMS).filter(|other| *other != vm);
@@ -306,8 +307,8 @@
         self.vms[vm].owner = Some(Owner::new(opened));
     }
 
-    /// Compares a rebuilt state with the one that the last owner holds, where that one has nothing
-    /// on the way.
+    /// Compares a rebuilt state with the state of the previous owner, if that owner has no pending
+    /// appends.
     fn compare(&self, opened: &claim::Opened) {
         let owners = self.vms.iter().filter_map(|vm| vm.owner.as_ref());
         for owner in owners {
@@ -340,7 +341,7 @@
         }
     }
 
-    /// Whether something that a caller was told stands in copies only.
+    /// Returns whether something that a caller was told exists only in copies.
     fn is_exposed(&self) -> bool {
         let owners = self.vms.iter().filter_map(|vm| vm.owner.as_ref());
         let mut exposed = owners.filter(|owner| owner.is_exposed());
@@ -354,7 +355,7 @@
         }
         self.deaths += 1;
         self.vms[vm].mode.send_replace(Mode::Dead);
-        // What the owner had exposed stays exposed until another opens.
+        // What the owner had told remains exposed until another VM opens the shard.
         if let Some(owner) = &mut self.vms[vm].owner {
             owner.die();
         }
@@ -404,7 +405,7 @@
     std::future::pending::<()>().await;
 }
 
-/// The platform as one VM reaches it.
+/// The platform as seen by one VM.
 struct Edge {
     memory: Memory,
     mode: watch::Receiver<Mode>,
@@ -479,7 +480,7 @@
     }
 }
 
-/// The other VMs as one VM reaches them.
+/// The other VMs as seen by one VM.
 struct Net {
     vm: usize,
     mode: watch::Receiver<Mode>,
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Appends, snapshots and takeovers over a platform in memory, one failure at a time.
+//! Appends, snapshots and takeovers on an in-memory platform, one failure per test.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,17 +32,17 @@
 use wire::code::Ran;
 use wire::id;
 
-/// A centre whose VMs answer claimers with fixed batches, and hold none.
+/// Peers that return fixed batches to claimers and don't hold any.
 #[derive(Default)]
 struct Fixed {
     held: Vec<copy::Batch>,
-    /// An owner that appends once more before the first answer.
+    /// An owner that appends once more before the first response.
     owner: Option<Log>,
-    /// What this VM keeps of lost shards.
+    /// The batches of lost shards that this VM keeps.
     kept: Arc<Mutex<Vec<copy::Batch>>>,
 }
 
-/// The incarnation of each VM.
+/// The incarnation of every VM.
 const INCARNATION: u64 = 7;
 
 #[async_trait]
@@ -111,7 +111,7 @@
     claim::open(setup, lease).await
 }
 
-/// Removes the ownership record, as the end of its lease does.
+/// Removes the ownership record, as the expiry of its lease does.
 async fn lapse(memory: &Memory) {
     put(memory, vec![Write::Delete(key::owner(&shard()))]).await;
 }
@@ -153,7 +153,7 @@
     assert_eq!(append.await, Ok(Durable::Journal));
 }
 
-/// Snapshots and waits for the index to be set and the covered keys to be gone.
+/// Writes a snapshot and waits until its index is set and the covered keys are removed.
 async fn snapshot(memory: &Memory, opened: &Opened) {
     opened.log.snapshot(Image::of(&opened.state));
     loop {
@@ -167,8 +167,9 @@
 
 #[tokio::test]
 async fn a_patient_record_goes_along_where_the_budget_is_short() {
-    // A VM has used half of its write budget up. Turns end and others begin: were each end written
-    // at once, the starts would wait for the budget, and with them the first tokens.
+    // A VM has used half of its write budget, while turns end and others start. If each end were
+    // written immediately, the starts would wait for the budget, and so would the first tokens of
+    // the answers.
     let memory = Memory::default();
     let rate = Rate {
         reads: 1_000,
@@ -197,7 +198,7 @@
 
 #[tokio::test]
 async fn appends_that_arrive_during_one_share_the_next_write() {
-    // A hundred callers finish turns at once on a platform that takes several hundred writes a
+    // A hundred callers finish turns at once, on a platform that takes several hundred writes per
     // second from the whole fleet.
     let memory = Memory::default();
     let opened = open(&memory, "a").await.unwrap();
@@ -231,8 +232,8 @@
 #[case::delayed(Play::Delay)]
 #[tokio::test(start_paused = true)]
 async fn an_append_of_unknown_outcome_lands_once(#[case] play: Play) {
-    // The platform takes the write, or loses it, or takes it later, and the answer never comes.
-    // The owner sends the same bytes until the key holds them.
+    // The platform performs the write, loses it, or performs it later, and the response never
+    // comes. The owner sends the same bytes until the key holds them.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     memory.play(play);
@@ -253,8 +254,8 @@
 
 #[tokio::test]
 async fn a_paused_owner_that_wakes_up_appends_nothing() {
-    // An owner is paused past its lease, another VM takes over, and the first wakes up with a
-    // turn to commit. Its append is refused, and that turn surely isn't in the journal.
+    // An owner is paused beyond its lease and another VM takes over. The first owner wakes up with
+    // a turn to commit. Its append is refused, and the turn is certainly not in the journal.
     let memory = Memory::default();
     let stale = open(&memory, "a").await.unwrap();
     assert!(matches!(
@@ -272,8 +273,9 @@
 
 #[tokio::test]
 async fn a_paused_owner_whose_keys_are_gone_appends_nothing() {
-    // As above, but the new owner has snapshotted meanwhile and removed the journal keys that the
-    // paused one would run into. Its next key is absent again; the index tells it.
+    // As in the test above, but the new owner has also written a snapshot and removed the journal
+    // keys that would block the paused owner. The paused owner's next key is absent again; the
+    // changed index makes its append fail.
     let memory = Memory::default();
     let stale = open(&memory, "a").await.unwrap();
     lapse(&memory).await;
@@ -332,8 +334,8 @@
 
 #[tokio::test]
 async fn an_owner_that_dies_before_its_index_leaves_the_journal_whole() {
-    // The owner dies with its image half written. The next one reads the journal, and its own
-    // first image takes the leftovers away.
+    // The owner dies with its image half written. The next owner reads the journal, and its own
+    // first image removes the leftover chunks.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     add(&mut opened, "p").await;
@@ -357,8 +359,8 @@
 
 #[tokio::test]
 async fn an_owner_that_dies_before_the_removal_leaves_keys_that_go_later() {
-    // The owner dies between the index and the removal of the covered keys. The next one begins
-    // with the image, and its own next image takes the old keys away.
+    // The owner dies between setting the index and removing the covered keys. The next owner starts
+    // from the image, and its own next image removes the old keys.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     add(&mut opened, "p").await;
@@ -429,8 +431,8 @@
 
 #[tokio::test]
 async fn pending_batches_follow_what_the_old_owner_appended_last() {
-    // The old owner is cut off, copies a turn, and before that appended another one that the
-    // claimer hadn't read yet. Both turns were answered, and neither may be lost.
+    // The old owner is cut off and sends a copy of a turn. Before that it appended another turn
+    // that the claimer hadn't read yet. Both turns were answered, and neither may be lost.
     let memory = Memory::default();
     let old = open(&memory, "a").await.unwrap();
     lapse(&memory).await;
@@ -446,8 +448,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_owner_that_steps_down_calls_nothing_absent_that_it_hands_over() {
-    // A claimer asks the old owner while an intent is on its way. The claimer writes what it gets,
-    // so the old owner must not tell its caller that the intent isn't in the journal.
+    // A claimer asks the old owner to step down while an intent is being written. The claimer
+    // writes the batches that it gets, so the old owner must not tell its caller that the intent
+    // isn't in the journal.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     add(&mut opened, "p").await;
@@ -472,8 +475,8 @@
     #[case] epoch: u64,
     #[case] taken: bool,
 ) {
-    // A VM that was thought gone when the second owner took over is back, and still holds a batch
-    // of the first. The third owner must not put it behind the second one's.
+    // A VM that was considered gone when the second owner took over is back and still holds a batch
+    // of the first owner. The third owner must not append that batch after the second owner's.
     let memory = Memory::default();
     for vm in ["a", "b"] {
         open(&memory, vm).await.unwrap();
@@ -489,8 +492,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_intent_that_may_have_landed_is_never_called_absent() {
-    // The platform takes an intent and its answer is lost, and then the platform goes down. The
-    // caller is told that the outcome isn't known, as the intent may be in the journal.
+    // The platform writes an intent, its response is lost, and then the platform goes down. The
+    // caller is told that the outcome is unknown, because the intent may be in the journal.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     add(&mut opened, "p").await;
@@ -513,8 +516,8 @@
 
 #[tokio::test]
 async fn what_is_in_line_is_kept_before_anyone_learns_of_the_loss() {
-    // An owner learns at its next append that the shard has another owner. Its node drops the log
-    // then, and what was in line may be the one copy left of an answered turn.
+    // An owner learns from its next append that the shard has another owner. Its node then drops
+    // the log, whose queue may hold the only copy of an answered turn.
     let memory = Memory::default();
     let peers = Fixed::default();
     let kept = Arc::clone(&peers.kept);
