--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -29,82 +29,85 @@
 use wire::id;
 
 /// The response time of the platform.
-const ANSWER: Duration = Duration::from_millis(2);
+const RESPONSE_TIME: Duration = Duration::from_millis(2);
 /// How long each append load is measured.
-const SPAN: Duration = Duration::from_secs(3);
+const MEASURED_TIME: Duration = Duration::from_secs(3);
 /// The size of a turn's question and of its answer in bytes, about 250 tokens each.
-const TEXT: usize = 1_000;
+const TEXT_BYTES: usize = 1_000;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
-    appends().await;
-    programs();
-    rebuilds().await;
+    measure_appends().await;
+    measure_programs();
+    measure_rebuilds().await;
 }
 
-async fn appends() {
-    println!("\nappends of one committed turn of {TEXT} + {TEXT} bytes, platform answers in 2 ms");
+async fn measure_appends() {
+    println!(
+        "\nappends of one committed turn of {TEXT_BYTES} + {TEXT_BYTES} bytes, platform answers in 2 ms"
+    );
     println!("callers  turns/s  writes/s  turns/write  p50 ms  p95 ms  processor us/turn");
     for callers in [1_usize, 8, 32, 256] {
         let memory = Memory::default();
-        let opened = open(&memory, ANSWER).await;
+        let opened = open(&memory, RESPONSE_TIME).await;
         let before = memory.writes();
-        let (start, spent) = (Instant::now(), processor());
+        let (start, cpu_start) = (Instant::now(), cpu_time());
         let tasks: Vec<_> = (0..callers)
-            .map(|caller| tokio::spawn(ask(opened.log.clone(), caller, start)))
+            .map(|caller| tokio::spawn(append_turns(opened.log.clone(), caller, start)))
             .collect();
-        let mut waits = Vec::new();
+        let mut durations = Vec::new();
         for task in tasks {
-            waits.extend(task.await.expect("a caller's task ends"));
+            durations.extend(task.await.expect("a caller's task ends"));
         }
         let seconds = start.elapsed().as_secs_f64();
-        let turns = count(waits.len());
+        let turns = count(durations.len());
         let writes = count(usize::try_from(memory.writes() - before).unwrap_or(usize::MAX));
-        waits.sort();
-        let at = |share: usize| waits[(waits.len() - 1) * share / 100].as_secs_f64() * 1e3;
+        durations.sort();
+        let percentile =
+            |share: usize| durations[(durations.len() - 1) * share / 100].as_secs_f64() * 1e3;
         println!(
             "{callers:7}  {:7.0}  {:8.0}  {:11.1}  {:6.2}  {:6.2}  {:17.1}",
             turns / seconds,
             writes / seconds,
             turns / writes,
-            at(50),
-            at(95),
-            spent_since(spent).as_secs_f64() * 1e6 / turns,
+            percentile(50),
+            percentile(95),
+            cpu_time_since(cpu_start).as_secs_f64() * 1e6 / turns,
         );
     }
 }
 
 /// Appends turns one after another for the measured time, and returns how long each append took.
-async fn ask(log: Log, caller: usize, start: Instant) -> Vec<Duration> {
-    let mut waits = Vec::new();
-    while start.elapsed() < SPAN {
-        let asked = Instant::now();
+async fn append_turns(log: Log, caller: usize, start: Instant) -> Vec<Duration> {
+    let mut durations = Vec::new();
+    while start.elapsed() < MEASURED_TIME {
+        let append_start = Instant::now();
         let record = committed(caller, 1, 1);
         log.append(vec![record]).await.expect("the append lands");
-        waits.push(asked.elapsed());
+        durations.push(append_start.elapsed());
     }
-    waits
+    durations
 }
 
-fn programs() {
-    println!("\nstate in memory, programs of 2 turns of {TEXT} + {TEXT} bytes");
+fn measure_programs() {
+    println!("\nstate in memory, programs of 2 turns of {TEXT_BYTES} + {TEXT_BYTES} bytes");
     println!("programs  KB/program  gate+apply us/turn  image MB  image ms");
     for programs in [1_000, 10_000, 100_000] {
-        let before = resident();
+        let before = resident_bytes();
         let mut state = opened_state();
         for program in 0..programs {
             state.apply(&created(program));
-            turn(&mut state, program, 1);
+            run_turn(&mut state, program, 1);
         }
-        let start = processor();
+        let start = cpu_time();
         for program in 0..programs {
-            turn(&mut state, program, 2);
+            run_turn(&mut state, program, 2);
         }
-        let micros = spent_since(start).as_secs_f64() * 1e6 / count(programs);
-        let kilobytes = count(resident().saturating_sub(before)) / 1e3 / count(programs);
-        let start = processor();
+        let micros = cpu_time_since(start).as_secs_f64() * 1e6 / count(programs);
+        let kilobytes = count(resident_bytes().saturating_sub(before)) / 1e3 / count(programs);
+        let start = cpu_time();
         let image = Image::of(&state);
-        let millis = spent_since(start).as_secs_f64() * 1e3;
+        let millis = cpu_time_since(start).as_secs_f64() * 1e3;
         println!(
             "{programs:8}  {kilobytes:10.2}  {micros:18.2}  {:8.1}  {millis:8.1}",
             count(image.size()) / 1e6,
@@ -113,7 +116,7 @@
 }
 
 /// Starts and commits a turn through the decision functions.
-fn turn(state: &mut State, program: usize, number: u32) {
+fn run_turn(state: &mut State, program: usize, number: u32) {
     let attempt = id::Attempt(program as u64 * 100 + u64::from(number));
     let messages = [message("user")];
     let begin = decision::Begin {
@@ -145,31 +148,31 @@
     state.apply(&record.expect("the attempt runs"));
 }
 
-async fn rebuilds() {
+async fn measure_rebuilds() {
     println!("\ntakeover of a shard, platform answers in 2 ms, a turn in each batch");
     println!("batches  from the journal ms (processor)  from an image ms (processor)");
     for batches in [1_000_usize, 10_000] {
         let memory = Memory::default();
         fill(&memory, batches).await;
-        let (start, spent) = (Instant::now(), processor());
-        let opened = open(&memory, ANSWER).await;
-        let journal = since(start, spent);
+        let (start, cpu_start) = (Instant::now(), cpu_time());
+        let opened = open(&memory, RESPONSE_TIME).await;
+        let journal = format_elapsed(start, cpu_start);
         opened.log.snapshot(Image::of(&opened.state));
         while memory
             .read("snapshot/c/0")
             .await
             .is_ok_and(|index| index.is_none())
         {
-            tokio::time::sleep(ANSWER).await;
+            tokio::time::sleep(RESPONSE_TIME).await;
         }
-        let (start, spent) = (Instant::now(), processor());
-        open(&memory, ANSWER).await;
-        let image = since(start, spent);
+        let (start, cpu_start) = (Instant::now(), cpu_time());
+        open(&memory, RESPONSE_TIME).await;
+        let image = format_elapsed(start, cpu_start);
         println!("{batches:7}  {journal:>31}  {image:>28}");
     }
 }
 
-/// Writes programs of one turn each, in two batches per program.
+/// Writes `batches / 2` programs of one turn each, in three batches per program.
 async fn fill(memory: &Memory, batches: usize) {
     let mut opened = open(memory, Duration::ZERO).await;
     for program in 0..batches / 2 {
@@ -187,14 +190,14 @@
     }
 }
 
-async fn open(memory: &Memory, answer: Duration) -> claim::Opened {
+async fn open(memory: &Memory, response_time: Duration) -> claim::Opened {
     let lease = memory.grant(Millis::new(60_000)).await.expect("a lease");
     let setup = Setup {
-        platform: Arc::new(Slow {
+        platform: Arc::new(DelayedPlatform {
             memory: memory.clone(),
-            answer,
+            response_time,
         }),
-        peers: Arc::new(Alone),
+        peers: Arc::new(NoPeers),
         vm: id::Vm::parse("vm").expect("an id"),
         shard: id::Shard {
             centre: id::Centre::parse("c").expect("an id"),
@@ -255,7 +258,7 @@
 fn message(role: &str) -> chat::Message {
     chat::Message {
         role: role.to_owned(),
-        content: Value::from("x".repeat(TEXT)),
+        content: Value::from("x".repeat(TEXT_BYTES)),
         rest: Map::new(),
     }
 }
@@ -270,8 +273,8 @@
 
 fn program_id(program: usize) -> id::Program {
     // Distributes the names evenly, like random names.
-    let spread = id::Digest::of(&program.to_be_bytes()).0;
-    id::Program::parse(&format!("c-{spread:016x}")).expect("an id")
+    let hash = id::Digest::of(&program.to_be_bytes()).0;
+    id::Program::parse(&format!("c-{hash:016x}")).expect("an id")
 }
 
 fn caller() -> id::Caller {
@@ -286,46 +289,46 @@
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
-fn since(start: Instant, spent: Duration) -> String {
+fn format_elapsed(start: Instant, cpu_start: Duration) -> String {
     let wall = start.elapsed().as_millis();
-    format!("{wall} ({})", spent_since(spent).as_millis())
+    format!("{wall} ({})", cpu_time_since(cpu_start).as_millis())
 }
 
-fn spent_since(start: Duration) -> Duration {
-    processor().saturating_sub(start)
+fn cpu_time_since(start: Duration) -> Duration {
+    cpu_time().saturating_sub(start)
 }
 
 /// Returns the CPU time of this thread; zero if the system doesn't provide it.
-fn processor() -> Duration {
+fn cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text.split(' ').next().and_then(|nanos| nanos.parse().ok());
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
 /// Returns the resident memory of the process in bytes; 0 if the system doesn't provide it.
-fn resident() -> usize {
-    const PAGE: usize = 4_096;
+fn resident_bytes() -> usize {
+    const PAGE_BYTES: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
-    pages.unwrap_or(0_usize) * PAGE
+    pages.unwrap_or(0_usize) * PAGE_BYTES
 }
 
 /// A platform with a delay before each response.
-struct Slow {
+struct DelayedPlatform {
     memory: Memory,
-    answer: Duration,
+    response_time: Duration,
 }
 
-impl Slow {
+impl DelayedPlatform {
     async fn wait(&self) {
-        if !self.answer.is_zero() {
-            tokio::time::sleep(self.answer).await;
+        if !self.response_time.is_zero() {
+            tokio::time::sleep(self.response_time).await;
         }
     }
 }
 
 #[async_trait]
-impl Platform for Slow {
+impl Platform for DelayedPlatform {
     async fn range(
         &self,
         prefix: &str,
@@ -372,10 +375,10 @@
 }
 
 /// A centre with a single VM.
-struct Alone;
+struct NoPeers;
 
 #[async_trait]
-impl copy::Peers for Alone {
+impl copy::Peers for NoPeers {
     async fn hold(
         &self,
         _holder: &copy::Holder,
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -259,7 +259,10 @@
             continue;
         }
         if batch.seq > loaded.next {
-            let gap = format!("pending batch {} after {}", batch.seq, loaded.next);
+            let gap = format!(
+                "found pending batch {}, expected {}",
+                batch.seq, loaded.next
+            );
             log::error!("{} shard={} lost: {gap}", Event::ShardClaimed, setup.shard);
             return Ok(());
         }
--- a/crates/journal/src/decision.rs
+++ b/crates/journal/src/decision.rs
@@ -86,7 +86,10 @@
     if now.since(program.touched) <= program.idle {
         return Ok(());
     }
-    let detail = format!("the longest pause is {}", program.idle);
+    let detail = format!(
+        "the longest allowed pause between turns is {}",
+        program.idle
+    );
     Err(Refusal::new(Code::IdleExpired, &detail))
 }
 
--- a/crates/journal/src/decision/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -10,7 +10,7 @@
 use crate::record::Outcome;
 
 const TOKENS: u64 = 100;
-const IDLE: u64 = 1_000;
+const IDLE_MS: u64 = 1_000;
 
 fn program() -> id::Program {
     id::Program::parse("p").unwrap()
@@ -52,24 +52,24 @@
     apply(state, &[opened]);
 }
 
-fn fresh() -> State {
+fn state_with_program() -> State {
     let mut state = State::default();
     reopen(&mut state);
-    let ask = Create {
+    let request = Create {
         program: &program(),
         caller: &caller(),
         tokens: TOKENS,
         turns: 2,
-        idle: Millis::new(IDLE),
+        idle: Millis::new(IDLE_MS),
         now: Millis::ZERO,
     };
-    let record = create(&state, &ask).unwrap().unwrap();
+    let record = create(&state, &request).unwrap().unwrap();
     apply(&mut state, &[record]);
     state
 }
 
 #[derive(Clone, Copy)]
-struct Asked {
+struct TurnRequest {
     turn: Option<u32>,
     digest: u64,
     want: u64,
@@ -77,7 +77,7 @@
     now: u64,
 }
 
-const FIRST: Asked = Asked {
+const FIRST_TURN: TurnRequest = TurnRequest {
     turn: Some(1),
     digest: 1,
     want: 10,
@@ -85,31 +85,31 @@
     now: 0,
 };
 
-fn ask(state: &State, asked: Asked) -> Result<Turn<'_>> {
-    let begun = Begin {
+fn request_turn(state: &State, request: TurnRequest) -> Result<Turn<'_>> {
+    let begin_request = Begin {
         program: &program(),
         caller: &caller(),
-        turn: asked.turn,
+        turn: request.turn,
         messages: &[message("q")],
-        digest: id::Digest(asked.digest),
-        want: asked.want,
-        attempt: id::Attempt(asked.attempt),
+        digest: id::Digest(request.digest),
+        want: request.want,
+        attempt: id::Attempt(request.attempt),
         endpoint: None,
-        now: Millis::new(asked.now),
+        now: Millis::new(request.now),
     };
-    begin(state, &begun)
+    begin(state, &begin_request)
 }
 
-fn start(state: &mut State, asked: Asked) -> Start {
-    let Turn::Start(start) = ask(state, asked).unwrap() else {
-        panic!("doesn't start");
+fn start_turn(state: &mut State, request: TurnRequest) -> Start {
+    let Turn::Start(start) = request_turn(state, request).unwrap() else {
+        panic!("the turn or call isn't started");
     };
     apply(state, &start.records);
     start
 }
 
-fn finish(state: &mut State, attempt: u64, used: u64) {
-    let done = Commit {
+fn commit_turn(state: &mut State, attempt: u64, used: u64) {
+    let answered = Commit {
         program: &program(),
         attempt: id::Attempt(attempt),
         messages: vec![message("q")],
@@ -122,12 +122,12 @@
         endpoint: &endpoint("runner-1"),
         now: Millis::ZERO,
     };
-    let record = commit(state, done).unwrap().unwrap();
+    let record = commit(state, answered).unwrap().unwrap();
     apply(state, &[record]);
 }
 
-fn order(state: &State, digest: u64, status: Status) -> Result<Call<'_>> {
-    let asked = Intend {
+fn request_call(state: &State, digest: u64, status: Status) -> Result<Call<'_>> {
+    let request = Intend {
         program: &program(),
         caller: &caller(),
         key: &key(),
@@ -136,80 +136,83 @@
         now: Millis::ZERO,
         status,
     };
-    intend(state, &asked)
+    intend(state, &request)
 }
 
-fn ordered() -> State {
-    let mut state = fresh();
-    let Call::Start(records) = order(&state, 1, Status::Open).unwrap() else {
-        panic!("doesn't start");
+fn state_with_intent() -> State {
+    let mut state = state_with_program();
+    let Call::Start(records) = request_call(&state, 1, Status::Open).unwrap() else {
+        panic!("the turn or call isn't started");
     };
     apply(&mut state, &records);
     state
 }
 
-fn outcome(state: &mut State, result: Outcome) {
+fn record_outcome(state: &mut State, result: Outcome) {
     let record = resolve(state, &program(), &key(), id::Attempt(7), result).unwrap();
     apply(state, &[record]);
 }
 
 #[rstest]
-#[case::past_the_next(Asked { turn: Some(3), ..FIRST }, Code::WrongTurn)]
-#[case::zero(Asked { turn: Some(0), ..FIRST }, Code::WrongTurn)]
-#[case::committed_with_other_content(Asked { digest: 9, ..FIRST }, Code::TurnConflict)]
-#[case::too_late(Asked { turn: Some(2), now: IDLE + 1, ..FIRST }, Code::IdleExpired)]
-fn refuses_after_one_turn(#[case] asked: Asked, #[case] code: Code) {
-    let mut state = fresh();
-    start(&mut state, FIRST);
-    finish(&mut state, 1, 5);
-    let refusal = ask(&state, asked).unwrap_err();
+#[case::beyond_the_next(TurnRequest { turn: Some(3), ..FIRST_TURN }, Code::WrongTurn)]
+#[case::zero(TurnRequest { turn: Some(0), ..FIRST_TURN }, Code::WrongTurn)]
+#[case::committed_with_other_content(TurnRequest { digest: 9, ..FIRST_TURN }, Code::TurnConflict)]
+#[case::idle_limit_passed(TurnRequest { turn: Some(2), now: IDLE_MS + 1, ..FIRST_TURN }, Code::IdleExpired)]
+fn is_refused_after_one_turn(#[case] request: TurnRequest, #[case] code: Code) {
+    let mut state = state_with_program();
+    start_turn(&mut state, FIRST_TURN);
+    commit_turn(&mut state, 1, 5);
+    let refusal = request_turn(&state, request).unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (code, Ran::No));
 }
 
 #[test]
 fn a_running_turn_is_joined_and_a_committed_one_replayed() {
-    let mut state = fresh();
-    start(&mut state, FIRST);
-    let again = Asked {
+    let mut state = state_with_program();
+    start_turn(&mut state, FIRST_TURN);
+    let again = TurnRequest {
         attempt: 2,
-        ..FIRST
+        ..FIRST_TURN
     };
     assert!(matches!(
-        ask(&state, again),
+        request_turn(&state, again),
         Ok(Turn::Join {
             attempt: id::Attempt(1),
             ..
         })
     ));
-    let unnumbered = Asked {
+    let unnumbered = TurnRequest {
         turn: None,
         ..again
     };
-    assert!(matches!(ask(&state, unnumbered), Ok(Turn::Join { .. })));
-    finish(&mut state, 1, 5);
-    let Ok(Turn::Replay { answer, .. }) = ask(&state, again) else {
-        panic!("isn't replayed");
+    assert!(matches!(
+        request_turn(&state, unnumbered),
+        Ok(Turn::Join { .. })
+    ));
+    commit_turn(&mut state, 1, 5);
+    let Ok(Turn::Replay { answer, .. }) = request_turn(&state, again) else {
+        panic!("the committed turn isn't replayed");
     };
     assert_eq!(answer.message, message("answer 1"));
 }
 
 #[test]
-fn the_turn_limit_holds() {
-    let mut state = fresh();
+fn the_turn_limit_is_enforced() {
+    let mut state = state_with_program();
     for turn in 1..=2 {
-        let asked = Asked {
+        let request = TurnRequest {
             turn: Some(turn),
             attempt: u64::from(turn),
-            ..FIRST
+            ..FIRST_TURN
         };
-        start(&mut state, asked);
-        finish(&mut state, u64::from(turn), 5);
+        start_turn(&mut state, request);
+        commit_turn(&mut state, u64::from(turn), 5);
     }
-    let refusal = ask(
+    let refusal = request_turn(
         &state,
-        Asked {
+        TurnRequest {
             turn: None,
-            ..FIRST
+            ..FIRST_TURN
         },
     )
     .unwrap_err();
@@ -217,28 +220,34 @@
 }
 
 #[test]
-fn a_crash_spends_the_reservation_and_the_turn_begins_again() {
+fn a_crash_spends_the_reservation_and_the_turn_can_start_again() {
     // The owner dies while a turn is running. Nobody knows how many tokens the engine generated, so
     // the whole reservation counts as spent. The remaining budget still lets the turn run once
     // more.
-    let mut state = fresh();
-    start(&mut state, Asked { want: 60, ..FIRST });
+    let mut state = state_with_program();
+    start_turn(
+        &mut state,
+        TurnRequest {
+            want: 60,
+            ..FIRST_TURN
+        },
+    );
     reopen(&mut state);
-    let second = start(
+    let second = start_turn(
         &mut state,
-        Asked {
+        TurnRequest {
             want: 60,
             attempt: 2,
-            ..FIRST
+            ..FIRST_TURN
         },
     );
     assert_eq!(second.reserved, 40);
     reopen(&mut state);
-    let refusal = ask(
+    let refusal = request_turn(
         &state,
-        Asked {
+        TurnRequest {
             attempt: 3,
-            ..FIRST
+            ..FIRST_TURN
         },
     )
     .unwrap_err();
@@ -249,8 +258,8 @@
 fn an_answer_of_a_superseded_attempt_is_dropped() {
     // An engine answers after the turn was moved to another engine. Only the later attempt's answer
     // may enter the history.
-    let mut state = fresh();
-    start(&mut state, FIRST);
+    let mut state = state_with_program();
+    start_turn(&mut state, FIRST_TURN);
     let moved = Restart {
         program: &program(),
         ended: id::Attempt(1),
@@ -265,21 +274,21 @@
     apply(&mut state, &start.records);
     assert!(stop(&state, &program(), id::Attempt(1), None).is_none());
     assert!(restart(&state, &moved).unwrap().is_none());
-    finish(&mut state, 2, 5);
+    commit_turn(&mut state, 2, 5);
     assert_eq!(state.program(&program()).unwrap().spent, 8);
 }
 
 #[test]
-fn an_intent_of_a_dead_owner_is_unknown_for_good() {
+fn an_unresolved_intent_of_a_dead_owner_stays_unknown() {
     // The owner dies between the intent and the service's response. The service may have run the
     // call, so the next owner neither sends it again nor says that it didn't run.
-    let mut state = ordered();
+    let mut state = state_with_intent();
     assert_eq!(
-        order(&state, 1, Status::Open),
+        request_call(&state, 1, Status::Open),
         Ok(Call::Join(id::Attempt(7)))
     );
     reopen(&mut state);
-    let refusal = order(&state, 1, Status::Open).unwrap_err();
+    let refusal = request_call(&state, 1, Status::Open).unwrap_err();
     assert_eq!(
         (refusal.code, refusal.ran),
         (Code::OutcomeUnknown, Ran::Unknown)
@@ -288,11 +297,11 @@
 }
 
 #[test]
-fn an_answered_call_is_replayed_also_after_the_end() {
-    let mut state = ordered();
+fn an_answered_call_is_replayed_even_after_the_program_ended() {
+    let mut state = state_with_intent();
     let body = Bytes::from_static(b"done");
-    outcome(&mut state, Outcome::Answered { status: 200, body });
-    let conflict = order(&state, 2, Status::Open).unwrap_err();
+    record_outcome(&mut state, Outcome::Answered { status: 200, body });
+    let conflict = request_call(&state, 2, Status::Open).unwrap_err();
     assert_eq!(conflict.code, Code::KeyConflict);
     let ended = end(
         &state,
@@ -303,7 +312,7 @@
     );
     apply(&mut state, &ended.unwrap());
     assert!(matches!(
-        order(&state, 1, Status::Lost),
+        request_call(&state, 1, Status::Lost),
         Ok(Call::Replay { status: 200, .. })
     ));
     assert!(forget(&state, &program(), Millis::new(5), Millis::new(4)).is_none());
@@ -312,11 +321,14 @@
 
 #[test]
 fn a_call_that_did_not_run_frees_its_key() {
-    let mut state = ordered();
-    outcome(&mut state, Outcome::NotRun);
-    assert!(matches!(order(&state, 2, Status::Open), Ok(Call::Start(_))));
+    let mut state = state_with_intent();
+    record_outcome(&mut state, Outcome::NotRun);
+    assert!(matches!(
+        request_call(&state, 2, Status::Open),
+        Ok(Call::Start(_))
+    ));
     let retry_after = Millis::new(9);
-    let refusal = order(&state, 2, Status::Outage { retry_after }).unwrap_err();
+    let refusal = request_call(&state, 2, Status::Outage { retry_after }).unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::PlatformDown, Ran::No));
     assert_eq!(refusal.retry_after, Some(retry_after));
 }
@@ -325,17 +337,17 @@
 // requested again here. If the caller were told that it didn't run, the caller would send another
 // one, and both would run.
 #[test]
-fn a_lost_log_says_no_of_no_call() {
-    let refusal = order(&fresh(), 1, Status::Lost).unwrap_err();
+fn a_lost_log_never_says_that_a_call_did_not_run() {
+    let refusal = request_call(&state_with_program(), 1, Status::Lost).unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::OwnerLost, Ran::Unknown));
 }
 
 #[test]
-fn the_second_endpoint_that_crashes_condemns_the_content() {
+fn the_second_endpoint_that_crashes_poisons_the_content() {
     // A request crashes its runner, is moved to another runner and crashes that one too. From then
     // on it is refused, also in another program; other content isn't.
-    let mut state = fresh();
-    start(&mut state, FIRST);
+    let mut state = state_with_program();
+    start_turn(&mut state, FIRST_TURN);
     for (name, poisoned) in [("a", false), ("a", false), ("b", true)] {
         let blamed = blame(&state, &program(), id::Digest(1), &endpoint(name));
         assert_eq!(matches!(blamed, Blame::Poisoned(_)), poisoned);
@@ -344,30 +356,42 @@
     }
     let stopped = stop(&state, &program(), id::Attempt(1), None).unwrap();
     apply(&mut state, &[stopped]);
-    assert_eq!(ask(&state, FIRST).unwrap_err().code, Code::Poisoned);
-    assert!(ask(&state, Asked { digest: 2, ..FIRST }).is_ok());
+    assert_eq!(
+        request_turn(&state, FIRST_TURN).unwrap_err().code,
+        Code::Poisoned
+    );
+    assert!(
+        request_turn(
+            &state,
+            TurnRequest {
+                digest: 2,
+                ..FIRST_TURN
+            }
+        )
+        .is_ok()
+    );
 }
 
 #[test]
-fn content_that_runs_whole_is_cleared() {
-    let mut state = fresh();
-    start(&mut state, FIRST);
+fn content_that_runs_to_completion_is_cleared() {
+    let mut state = state_with_program();
+    start_turn(&mut state, FIRST_TURN);
     let Blame::Suspect(records) = blame(&state, &program(), id::Digest(1), &endpoint("a")) else {
-        panic!("condemned at once");
+        panic!("the content is poisoned by the first crash");
     };
     apply(&mut state, &records);
     let content = state.content_digest(&program(), id::Digest(1));
-    finish(&mut state, 1, 1);
+    commit_turn(&mut state, 1, 1);
     assert!(state.crashed_endpoints(content).is_empty());
 }
 
 #[test]
-fn an_ended_program_names_its_holders_until_they_release() {
-    let mut state = fresh();
-    start(&mut state, FIRST);
-    finish(&mut state, 1, 5);
+fn an_ended_program_lists_its_cache_holders_until_they_release() {
+    let mut state = state_with_program();
+    start_turn(&mut state, FIRST_TURN);
+    commit_turn(&mut state, 1, 5);
     assert_eq!(cache_holders(&state).count(), 0);
-    let expired = Millis::new(IDLE + 1);
+    let expired = Millis::new(IDLE_MS + 1);
     assert_eq!(idle_programs(&state, expired).count(), 1);
     let ended = end(&state, &program(), &caller(), Code::IdleExpired, expired);
     apply(&mut state, &ended.unwrap());
@@ -376,22 +400,25 @@
     let record = cache_released(&state, &program(), &endpoint("runner-1")).unwrap();
     apply(&mut state, &[record]);
     assert_eq!(cache_holders(&state).count(), 0);
-    assert_eq!(ask(&state, FIRST).unwrap_err().code, Code::IdleExpired);
+    assert_eq!(
+        request_turn(&state, FIRST_TURN).unwrap_err().code,
+        Code::IdleExpired
+    );
 }
 
 #[test]
 fn another_callers_program_looks_unknown() {
-    let state = fresh();
+    let state = state_with_program();
     let other = id::Caller::parse("other").unwrap();
     let ended = end(&state, &program(), &other, Code::ProgramEnded, Millis::ZERO);
     assert_eq!(ended.unwrap_err().code, Code::UnknownProgram);
 }
 
 #[test]
-fn messages_that_no_key_could_hold_are_refused_before_anything_is_applied() {
-    let state = fresh();
+fn oversized_messages_are_refused_before_anything_is_applied() {
+    let state = state_with_program();
     let long = [message(&"x".repeat(MAX_MESSAGES_BYTES))];
-    let begun = Begin {
+    let begin_request = Begin {
         program: &program(),
         caller: &caller(),
         turn: None,
@@ -402,5 +429,8 @@
         endpoint: None,
         now: Millis::ZERO,
     };
-    assert_eq!(begin(&state, &begun).unwrap_err().code, Code::BodyTooLarge);
+    assert_eq!(
+        begin(&state, &begin_request).unwrap_err().code,
+        Code::BodyTooLarge
+    );
 }
--- a/crates/journal/src/decision/turn.rs
+++ b/crates/journal/src/decision/turn.rs
@@ -162,7 +162,8 @@
         return Err(Refusal::new(Code::TurnLimit, &program.turns.to_string()));
     }
     if record::size(request.messages) > MAX_MESSAGES_BYTES {
-        let detail = format!("a turn's messages have at most {MAX_MESSAGES_BYTES} bytes");
+        let detail =
+            format!("the new messages of a turn may have at most {MAX_MESSAGES_BYTES} bytes");
         return Err(Refusal::new(Code::BodyTooLarge, &detail));
     }
     let reserved = reserve(program.remaining(), request.want)?;
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -78,7 +78,7 @@
     /// journal. The records stay queued, so the state stays valid. The caller must not dispatch the
     /// call, and withdraws it with [`crate::decision::resolve`] and
     /// [`crate::record::Outcome::NotRun`].
-    #[display("the platform doesn't answer, again in {retry_after}")]
+    #[display("the platform doesn't answer; it is tried again within {retry_after}")]
     Withheld {
         /// `No` if the intent is certainly not in the journal, otherwise `Unknown`.
         ran: Ran,
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -1,5 +1,5 @@
 //! The task that owns a log: gathers appends, writes the first batch of the queue, and during an
-//! outage sends the other batches to other VMs for holding.
+//! outage sends copies of the queued batches to other VMs.
 //!
 //! Prevents the failure "owners stop when the platform stops": a platform call that hangs or fails
 //! is only one of several events that the task waits for, so appends continue to be copied.
@@ -64,8 +64,9 @@
     queue: Queue,
     /// The number of the last batch that was formed.
     last_seq: u64,
-    /// Consecutive failures to write the first batch, and (below) to have a batch held.
+    /// Consecutive failures to write the first batch.
     write_failures: u32,
+    /// Consecutive failures to have a batch held by enough VMs.
     hold_failures: u32,
     /// Whether the first batch had been sent before its current send.
     sent_before: bool,
--- a/crates/journal/src/log/task/batch.rs
+++ b/crates/journal/src/log/task/batch.rs
@@ -30,8 +30,8 @@
 
 impl Task {
     /// Forms a batch from the arrivals. While the platform answers, the queue holds one batch at a
-    /// time, so that the next batch gathers what arrives in the meantime. During an outage, the
-    /// same applies to the batch that is being copied.
+    /// time, so that the next batch gathers what arrives in the meantime. During an outage, a batch
+    /// is formed once enough other VMs hold all queued ones, for the same reason.
     pub(super) fn form_batch(&mut self) {
         let may_form = if self.is_open() {
             self.queue.batches.is_empty() && (self.paced || self.arrivals.is_empty())
--- a/crates/journal/src/state/tests.rs
+++ b/crates/journal/src/state/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn programs_stand_in_order_whatever_the_order_of_their_records() {
+fn programs_are_sorted_whatever_the_order_of_their_records() {
     let records = [opened(1), created("c"), created("a"), created("b")];
     let state = State::rebuild(&records).unwrap();
     let ids: Vec<&str> = state.programs().map(|p| p.id.as_str()).collect();
@@ -31,24 +31,24 @@
 }
 
 #[test]
-fn a_journal_that_does_not_fit_is_reported() {
+fn an_inconsistent_journal_is_reported() {
     // An operator restores the platform from a mixture of two backups. The new owner must not serve
     // a history combined from both.
-    let twice = State::rebuild(&[opened(1), created("a"), created("a")]);
-    assert!(matches!(twice, Err(Mismatch::Exists(_))));
-    let back = State::rebuild(&[opened(2), opened(2)]);
-    assert_eq!(back, Err(Mismatch::Epoch(2)));
+    let created_twice = State::rebuild(&[opened(1), created("a"), created("a")]);
+    assert!(matches!(created_twice, Err(Mismatch::Exists(_))));
+    let same_epoch = State::rebuild(&[opened(2), opened(2)]);
+    assert_eq!(same_epoch, Err(Mismatch::Epoch(2)));
     let ended = Record::Ended {
         program: id::Program::parse("b").unwrap(),
         code: Code::ProgramEnded,
         at: Millis::ZERO,
     };
-    let unknown = State::rebuild(&[opened(1), created("a"), ended]);
-    assert!(matches!(unknown, Err(Mismatch::Unknown(_))));
+    let unknown_program = State::rebuild(&[opened(1), created("a"), ended]);
+    assert!(matches!(unknown_program, Err(Mismatch::Unknown(_))));
 }
 
 #[test]
-fn holders_named_before_are_asked_until_the_second_naming() {
+fn previous_holders_are_asked_until_the_second_change() {
     // A change of the holders is being written when the platform goes down, and it takes effect
     // while the previous holders still hold batches. A claimer that asked only the new holders
     // would miss those batches.
@@ -58,7 +58,7 @@
     };
     let (old, new) = ([holder("a"), holder("b")], [holder("b"), holder("c")]);
     let mut state = State::rebuild(&[opened(1)]).unwrap();
-    let mut named = Vec::new();
+    let mut asked = Vec::new();
     for holders in [&old, &old, &new, &new, &new] {
         if let Some(record) = crate::decision::change_copy_holders(&state, holders) {
             state.apply(&record);
@@ -66,7 +66,7 @@
         let vms = state.copies().iter().map(|h| h.vm.as_str().to_owned());
         let mut vms: Vec<String> = vms.collect();
         vms.sort();
-        named.push(vms.concat());
+        asked.push(vms.concat());
     }
-    assert_eq!(named, ["ab", "ab", "abc", "bc", "bc"]);
+    assert_eq!(asked, ["ab", "ab", "abc", "bc", "bc"]);
 }
--- a/crates/journal/tests/fuzz/main.rs
+++ b/crates/journal/tests/fuzz/main.rs
@@ -16,7 +16,7 @@
 use proptest_state_machine::StateMachineTest;
 use proptest_state_machine::prop_state_machine;
 
-use owner::Then;
+use owner::AfterFailure;
 use world::World;
 
 /// The number of VMs.
@@ -28,35 +28,35 @@
     /// A VM tries to take over the shard.
     Claim(usize),
     /// A caller requests a turn of a program with one of several contents.
-    Ask(usize, usize, u64),
+    RequestTurn(usize, usize, u64),
     /// A caller requests a committed turn again.
-    Again(usize, usize),
+    ReplayTurn(usize, usize),
     /// An engine answers an attempt, having generated this many quarters of the reservation.
-    Answer(usize, u64),
+    AnswerTurn(usize, u64),
     /// An engine fails an attempt, which is retried elsewhere or abandoned.
-    Fail(usize, Then),
+    FailTurn(usize, AfterFailure),
     /// A caller requests a call under one of several keys, with one of several contents.
-    Order(usize, usize, u64),
+    RequestCall(usize, usize, u64),
     /// A service answers a call, refuses it before running it, or its response is lost.
-    Called(usize, u8),
+    ResolveCall(usize, u8),
     /// The owner writes a snapshot.
     Snapshot(usize),
     /// The owner updates the copy holders to the current VMs.
-    Rename(usize),
+    ChangeHolders(usize),
     /// The platform injects a fault into a write.
-    Play(platform::memory::Play),
+    InjectFault(platform::memory::Play),
     /// The platform's delayed writes take effect.
-    Deliver,
+    DeliverWrites,
     /// The platform goes down or comes back for all VMs, or (below) for one VM.
-    Down(bool),
-    Cut(usize, bool),
+    SetDown(bool),
+    SetCutOff(usize, bool),
     /// All leases expire.
-    Lapse,
+    ExpireLeases,
     /// A VM is paused or resumed; (below) it dies or restarts, or the list of VMs is updated.
     Pause(usize, bool),
     Kill(usize),
     Restart(usize),
-    List,
+    UpdateMachines,
     /// Time passes, so that retry waits end.
     Wait(u64),
 }
@@ -75,30 +75,30 @@
     fn transitions((): &()) -> BoxedStrategy<Step> {
         use platform::memory::Play;
         let vm = 0..VMS;
-        let play = prop_oneof![
+        let fault = prop_oneof![
             Just(Play::LoseAnswer),
             Just(Play::LoseWrite),
             Just(Play::Delay)
         ];
         prop_oneof![
             10 => vm.clone().prop_map(Step::Claim),
-            20 => (vm.clone(), 0..2usize, 0..3u64).prop_map(|(v, p, c)| Step::Ask(v, p, c)),
-            3 => (vm.clone(), 0..2usize).prop_map(|(v, p)| Step::Again(v, p)),
-            20 => (0..4usize, 0..5u64).prop_map(|(pick, used)| Step::Answer(pick, used)),
-            4 => (0..4usize, any::<bool>()).prop_map(|(pick, on)| Step::Fail(pick, Then::of(u8::from(on)))),
-            14 => (vm.clone(), 0..3usize, 0..8u64).prop_map(|(v, k, c)| Step::Order(v, k, c / 7)),
-            8 => (0..3usize, 0..3u8).prop_map(|(pick, how)| Step::Called(pick, how)),
+            20 => (vm.clone(), 0..2usize, 0..3u64).prop_map(|(v, p, c)| Step::RequestTurn(v, p, c)),
+            3 => (vm.clone(), 0..2usize).prop_map(|(v, p)| Step::ReplayTurn(v, p)),
+            20 => (0..4usize, 0..5u64).prop_map(|(pick, used)| Step::AnswerTurn(pick, used)),
+            4 => (0..4usize, any::<bool>()).prop_map(|(pick, retry)| Step::FailTurn(pick, AfterFailure::from_draw(u8::from(retry)))),
+            14 => (vm.clone(), 0..3usize, 0..8u64).prop_map(|(v, k, c)| Step::RequestCall(v, k, c / 7)),
+            8 => (0..3usize, 0..3u8).prop_map(|(pick, outcome)| Step::ResolveCall(pick, outcome)),
             3 => vm.clone().prop_map(Step::Snapshot),
-            4 => vm.clone().prop_map(Step::Rename),
-            8 => play.prop_map(Step::Play),
-            5 => Just(Step::Deliver),
-            2 => (0..3u8).prop_map(|draw| Step::Down(draw == 0)),
-            6 => (vm.clone(), 0..3u8).prop_map(|(v, draw)| Step::Cut(v, draw == 0)),
-            6 => Just(Step::Lapse),
+            4 => vm.clone().prop_map(Step::ChangeHolders),
+            8 => fault.prop_map(Step::InjectFault),
+            5 => Just(Step::DeliverWrites),
+            2 => (0..3u8).prop_map(|draw| Step::SetDown(draw == 0)),
+            6 => (vm.clone(), 0..3u8).prop_map(|(v, draw)| Step::SetCutOff(v, draw == 0)),
+            6 => Just(Step::ExpireLeases),
             8 => (vm.clone(), 0..3u8).prop_map(|(v, draw)| Step::Pause(v, draw == 0)),
             2 => vm.clone().prop_map(Step::Kill),
             3 => vm.prop_map(Step::Restart),
-            3 => Just(Step::List),
+            3 => Just(Step::UpdateMachines),
             8 => (1..3_000u64).prop_map(Step::Wait),
         ]
         .boxed()
@@ -130,7 +130,7 @@
     fn apply(mut state: Self, (): &(), step: Step) -> Self {
         state.runtime.block_on(async {
             state.world.step(step).await;
-            state.world.settle().await;
+            state.world.run_until_idle().await;
         });
         state
     }
@@ -140,7 +140,7 @@
     }
 
     fn teardown(mut state: Self, (): ()) {
-        state.runtime.block_on(state.world.finish());
+        state.runtime.block_on(state.world.check_final_state());
     }
 }
 
--- a/crates/journal/tests/fuzz/oracle.rs
+++ b/crates/journal/tests/fuzz/oracle.rs
@@ -22,7 +22,7 @@
 
 /// A turn whose answer a caller received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct Answered {
     pub program: id::Program,
     pub turn: u32,
     pub answer: chat::Answer,
@@ -40,31 +40,32 @@
 #[derive(Default)]
 pub struct Oracle {
     pub runs: Vec<Run>,
-    pub told: Vec<Told>,
+    pub answered: Vec<Answered>,
     pub calls: Vec<Call>,
     /// Calls whose outcome a caller received.
-    pub called: Vec<(id::Key, id::Attempt)>,
-    /// Attempts refused before the dispatch, and whether their callers were told that they ran.
+    pub answered_calls: Vec<(id::Key, id::Attempt)>,
+    /// Attempts refused before their dispatch, with what their callers were told about `ran`.
     pub refused: Vec<(id::Attempt, Ran)>,
     /// Attempts whose records were reported as certainly absent from the journal.
-    pub absent: Vec<id::Attempt>,
+    pub reported_absent: Vec<id::Attempt>,
 }
 
 impl Oracle {
     /// Records an answer that reached a caller.
-    pub fn tell(&mut self, told: Told) {
-        let same = |other: &&Told| other.program == told.program && other.turn == told.turn;
-        match self.told.iter().find(same) {
-            Some(other) => assert_eq!(*other, told, "two answers to one turn"),
-            None => self.told.push(told),
+    pub fn note_answer(&mut self, answered: Answered) {
+        let same =
+            |other: &&Answered| other.program == answered.program && other.turn == answered.turn;
+        match self.answered.iter().find(same) {
+            Some(other) => assert_eq!(*other, answered, "two different answers to one turn"),
+            None => self.answered.push(answered),
         }
     }
 
     /// Checks the invariants that hold after each step.
     pub fn check(&self) {
         for (at, call) in self.calls.iter().enumerate() {
-            let again = |other: &&Call| other.key == call.key && !other.refused;
-            let runs = self.calls[at..].iter().filter(again).count();
+            let same_key = |other: &&Call| other.key == call.key && !other.refused;
+            let runs = self.calls[at..].iter().filter(same_key).count();
             assert!(runs <= 1, "{} ran {runs} times", call.key);
         }
         for (attempt, ran) in &self.refused {
@@ -72,7 +73,7 @@
                 || self.calls.iter().any(|call| call.attempt == *attempt);
             assert!(
                 *ran != Ran::No || !dispatched,
-                "told 'no' of {attempt}, which was sent"
+                "answered 'no' of {attempt}, which was sent"
             );
         }
         for run in &self.runs {
@@ -87,14 +88,14 @@
 
     /// Checks a state that was rebuilt at the end.
     pub fn check_rebuilt(&self, state: &State) {
-        for told in &self.told {
-            let program = state.program(&told.program);
-            let turn = program.and_then(|p| p.history.get(told.turn as usize - 1));
+        for answered in &self.answered {
+            let program = state.program(&answered.program);
+            let turn = program.and_then(|p| p.history.get(answered.turn as usize - 1));
             let answer = turn.map(|turn| &turn.answer);
             assert_eq!(
                 answer,
-                Some(&told.answer),
-                "an answered turn is lost: {told:?}"
+                Some(&answered.answer),
+                "an answered turn is lost: {answered:?}"
             );
         }
         for program in state.programs() {
@@ -105,13 +106,16 @@
                     .runs
                     .iter()
                     .find(|run| run.attempt.to_string() == attempt);
-                let run = run.unwrap_or_else(|| panic!("nobody gave the answer {attempt}"));
-                assert_eq!(run.program, program.id, "mixed histories");
+                let run = run.unwrap_or_else(|| panic!("no engine gave the answer {attempt}"));
+                assert_eq!(
+                    run.program, program.id,
+                    "the histories of two programs are mixed"
+                );
                 let before = (run.turn as usize - 1) * 2;
                 assert_eq!(
                     run.prompt[..before],
                     texts[..before],
-                    "the prompt wasn't the history"
+                    "the prompt differs from the history"
                 );
                 assert_eq!(
                     run.prompt[before], texts[before],
@@ -125,7 +129,7 @@
 
     fn check_calls(&self, state: &State) {
         let calls = || state.programs().flat_map(|program| &program.calls);
-        for (key, attempt) in &self.called {
+        for (key, attempt) in &self.answered_calls {
             let known = calls().any(|call| call.key == *key && call.attempt == *attempt);
             assert!(known, "the outcome of {key} is lost");
         }
@@ -133,9 +137,12 @@
             let known = calls().any(|c| c.key == call.key && c.attempt == call.attempt);
             assert!(known, "{} ran without an intent", call.key);
         }
-        for attempt in &self.absent {
-            let landed = calls().any(|call| call.attempt == *attempt);
-            assert!(!landed, "{attempt} was said to be absent from the journal");
+        for attempt in &self.reported_absent {
+            let is_recorded = calls().any(|call| call.attempt == *attempt);
+            assert!(
+                !is_recorded,
+                "{attempt} is in the journal although it was reported as absent"
+            );
         }
     }
 }
--- a/crates/journal/tests/fuzz/owner.rs
+++ b/crates/journal/tests/fuzz/owner.rs
@@ -30,50 +30,50 @@
 use wire::code::Ran;
 use wire::id;
 
+use super::oracle::Answered;
 use super::oracle::Call;
 use super::oracle::Run;
 use super::oracle::TOKENS;
-use super::oracle::Told;
 use super::oracle::text;
 use super::world::World;
 
 /// Tokens requested for each turn; the last turns of a program reach its budget.
-const WANT: u64 = 70;
+const TOKENS_PER_TURN: u64 = 70;
 /// The program that makes the calls.
-const CALLS: usize = 0;
+const CALLING_PROGRAM: usize = 0;
 
 /// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum AfterFailure {
     /// Another attempt elsewhere.
     Retry,
     /// No further attempt.
     Stop,
 }
 
-impl Then {
-    pub fn of(drawn: u8) -> Self {
+impl AfterFailure {
+    pub fn from_draw(drawn: u8) -> Self {
         if drawn == 0 { Self::Stop } else { Self::Retry }
     }
 }
 
 /// A side effect that waits for an append.
-enum Effect {
+enum SideEffect {
     None,
     Dispatch(Run),
-    Tell(Told),
-    Send(id::Key, id::Attempt),
-    Called(id::Key, id::Attempt),
+    TellAnswer(Answered),
+    SendCall(id::Key, id::Attempt),
+    TellOutcome(id::Key, id::Attempt),
 }
 
 pub struct Owner {
     pub epoch: u64,
     pub state: State,
     pub log: Log,
-    waiting: Vec<(Append, Effect)>,
+    waiting: Vec<(Append, SideEffect)>,
     /// Attempts at engines that haven't ended, and (below) calls at services.
     running: Vec<Run>,
-    calling: Vec<(id::Key, id::Attempt)>,
+    running_calls: Vec<(id::Key, id::Attempt)>,
     exposed: bool,
     dead: bool,
 }
@@ -86,14 +86,14 @@
             log: opened.log,
             waiting: Vec::new(),
             running: Vec::new(),
-            calling: Vec::new(),
+            running_calls: Vec::new(),
             exposed: false,
             dead: false,
         }
     }
 
     /// Returns whether every applied record is durable.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_pending_appends(&self) -> bool {
         self.waiting.is_empty() && !self.dead
     }
 
@@ -112,10 +112,10 @@
         self.dead = true;
         self.waiting.clear();
         self.running.clear();
-        self.calling.clear();
+        self.running_calls.clear();
     }
 
-    fn put(&mut self, records: Vec<Record>, effect: Effect) {
+    fn append(&mut self, records: Vec<Record>, effect: SideEffect) {
         for record in &records {
             self.state.check(record).unwrap();
             self.state.apply(record);
@@ -135,8 +135,12 @@
         owner.is_open().then_some(owner)
     }
 
-    pub fn ask(&mut self, vm: usize, program: usize, content: u64) {
-        let (id, now, attempt) = (program_id(program), self.now(), id::Attempt(self.draw()));
+    pub fn request_turn(&mut self, vm: usize, program: usize, content: u64) {
+        let (id, now, attempt) = (
+            program_id(program),
+            self.now(),
+            id::Attempt(self.next_number()),
+        );
         let Some(owner) = self.owner(vm) else { return };
         let create = Create {
             program: &id,
@@ -147,16 +151,16 @@
             now,
         };
         if let Some(record) = decision::create(&owner.state, &create).unwrap() {
-            owner.put(vec![record], Effect::None);
+            owner.append(vec![record], SideEffect::None);
         }
-        let asked = message("user", &format!("question {content}"));
+        let question = message("user", &format!("question {content}"));
         let begin = Begin {
             program: &id,
             caller: &caller(),
             turn: None,
-            messages: std::slice::from_ref(&asked),
+            messages: std::slice::from_ref(&question),
             digest: id::Digest(content),
-            want: WANT,
+            want: TOKENS_PER_TURN,
             attempt,
             endpoint: None,
             now,
@@ -164,14 +168,14 @@
         let start = match decision::begin(&owner.state, &begin) {
             Ok(decision::Turn::Start(start)) => start,
             Ok(decision::Turn::Join { .. }) => return,
-            Ok(decision::Turn::Replay { .. }) => panic!("a next turn was replayed"),
+            Ok(decision::Turn::Replay { .. }) => panic!("the next turn was replayed"),
             Err(refusal) => {
                 self.oracle.refused.push((attempt, refusal.ran));
                 return;
             }
         };
         let mut prompt: Vec<String> = prompt(&owner.state, &id);
-        prompt.push(text(&asked));
+        prompt.push(text(&question));
         let run = Run {
             program: id,
             turn: start.turn,
@@ -179,17 +183,21 @@
             prompt,
             generated: start.reserved,
         };
-        owner.put(start.records, Effect::Dispatch(run));
+        owner.append(start.records, SideEffect::Dispatch(run));
     }
 
-    pub fn again(&mut self, vm: usize, program: usize) {
-        let (id, now, attempt) = (program_id(program), self.now(), id::Attempt(self.draw()));
+    pub fn replay_turn(&mut self, vm: usize, program: usize) {
+        let (id, now, attempt) = (
+            program_id(program),
+            self.now(),
+            id::Attempt(self.next_number()),
+        );
         let Some(owner) = self.owner(vm) else { return };
         let Some(last) = owner.state.program(&id).and_then(|p| p.history.last()) else {
             return;
         };
         // A replayed answer must be durable; the node waits for the turn's own append.
-        if !owner.is_quiet() {
+        if !owner.has_no_pending_appends() {
             return;
         }
         let turn = owner.state.program(&id).unwrap().committed();
@@ -199,7 +207,7 @@
             turn: Some(turn),
             messages: &[],
             digest: last.digest,
-            want: WANT,
+            want: TOKENS_PER_TURN,
             attempt,
             endpoint: None,
             now,
@@ -209,14 +217,14 @@
             panic!("a committed turn isn't replayed");
         };
         let (program, answer) = (id.clone(), answer.clone());
-        self.oracle.tell(Told {
+        self.oracle.note_answer(Answered {
             program,
             turn,
             answer,
         });
     }
 
-    pub fn answer(&mut self, pick: usize, used: u64) {
+    pub fn answer_turn(&mut self, pick: usize, used: u64) {
         let now = self.now();
         let Some((vm, at)) = self.pick(pick, |owner| owner.running.len()) else {
             return;
@@ -224,11 +232,11 @@
         let owner = self.vms[vm].owner.as_mut().unwrap();
         let mut run = owner.running.remove(at);
         run.generated = run.generated * used / 4;
-        let asked = run.prompt.last().unwrap();
+        let question = run.prompt.last().unwrap();
         let commit = Commit {
             program: &run.program,
             attempt: run.attempt,
-            messages: vec![message("user", asked)],
+            messages: vec![message("user", question)],
             answer: chat::Answer {
                 message: message("assistant", &run.attempt.to_string()),
                 finish: "stop".to_owned(),
@@ -241,20 +249,20 @@
         let record = decision::commit(&owner.state, commit).unwrap();
         if let Some(record) = record {
             let Record::Committed { turn, answer, .. } = &record else {
-                panic!("commits with another record");
+                panic!("the commit yields another record");
             };
-            let told = Told {
+            let answered = Answered {
                 program: run.program.clone(),
                 turn: *turn,
                 answer: answer.clone(),
             };
-            owner.put(vec![record], Effect::Tell(told));
-            self.ended(&run);
+            owner.append(vec![record], SideEffect::TellAnswer(answered));
+            self.note_generated(&run);
         }
     }
 
-    pub fn fail(&mut self, pick: usize, then: Then) {
-        let (now, attempt) = (self.now(), id::Attempt(self.draw()));
+    pub fn fail_turn(&mut self, pick: usize, after: AfterFailure) {
+        let (now, attempt) = (self.now(), id::Attempt(self.next_number()));
         let Some((vm, at)) = self.pick(pick, |owner| owner.running.len()) else {
             return;
         };
@@ -265,43 +273,47 @@
             program: &run.program,
             ended: run.attempt,
             used: Some(run.generated),
-            want: WANT,
+            want: TOKENS_PER_TURN,
             attempt,
             endpoint: None,
             now,
         };
         let next = decision::restart(&owner.state, &restart).ok().flatten();
-        if let Some(start) = next.filter(|_| then == Then::Retry) {
+        if let Some(start) = next.filter(|_| after == AfterFailure::Retry) {
             let next = Run {
                 attempt,
                 generated: start.reserved,
                 ..run.clone()
             };
-            owner.put(start.records, Effect::Dispatch(next));
+            owner.append(start.records, SideEffect::Dispatch(next));
             // The old engine may still answer, too late.
             owner.running.push(run.clone());
         } else {
             let used = Some(run.generated);
             let stopped = decision::stop(&owner.state, &run.program, run.attempt, used);
             let Some(stopped) = stopped else { return };
-            owner.put(vec![stopped], Effect::None);
+            owner.append(vec![stopped], SideEffect::None);
         }
-        self.ended(&run);
+        self.note_generated(&run);
     }
 
-    pub fn rename(&mut self, vm: usize) {
+    pub fn change_holders(&mut self, vm: usize) {
         let holders = self.holders(vm);
         let Some(owner) = self.owner(vm) else { return };
         if !owner.log.may_change_holders() {
             return;
         }
         if let Some(record) = decision::change_copy_holders(&owner.state, &holders) {
-            owner.put(vec![record], Effect::None);
+            owner.append(vec![record], SideEffect::None);
         }
     }
 
-    pub fn order(&mut self, vm: usize, key: usize, content: u64) {
-        let (id, now, attempt) = (program_id(CALLS), self.now(), id::Attempt(self.draw()));
+    pub fn request_call(&mut self, vm: usize, key: usize, content: u64) {
+        let (id, now, attempt) = (
+            program_id(CALLING_PROGRAM),
+            self.now(),
+            id::Attempt(self.next_number()),
+        );
         let Some(owner) = self.owner(vm) else { return };
         let key = id::Key::parse(&format!("key-{key}")).unwrap();
         let intend = Intend {
@@ -314,19 +326,21 @@
             status: owner.log.status(),
         };
         match decision::intend(&owner.state, &intend) {
-            Ok(decision::Call::Start(records)) => owner.put(records, Effect::Send(key, attempt)),
+            Ok(decision::Call::Start(records)) => {
+                owner.append(records, SideEffect::SendCall(key, attempt))
+            }
             Ok(decision::Call::Join(_) | decision::Call::Replay { .. }) => {}
             Err(refusal) => self.oracle.refused.push((attempt, refusal.ran)),
         }
     }
 
-    pub fn called(&mut self, pick: usize, how: u8) {
-        let Some((vm, at)) = self.pick(pick, |owner| owner.calling.len()) else {
+    pub fn resolve_call(&mut self, pick: usize, outcome: u8) {
+        let Some((vm, at)) = self.pick(pick, |owner| owner.running_calls.len()) else {
             return;
         };
         let owner = self.vms[vm].owner.as_mut().unwrap();
-        let (key, attempt) = owner.calling.remove(at);
-        let result = match how {
+        let (key, attempt) = owner.running_calls.remove(at);
+        let result = match outcome {
             0 => Outcome::Answered {
                 status: 200,
                 body: Bytes::from(attempt.to_string()),
@@ -334,15 +348,15 @@
             1 => Outcome::NotRun,
             _ => Outcome::Unknown,
         };
-        let effect = match how {
-            0 => Effect::Called(key.clone(), attempt),
-            _ => Effect::None,
+        let effect = match outcome {
+            0 => SideEffect::TellOutcome(key.clone(), attempt),
+            _ => SideEffect::None,
         };
-        let id = program_id(CALLS);
+        let id = program_id(CALLING_PROGRAM);
         if let Some(record) = decision::resolve(&owner.state, &id, &key, attempt, result) {
-            owner.put(vec![record], effect);
+            owner.append(vec![record], effect);
         }
-        if how == 1 {
+        if outcome == 1 {
             let refused = self.oracle.calls.iter_mut().find(|c| c.attempt == attempt);
             refused.unwrap().refused = true;
         }
@@ -369,28 +383,28 @@
         for (result, effect) in ready {
             match result {
                 Ok(durable) => self.perform(vm, durable, effect),
-                Err(fault) => self.refuse(vm, fault, effect),
+                Err(fault) => self.handle_fault(vm, fault, effect),
             }
         }
     }
 
-    fn perform(&mut self, vm: usize, durable: Durable, effect: Effect) {
+    fn perform(&mut self, vm: usize, durable: Durable, effect: SideEffect) {
         let owner = self.vms[vm].owner.as_mut().unwrap();
         let copied = durable == Durable::Copy;
         match effect {
-            Effect::None => {}
-            Effect::Dispatch(run) => {
+            SideEffect::None => {}
+            SideEffect::Dispatch(run) => {
                 owner.exposed |= copied;
                 owner.running.push(run.clone());
                 self.oracle.runs.push(run);
             }
-            Effect::Tell(told) => {
+            SideEffect::TellAnswer(answered) => {
                 owner.exposed |= copied;
-                self.oracle.tell(told);
+                self.oracle.note_answer(answered);
             }
-            Effect::Send(key, attempt) => {
+            SideEffect::SendCall(key, attempt) => {
                 assert!(!copied, "an intent counted in copies");
-                owner.calling.push((key.clone(), attempt));
+                owner.running_calls.push((key.clone(), attempt));
                 let refused = false;
                 self.oracle.calls.push(Call {
                     key,
@@ -398,30 +412,30 @@
                     refused,
                 });
             }
-            Effect::Called(key, attempt) => {
+            SideEffect::TellOutcome(key, attempt) => {
                 owner.exposed |= copied;
-                self.oracle.called.push((key, attempt));
+                self.oracle.answered_calls.push((key, attempt));
             }
         }
     }
 
-    fn refuse(&mut self, vm: usize, fault: Fault, effect: Effect) {
+    fn handle_fault(&mut self, vm: usize, fault: Fault, effect: SideEffect) {
         let owner = self.vms[vm].owner.as_mut().unwrap();
         match (fault, effect) {
-            (Fault::Lost { ran }, Effect::Dispatch(run)) => {
+            (Fault::Lost { ran }, SideEffect::Dispatch(run)) => {
                 self.oracle.refused.push((run.attempt, ran));
             }
-            (Fault::Lost { ran }, Effect::Send(_, attempt)) => {
+            (Fault::Lost { ran }, SideEffect::SendCall(_, attempt)) => {
                 self.oracle.refused.push((attempt, ran));
                 if ran == Ran::No {
-                    self.oracle.absent.push(attempt);
+                    self.oracle.reported_absent.push(attempt);
                 }
             }
-            (Fault::Withheld { ran, .. }, Effect::Send(key, attempt)) => {
+            (Fault::Withheld { ran, .. }, SideEffect::SendCall(key, attempt)) => {
                 self.oracle.refused.push((attempt, ran));
-                let id = program_id(CALLS);
+                let id = program_id(CALLING_PROGRAM);
                 let record = decision::resolve(&owner.state, &id, &key, attempt, Outcome::NotRun);
-                owner.put(vec![record.unwrap()], Effect::None);
+                owner.append(vec![record.unwrap()], SideEffect::None);
             }
             (Fault::Lost { .. }, _) => {}
             (fault, _) => panic!("{fault}"),
@@ -438,7 +452,7 @@
         (!all.is_empty()).then(|| all[pick % all.len()])
     }
 
-    fn ended(&mut self, run: &Run) {
+    fn note_generated(&mut self, run: &Run) {
         let runs = &mut self.oracle.runs;
         let own = runs.iter_mut().find(|other| other.attempt == run.attempt);
         own.unwrap().generated = run.generated;
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -35,11 +35,11 @@
 use super::owner::Owner;
 
 /// The duration of leases.
-const LEASE: Millis = Millis::new(5_000);
+const LEASE_DURATION: Millis = Millis::new(5_000);
 /// The number of scheduler yields after which every task that doesn't wait for time has run.
-const TURNS: usize = 30;
+const SCHEDULER_YIELDS: usize = 30;
 /// How many bytes of copies a VM holds for other VMs.
-const ROOM: usize = 4_096;
+const COPY_LIMIT_BYTES: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
@@ -49,18 +49,18 @@
 }
 
 /// The part of a VM that other VMs can reach.
-struct Public {
+struct SharedVm {
     mode: watch::Receiver<Mode>,
     store: Store,
     /// The logs that the VM has or had, with their epochs.
     logs: Vec<(u64, Log)>,
 }
 
-type Publics = Arc<Mutex<Vec<Public>>>;
+type SharedVms = Arc<Mutex<Vec<SharedVm>>>;
 
 pub struct Vm {
     pub mode: watch::Sender<Mode>,
-    cut: Arc<AtomicBool>,
+    cut_off: Arc<AtomicBool>,
     pub owner: Option<Owner>,
     claiming: Option<JoinHandle<claim::Result<claim::Opened>>>,
 }
@@ -74,13 +74,13 @@
 pub struct World {
     pub memory: Memory,
     time: Arc<AtomicU64>,
-    publics: Publics,
+    shared_vms: SharedVms,
     pub vms: Vec<Vm>,
     pub oracle: Oracle,
-    draws: u64,
+    last_number: u64,
     /// Deaths since everything that was told was last in the journal.
     deaths: u32,
-    opened: u64,
+    last_epoch: u64,
 }
 
 impl World {
@@ -89,25 +89,25 @@
         let mut world = Self {
             memory: Memory::new(Clock::Manual(Arc::clone(&time))),
             time,
-            publics: Arc::default(),
+            shared_vms: Arc::default(),
             vms: Vec::new(),
             oracle: Oracle::default(),
-            draws: 0,
+            last_number: 0,
             deaths: 0,
-            opened: 0,
+            last_epoch: 0,
         };
         for _ in 0..VMS {
-            let (vm, public) = world.start();
+            let (vm, shared) = world.start();
             world.vms.push(vm);
-            world.publics.lock().unwrap().push(public);
+            world.shared_vms.lock().unwrap().push(shared);
         }
-        world.list();
+        world.update_machines();
         world
     }
 
-    pub fn draw(&mut self) -> u64 {
-        self.draws += 1;
-        self.draws
+    pub fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     pub fn now(&self) -> Millis {
@@ -118,24 +118,24 @@
         *self.vms[vm].mode.borrow() == Mode::Run
     }
 
-    fn start(&mut self) -> (Vm, Public) {
+    fn start(&mut self) -> (Vm, SharedVm) {
         let (sender, mode) = watch::channel(Mode::Run);
         let vm = Vm {
             mode: sender,
-            cut: Arc::default(),
+            cut_off: Arc::default(),
             owner: None,
             claiming: None,
         };
-        let public = Public {
+        let shared = SharedVm {
             mode,
-            store: Store::new(self.draw(), ROOM),
+            store: Store::new(self.next_number(), COPY_LIMIT_BYTES),
             logs: Vec::new(),
         };
-        (vm, public)
+        (vm, shared)
     }
 
     /// Picks a VM that believes it owns the shard, if there is one.
-    fn some(&self, pick: usize) -> usize {
+    fn pick_owner(&self, pick: usize) -> usize {
         let owners = (0..VMS).filter(|vm| self.is_running(*vm) && self.vms[*vm].is_owner());
         let owners: Vec<usize> = owners.collect();
         owners
@@ -147,25 +147,30 @@
     pub async fn step(&mut self, step: Step) {
         match step {
             Step::Claim(vm) => self.claim(vm),
-            Step::Ask(pick, program, content) => self.ask(self.some(pick), program, content),
-            Step::Again(pick, program) => self.again(self.some(pick), program),
-            Step::Answer(pick, used) => self.answer(pick, used),
-            Step::Fail(pick, then) => self.fail(pick, then),
-            Step::Order(pick, key, content) => self.order(self.some(pick), key, content),
-            Step::Called(pick, how) => self.called(pick, how),
-            Step::Snapshot(pick) => self.snapshot(self.some(pick)),
-            Step::Rename(pick) => self.rename(self.some(pick)),
-            Step::Play(play) => self.memory.play(play),
-            Step::Deliver => self.memory.deliver(),
-            Step::Down(down) => self.memory.set_down(down),
-            Step::Cut(vm, cut) => self.vms[vm].cut.store(cut, Ordering::SeqCst),
-            Step::Lapse => {
-                self.time.fetch_add(LEASE.as_u64() + 1, Ordering::SeqCst);
+            Step::RequestTurn(pick, program, content) => {
+                self.request_turn(self.pick_owner(pick), program, content)
+            }
+            Step::ReplayTurn(pick, program) => self.replay_turn(self.pick_owner(pick), program),
+            Step::AnswerTurn(pick, used) => self.answer_turn(pick, used),
+            Step::FailTurn(pick, then) => self.fail_turn(pick, then),
+            Step::RequestCall(pick, key, content) => {
+                self.request_call(self.pick_owner(pick), key, content)
+            }
+            Step::ResolveCall(pick, outcome) => self.resolve_call(pick, outcome),
+            Step::Snapshot(pick) => self.snapshot(self.pick_owner(pick)),
+            Step::ChangeHolders(pick) => self.change_holders(self.pick_owner(pick)),
+            Step::InjectFault(fault) => self.memory.play(fault),
+            Step::DeliverWrites => self.memory.deliver(),
+            Step::SetDown(down) => self.memory.set_down(down),
+            Step::SetCutOff(vm, cut_off) => self.vms[vm].cut_off.store(cut_off, Ordering::SeqCst),
+            Step::ExpireLeases => {
+                self.time
+                    .fetch_add(LEASE_DURATION.as_u64() + 1, Ordering::SeqCst);
             }
             Step::Pause(vm, paused) => self.pause(vm, paused),
             Step::Kill(vm) => self.kill(vm),
             Step::Restart(vm) => self.restart(vm),
-            Step::List => self.list(),
+            Step::UpdateMachines => self.update_machines(),
             Step::Wait(millis) => {
                 tokio::time::sleep(Millis::new(millis).as_duration()).await;
             }
@@ -173,9 +178,9 @@
     }
 
     /// Lets tasks run, then lets owners act on the appends that became durable.
-    pub async fn settle(&mut self) {
+    pub async fn run_until_idle(&mut self) {
         for _ in 0..3 {
-            for _ in 0..TURNS {
+            for _ in 0..SCHEDULER_YIELDS {
                 tokio::task::yield_now().await;
             }
             for vm in 0..VMS {
@@ -184,8 +189,8 @@
             }
         }
         // A node drops a shard that it has lost.
-        for public in self.publics.lock().unwrap().iter_mut() {
-            public.logs.retain(|(_, log)| log.status() != Status::Lost);
+        for shared in self.shared_vms.lock().unwrap().iter_mut() {
+            shared.logs.retain(|(_, log)| log.status() != Status::Lost);
         }
         if !self.is_exposed() {
             self.deaths = 0;
@@ -194,69 +199,73 @@
 
     /// Repairs all faults, and checks the state that a new owner reads against what callers were
     /// told.
-    pub async fn finish(&mut self) {
+    pub async fn check_final_state(&mut self) {
         self.memory.set_down(false);
         self.memory.deliver();
         for vm in 0..VMS {
-            self.vms[vm].cut.store(false, Ordering::SeqCst);
+            self.vms[vm].cut_off.store(false, Ordering::SeqCst);
             self.pause(vm, false);
             self.restart(vm);
         }
-        self.list();
-        self.rest().await;
+        self.update_machines();
+        self.let_time_pass().await;
         let first = self.take_over(0).await;
-        self.rest().await;
+        self.let_time_pass().await;
         self.memory.deliver();
-        self.rest().await;
+        self.let_time_pass().await;
         self.oracle.check();
         let owner = self.vms[0].owner.as_ref().unwrap();
-        assert_eq!(owner.epoch, first, "the owner lost the shard unasked");
+        assert_eq!(
+            owner.epoch, first,
+            "the owner lost the shard although nobody claimed it"
+        );
         self.oracle.check_rebuilt(&owner.state);
         self.take_over(1).await;
     }
 
-    async fn rest(&mut self) {
+    async fn let_time_pass(&mut self) {
         for _ in 0..10 {
             tokio::time::sleep(Millis::new(1_000).as_duration()).await;
-            self.settle().await;
+            self.run_until_idle().await;
         }
     }
 
     /// Makes a VM take over, which must succeed once all faults are repaired.
     async fn take_over(&mut self, vm: usize) -> u64 {
         for _ in 0..20 {
-            self.time.fetch_add(LEASE.as_u64() + 1, Ordering::SeqCst);
+            self.time
+                .fetch_add(LEASE_DURATION.as_u64() + 1, Ordering::SeqCst);
             let owner = self.vms[vm].owner.as_ref().filter(|owner| owner.is_open());
             let epoch = owner.map(|owner| owner.epoch);
-            if let Some(epoch) = epoch.filter(|epoch| *epoch == self.opened) {
+            if let Some(epoch) = epoch.filter(|epoch| *epoch == self.last_epoch) {
                 return epoch;
             }
             self.claim(vm);
             for _ in 0..5 {
                 tokio::time::sleep(Millis::new(1_000).as_duration()).await;
-                self.settle().await;
+                self.run_until_idle().await;
             }
         }
-        panic!("no takeover although everything is healed");
+        panic!("no takeover although all faults are repaired");
     }
 
     pub fn setup(&mut self, vm: usize) -> Setup {
-        let platform = Edge {
+        let platform = VmPlatform {
             memory: self.memory.clone(),
             mode: self.vms[vm].mode.subscribe(),
-            cut: Arc::clone(&self.vms[vm].cut),
+            cut_off: Arc::clone(&self.vms[vm].cut_off),
         };
-        let peers = Net {
+        let peers = VmPeers {
             vm,
             mode: self.vms[vm].mode.subscribe(),
-            publics: Arc::clone(&self.publics),
+            shared_vms: Arc::clone(&self.shared_vms),
         };
         Setup {
             platform: Arc::new(platform),
             peers: Arc::new(peers),
             vm: name(vm),
             shard: shard(),
-            seed: self.draw(),
+            seed: self.next_number(),
             copies: self.holders(vm),
             acks: 1,
         }
@@ -264,11 +273,11 @@
 
     /// Returns the current holders of a VM's copies.
     pub fn holders(&self, vm: usize) -> Vec<Holder> {
-        let publics = self.publics.lock().unwrap();
+        let shared_vms = self.shared_vms.lock().unwrap();
         let others = (0..VMS).filter(|other| *other != vm);
         let holder = |other: usize| Holder {
             vm: name(other),
-            incarnation: publics[other].store.incarnation(),
+            incarnation: shared_vms[other].store.incarnation(),
         };
         others.map(holder).collect()
     }
@@ -279,7 +288,7 @@
         }
         let setup = self.setup(vm);
         let claim = async move {
-            let lease = setup.platform.grant(LEASE).await?;
+            let lease = setup.platform.grant(LEASE_DURATION).await?;
             claim::open(setup, lease).await
         };
         self.vms[vm].claiming = Some(tokio::spawn(claim));
@@ -300,20 +309,20 @@
                 return;
             }
         };
-        self.compare(&opened);
-        self.opened = self.opened.max(opened.epoch);
+        self.compare_states(&opened);
+        self.last_epoch = self.last_epoch.max(opened.epoch);
         let log = (opened.epoch, opened.log.clone());
-        self.publics.lock().unwrap()[vm].logs.push(log);
+        self.shared_vms.lock().unwrap()[vm].logs.push(log);
         self.vms[vm].owner = Some(Owner::new(opened));
     }
 
     /// Compares a rebuilt state with the state of the previous owner, if that owner has no pending
     /// appends.
-    fn compare(&self, opened: &claim::Opened) {
+    fn compare_states(&self, opened: &claim::Opened) {
         let owners = self.vms.iter().filter_map(|vm| vm.owner.as_ref());
         for owner in owners {
             let next = owner.epoch + 1 == opened.epoch;
-            if next && owner.is_quiet() && owner.log.status() == Status::Open {
+            if next && owner.has_no_pending_appends() && owner.log.status() == Status::Open {
                 let copies = opened.state.copies().to_vec();
                 let mut live = owner.state.clone();
                 live.apply(&journal::record::Record::Opened {
@@ -321,7 +330,10 @@
                     epoch: opened.epoch,
                     copies,
                 });
-                assert_eq!(live, opened.state, "the rebuilt state isn't the live one");
+                assert_eq!(
+                    live, opened.state,
+                    "the rebuilt state differs from the live one"
+                );
             }
         }
     }
@@ -345,7 +357,7 @@
     fn is_exposed(&self) -> bool {
         let owners = self.vms.iter().filter_map(|vm| vm.owner.as_ref());
         let mut exposed = owners.filter(|owner| owner.is_exposed());
-        exposed.any(|owner| owner.epoch == self.opened)
+        exposed.any(|owner| owner.epoch == self.last_epoch)
     }
 
     fn kill(&mut self, vm: usize) {
@@ -366,13 +378,13 @@
         if *self.vms[vm].mode.borrow() != Mode::Dead {
             return;
         }
-        let (mut fresh, public) = self.start();
+        let (mut fresh, shared) = self.start();
         fresh.owner = self.vms[vm].owner.take().filter(Owner::is_exposed);
         self.vms[vm] = fresh;
-        self.publics.lock().unwrap()[vm] = public;
+        self.shared_vms.lock().unwrap()[vm] = shared;
     }
 
-    fn list(&mut self) {
+    fn update_machines(&mut self) {
         let live = (0..VMS).filter(|vm| *self.vms[*vm].mode.borrow() != Mode::Dead);
         let machine = |vm| Machine {
             name: name(vm).to_string(),
@@ -395,7 +407,7 @@
 }
 
 /// Waits while a VM is paused, and for ever once it is dead.
-async fn pass(mode: &watch::Receiver<Mode>) {
+async fn wait_while_paused(mode: &watch::Receiver<Mode>) {
     tokio::task::yield_now().await;
     let mut mode = mode.clone();
     let running = mode.wait_for(|mode| *mode != Mode::Paused).await;
@@ -406,24 +418,24 @@
 }
 
 /// The platform as seen by one VM.
-struct Edge {
+struct VmPlatform {
     memory: Memory,
     mode: watch::Receiver<Mode>,
-    cut: Arc<AtomicBool>,
+    cut_off: Arc<AtomicBool>,
 }
 
-impl Edge {
+impl VmPlatform {
     async fn reach(&self) -> edge::Result<()> {
-        pass(&self.mode).await;
-        if self.cut.load(Ordering::SeqCst) {
-            return Err(edge::Fault::Down("cut off".to_owned()));
+        wait_while_paused(&self.mode).await;
+        if self.cut_off.load(Ordering::SeqCst) {
+            return Err(edge::Fault::Down("cut_off off".to_owned()));
         }
         Ok(())
     }
 }
 
 #[async_trait]
-impl Platform for Edge {
+impl Platform for VmPlatform {
     async fn range(
         &self,
         prefix: &str,
@@ -432,21 +444,21 @@
     ) -> edge::Result<Vec<edge::Entry>> {
         self.reach().await?;
         let listed = self.memory.range(prefix, from, limit).await;
-        pass(&self.mode).await;
+        wait_while_paused(&self.mode).await;
         listed
     }
 
     async fn read(&self, key: &str) -> edge::Result<Option<edge::Entry>> {
         self.reach().await?;
         let entry = self.memory.read(key).await;
-        pass(&self.mode).await;
+        wait_while_paused(&self.mode).await;
         entry
     }
 
     async fn commit(&self, txn: &edge::Txn, weight: edge::Weight) -> edge::Result<edge::Outcome> {
         self.reach().await?;
         let outcome = self.memory.commit(txn, weight).await;
-        pass(&self.mode).await;
+        wait_while_paused(&self.mode).await;
         outcome
     }
 
@@ -481,17 +493,17 @@
 }
 
 /// The other VMs as seen by one VM.
-struct Net {
+struct VmPeers {
     vm: usize,
     mode: watch::Receiver<Mode>,
-    publics: Publics,
+    shared_vms: SharedVms,
 }
 
-impl Net {
+impl VmPeers {
     async fn reach(&self, vm: &id::Vm) -> copy::Result<usize> {
-        pass(&self.mode).await;
+        wait_while_paused(&self.mode).await;
         let at = (0..VMS).find(|at| name(*at) == *vm).unwrap();
-        let mut mode = self.publics.lock().unwrap()[at].mode.clone();
+        let mut mode = self.shared_vms.lock().unwrap()[at].mode.clone();
         match mode.wait_for(|mode| *mode != Mode::Paused).await.as_deref() {
             Ok(Mode::Run) => Ok(at),
             Ok(_) | Err(_) => Err(copy::Fault::Unreachable),
@@ -500,35 +512,37 @@
 }
 
 #[async_trait]
-impl Peers for Net {
-    async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> copy::Result<()> {
+impl Peers for VmPeers {
+    async fn hold(&self, holder: &Holder, shard: &id::Shard, batch: &Batch) -> copy::Result<()> {
         let at = self.reach(&holder.vm).await?;
-        let mut publics = self.publics.lock().unwrap();
-        publics[at].store.hold(holder.incarnation, shard, held)
+        let mut shared_vms = self.shared_vms.lock().unwrap();
+        shared_vms[at].store.hold(holder.incarnation, shard, batch)
     }
 
     async fn collect(&self, vm: &id::Vm, shard: &id::Shard, epoch: u64) -> copy::Result<Collected> {
         let at = self.reach(vm).await?;
-        let logs = self.publics.lock().unwrap()[at].logs.clone();
+        let logs = self.shared_vms.lock().unwrap()[at].logs.clone();
         for (_, log) in logs.into_iter().filter(|(old, _)| *old < epoch) {
             log.step_down().await;
         }
-        let found = self.publics.lock().unwrap()[at].store.collect(shard, epoch);
-        pass(&self.mode).await;
+        let found = self.shared_vms.lock().unwrap()[at]
+            .store
+            .collect(shard, epoch);
+        wait_while_paused(&self.mode).await;
         found
     }
 
     async fn keep(&self, shard: &id::Shard, held: Vec<Batch>) {
-        pass(&self.mode).await;
-        self.publics.lock().unwrap()[self.vm]
+        wait_while_paused(&self.mode).await;
+        self.shared_vms.lock().unwrap()[self.vm]
             .store
             .keep(shard, held);
     }
 
     async fn drained(&self, holder: &Holder, shard: &id::Shard, epoch: u64, seq: u64) {
         if let Ok(at) = self.reach(&holder.vm).await {
-            let mut publics = self.publics.lock().unwrap();
-            publics[at].store.drained(shard, epoch, seq);
+            let mut shared_vms = self.shared_vms.lock().unwrap();
+            shared_vms[at].store.drained(shard, epoch, seq);
         }
     }
 }
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -34,7 +34,7 @@
 
 /// Peers that return fixed batches to claimers and don't hold any.
 #[derive(Default)]
-struct Fixed {
+struct FixedPeers {
     held: Vec<copy::Batch>,
     /// An owner that appends once more before the first response.
     owner: Option<Log>,
@@ -46,7 +46,7 @@
 const INCARNATION: u64 = 7;
 
 #[async_trait]
-impl copy::Peers for Fixed {
+impl copy::Peers for FixedPeers {
     async fn hold(
         &self,
         _holder: &copy::Holder,
@@ -87,14 +87,18 @@
 }
 
 async fn open(memory: &Memory, vm: &str) -> claim::Result<Opened> {
-    open_with(memory, vm, Fixed::default()).await
+    open_with_peers(memory, vm, FixedPeers::default()).await
 }
 
-async fn open_with(memory: &Memory, vm: &str, peers: Fixed) -> claim::Result<Opened> {
-    open_on(Arc::new(memory.clone()), vm, peers).await
+async fn open_with_peers(memory: &Memory, vm: &str, peers: FixedPeers) -> claim::Result<Opened> {
+    open_on_platform(Arc::new(memory.clone()), vm, peers).await
 }
 
-async fn open_on(platform: Arc<dyn Platform>, vm: &str, peers: Fixed) -> claim::Result<Opened> {
+async fn open_on_platform(
+    platform: Arc<dyn Platform>,
+    vm: &str,
+    peers: FixedPeers,
+) -> claim::Result<Opened> {
     let lease = platform.grant(Millis::new(60_000)).await.unwrap();
     let setup = Setup {
         platform,
@@ -112,17 +116,17 @@
 }
 
 /// Removes the ownership record, as the expiry of its lease does.
-async fn lapse(memory: &Memory) {
-    put(memory, vec![Write::Delete(key::owner(&shard()))]).await;
+async fn expire_lease(memory: &Memory) {
+    write(memory, vec![Write::Delete(key::owner(&shard()))]).await;
 }
 
-async fn put(memory: &Memory, writes: Vec<Write>) {
+async fn write(memory: &Memory, writes: Vec<Write>) {
     let compares = Vec::new();
     let txn = Txn { compares, writes };
     memory.commit(&txn, Weight::Background).await.unwrap();
 }
 
-async fn listed(memory: &Memory, prefix: &str) -> Vec<Entry> {
+async fn list(memory: &Memory, prefix: &str) -> Vec<Entry> {
     memory.range(prefix, "", usize::MAX).await.unwrap()
 }
 
@@ -147,18 +151,18 @@
     }
 }
 
-async fn add(opened: &mut Opened, name: &str) {
+async fn append_program(opened: &mut Opened, name: &str) {
     opened.state.apply(&created(name));
     let append = opened.log.append(vec![created(name)]);
     assert_eq!(append.await, Ok(Durable::Journal));
 }
 
 /// Writes a snapshot and waits until its index is set and the covered keys are removed.
-async fn snapshot(memory: &Memory, opened: &Opened) {
+async fn write_snapshot(memory: &Memory, opened: &Opened) {
     opened.log.snapshot(Image::of(&opened.state));
     loop {
         tokio::task::yield_now().await;
-        let first = listed(memory, &key::journal_prefix(&shard())).await;
+        let first = list(memory, &key::journal_prefix(&shard())).await;
         if first[0].key != key::journal(&shard(), 0) {
             return;
         }
@@ -166,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn a_patient_record_goes_along_where_the_budget_is_short() {
+async fn a_deferrable_record_shares_a_write_when_the_budget_is_short() {
     // A VM has used half of its write budget, while turns end and others start. If each end were
     // written immediately, the starts would wait for the budget, and so would the first tokens of
     // the answers.
@@ -177,27 +181,27 @@
     };
     let clock = Clock::Manual(Arc::default());
     let limited = Client::new(memory.clone(), rate, Millis::new(500), clock);
-    let mut opened = open_on(Arc::new(limited), "a", Fixed::default())
+    let mut opened = open_on_platform(Arc::new(limited), "a", FixedPeers::default())
         .await
         .unwrap();
     for name in ["p1", "p2"] {
-        add(&mut opened, name).await;
+        append_program(&mut opened, name).await;
     }
     let before = memory.writes();
     let program = id::Program::parse("p1").unwrap();
-    let patient = opened.log.append(vec![Record::Forgotten { program }]);
+    let deferrable = opened.log.append(vec![Record::Forgotten { program }]);
     for _ in 0..20 {
         tokio::task::yield_now().await;
     }
     assert_eq!(memory.writes(), before);
     let start = opened.log.append(vec![created("p3")]);
     assert_eq!(start.await, Ok(Durable::Journal));
-    assert_eq!(patient.await, Ok(Durable::Journal));
+    assert_eq!(deferrable.await, Ok(Durable::Journal));
     assert_eq!(memory.writes(), before + 1);
 }
 
 #[tokio::test]
-async fn appends_that_arrive_during_one_share_the_next_write() {
+async fn appends_that_arrive_during_a_write_share_the_next_one() {
     // A hundred callers finish turns at once, on a platform that takes several hundred writes per
     // second from the whole fleet.
     let memory = Memory::default();
@@ -215,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn a_record_that_no_key_holds_is_refused_and_leaves_nothing() {
+async fn an_oversized_append_is_refused_and_writes_nothing() {
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     let before = memory.writes();
@@ -223,27 +227,24 @@
     let append = opened.log.append(names.collect());
     assert_eq!(append.await, Err(Fault::TooLarge));
     assert_eq!(memory.writes(), before);
-    add(&mut opened, "p").await;
+    append_program(&mut opened, "p").await;
 }
 
 #[rstest]
-#[case::answer(Play::LoseAnswer)]
-#[case::write(Play::LoseWrite)]
+#[case::lost_answer(Play::LoseAnswer)]
+#[case::lost_write(Play::LoseWrite)]
 #[case::delayed(Play::Delay)]
 #[tokio::test(start_paused = true)]
-async fn an_append_of_unknown_outcome_lands_once(#[case] play: Play) {
+async fn an_append_of_unknown_outcome_is_written_once(#[case] play: Play) {
     // The platform performs the write, loses it, or performs it later, and the response never
     // comes. The owner sends the same bytes until the key holds them.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
     memory.play(play);
-    add(&mut opened, "p").await;
+    append_program(&mut opened, "p").await;
     memory.deliver();
-    assert_eq!(
-        listed(&memory, &key::journal_prefix(&shard())).await.len(),
-        2
-    );
-    lapse(&memory).await;
+    assert_eq!(list(&memory, &key::journal_prefix(&shard())).await.len(), 2);
+    expire_lease(&memory).await;
     let next = open(&memory, "b").await.unwrap();
     assert!(
         next.state
@@ -262,26 +263,26 @@
         open(&memory, "b").await,
         Err(claim::Fault::Owned(_))
     ));
-    lapse(&memory).await;
+    expire_lease(&memory).await;
     let mut next = open(&memory, "b").await.unwrap();
     assert_eq!((stale.epoch, next.epoch), (1, 2));
     let append = stale.log.append(vec![created("p")]);
     assert_eq!(append.await, Err(Fault::Lost { ran: Ran::No }));
     assert_eq!(stale.log.status(), Status::Lost);
-    add(&mut next, "p").await;
+    append_program(&mut next, "p").await;
 }
 
 #[tokio::test]
-async fn a_paused_owner_whose_keys_are_gone_appends_nothing() {
+async fn a_paused_owner_whose_keys_were_removed_appends_nothing() {
     // As in the test above, but the new owner has also written a snapshot and removed the journal
     // keys that would block the paused owner. The paused owner's next key is absent again; the
     // changed index makes its append fail.
     let memory = Memory::default();
     let stale = open(&memory, "a").await.unwrap();
-    lapse(&memory).await;
+    expire_lease(&memory).await;
     let mut next = open(&memory, "b").await.unwrap();
-    add(&mut next, "p").await;
-    snapshot(&memory, &next).await;
+    append_program(&mut next, "p").await;
+    write_snapshot(&memory, &next).await;
     assert!(
         memory
             .read(&key::journal(&shard(), 1))
@@ -297,7 +298,7 @@
 async fn an_intent_is_withheld_during_an_outage_and_turns_wait() {
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
+    append_program(&mut opened, "p").await;
     memory.set_down(true);
     let turn = opened.log.append(vec![created("q")]);
     let mut status = opened.log.watch();
@@ -319,13 +320,13 @@
 }
 
 #[tokio::test]
-async fn a_takeover_begins_with_the_image() {
+async fn a_takeover_starts_from_the_image() {
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
-    snapshot(&memory, &opened).await;
-    add(&mut opened, "q").await;
-    lapse(&memory).await;
+    append_program(&mut opened, "p").await;
+    write_snapshot(&memory, &opened).await;
+    append_program(&mut opened, "q").await;
+    expire_lease(&memory).await;
     let next = open(&memory, "b").await.unwrap();
     let ids: Vec<&str> = next.state.programs().map(|p| p.id.as_str()).collect();
     assert_eq!(ids, ["p", "q"]);
@@ -333,20 +334,20 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_dies_before_its_index_leaves_the_journal_whole() {
+async fn an_owner_that_dies_before_setting_its_index_leaves_the_journal_intact() {
     // The owner dies with its image half written. The next owner reads the journal, and its own
     // first image removes the leftover chunks.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
+    append_program(&mut opened, "p").await;
     let key = key::chunk(&shard(), 1, 1, 0);
     let (value, lease) = (b"half".to_vec(), None);
     let half = Write::Put { key, value, lease };
-    put(&memory, vec![half]).await;
-    lapse(&memory).await;
+    write(&memory, vec![half]).await;
+    expire_lease(&memory).await;
     let next = open(&memory, "b").await.unwrap();
     assert_eq!(next.state.programs().count(), 1);
-    snapshot(&memory, &next).await;
+    write_snapshot(&memory, &next).await;
     while memory
         .read(&key::chunk(&shard(), 1, 1, 0))
         .await
@@ -358,36 +359,36 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_dies_before_the_removal_leaves_keys_that_go_later() {
+async fn an_owner_that_dies_before_the_removal_leaves_keys_that_are_removed_later() {
     // The owner dies between setting the index and removing the covered keys. The next owner starts
     // from the image, and its own next image removes the old keys.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
-    let covered = listed(&memory, &key::journal_prefix(&shard())).await;
-    snapshot(&memory, &opened).await;
+    append_program(&mut opened, "p").await;
+    let covered = list(&memory, &key::journal_prefix(&shard())).await;
+    write_snapshot(&memory, &opened).await;
     let restored = covered.into_iter().map(|entry| Write::Put {
         key: entry.key,
         value: entry.value,
         lease: None,
     });
-    put(&memory, restored.collect()).await;
-    lapse(&memory).await;
+    write(&memory, restored.collect()).await;
+    expire_lease(&memory).await;
     let mut next = open(&memory, "b").await.unwrap();
     assert_eq!(next.state.programs().count(), 1);
-    add(&mut next, "q").await;
-    snapshot(&memory, &next).await;
+    append_program(&mut next, "q").await;
+    write_snapshot(&memory, &next).await;
 }
 
 #[tokio::test]
 async fn a_journal_with_a_missing_key_is_not_served() {
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
-    add(&mut opened, "q").await;
+    append_program(&mut opened, "p").await;
+    append_program(&mut opened, "q").await;
     let missing = key::journal(&shard(), 1);
-    put(&memory, vec![Write::Delete(missing)]).await;
-    lapse(&memory).await;
+    write(&memory, vec![Write::Delete(missing)]).await;
+    expire_lease(&memory).await;
     assert!(matches!(
         open(&memory, "b").await,
         Err(claim::Fault::Damaged(_))
@@ -395,12 +396,12 @@
 }
 
 #[tokio::test]
-async fn a_released_shard_is_free_at_once() {
+async fn a_released_shard_can_be_claimed_at_once() {
     let memory = Memory::default();
     let opened = open(&memory, "a").await.unwrap();
     let setup = Setup {
         platform: Arc::new(memory.clone()),
-        peers: Arc::new(Fixed::default()),
+        peers: Arc::new(FixedPeers::default()),
         vm: id::Vm::parse("a").unwrap(),
         shard: shard(),
         seed: 0,
@@ -419,7 +420,7 @@
     assert_eq!(next.state.programs().count(), 1);
 }
 
-fn pending(epoch: u64, seq: u64) -> copy::Batch {
+fn pending_batch(epoch: u64, seq: u64) -> copy::Batch {
     let batch = journal::record::Batch {
         writer: id::Vm::parse("a").unwrap(),
         nonce: 1,
@@ -430,30 +431,30 @@
 }
 
 #[tokio::test]
-async fn pending_batches_follow_what_the_old_owner_appended_last() {
+async fn pending_batches_follow_the_old_owners_last_append() {
     // The old owner is cut off and sends a copy of a turn. Before that it appended another turn
     // that the claimer hadn't read yet. Both turns were answered, and neither may be lost.
     let memory = Memory::default();
     let old = open(&memory, "a").await.unwrap();
-    lapse(&memory).await;
-    let peers = Fixed {
-        held: vec![pending(1, 2)],
+    expire_lease(&memory).await;
+    let peers = FixedPeers {
+        held: vec![pending_batch(1, 2)],
         owner: Some(old.log.clone()),
-        ..Fixed::default()
+        ..FixedPeers::default()
     };
-    let next = open_with(&memory, "b", peers).await.unwrap();
+    let next = open_with_peers(&memory, "b", peers).await.unwrap();
     let ids: Vec<&str> = next.state.programs().map(|p| p.id.as_str()).collect();
     assert_eq!(ids, ["late", "p"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_steps_down_calls_nothing_absent_that_it_hands_over() {
+async fn an_owner_that_steps_down_reports_nothing_absent_that_it_hands_over() {
     // A claimer asks the old owner to step down while an intent is being written. The claimer
     // writes the batches that it gets, so the old owner must not tell its caller that the intent
     // isn't in the journal.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
+    append_program(&mut opened, "p").await;
     let before = memory.writes();
     memory.play(Play::LoseWrite);
     let append = opened.log.append(vec![intent("p")]);
@@ -480,23 +481,23 @@
     let memory = Memory::default();
     for vm in ["a", "b"] {
         open(&memory, vm).await.unwrap();
-        lapse(&memory).await;
+        expire_lease(&memory).await;
     }
-    let peers = Fixed {
-        held: vec![pending(epoch, 2)],
-        ..Fixed::default()
+    let peers = FixedPeers {
+        held: vec![pending_batch(epoch, 2)],
+        ..FixedPeers::default()
     };
-    let next = open_with(&memory, "c", peers).await.unwrap();
+    let next = open_with_peers(&memory, "c", peers).await.unwrap();
     assert_eq!(next.state.programs().count(), usize::from(taken));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_intent_that_may_have_landed_is_never_called_absent() {
+async fn an_intent_that_may_be_written_is_never_reported_absent() {
     // The platform writes an intent, its response is lost, and then the platform goes down. The
     // caller is told that the outcome is unknown, because the intent may be in the journal.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    add(&mut opened, "p").await;
+    append_program(&mut opened, "p").await;
     let before = memory.writes();
     memory.play(Play::LoseAnswer);
     let append = opened.log.append(vec![intent("p")]);
@@ -515,14 +516,14 @@
 }
 
 #[tokio::test]
-async fn what_is_in_line_is_kept_before_anyone_learns_of_the_loss() {
+async fn queued_batches_are_kept_before_anyone_learns_of_the_loss() {
     // An owner learns from its next append that the shard has another owner. Its node then drops
     // the log, whose queue may hold the only copy of an answered turn.
     let memory = Memory::default();
-    let peers = Fixed::default();
+    let peers = FixedPeers::default();
     let kept = Arc::clone(&peers.kept);
-    let stale = open_with(&memory, "a", peers).await.unwrap();
-    lapse(&memory).await;
+    let stale = open_with_peers(&memory, "a", peers).await.unwrap();
+    expire_lease(&memory).await;
     open(&memory, "b").await.unwrap();
     let append = stale.log.append(vec![created("p")]);
     assert!(matches!(append.await, Err(Fault::Lost { .. })));
