--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -33,7 +33,7 @@
 /// How long each append load is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(3);
 /// The size of a turn's question and of its answer in bytes, about 250 tokens each.
-const TEXT_BYTES: usize = 1_000;
+const TEXT_LEN: usize = 1_000;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
@@ -44,7 +44,7 @@
 
 async fn measure_appends() {
     println!(
-        "\nappends of one committed turn of {TEXT_BYTES} + {TEXT_BYTES} bytes, platform answers in 2 ms"
+        "\nappends of one committed turn of {TEXT_LEN} + {TEXT_LEN} bytes, platform answers in 2 ms"
     );
     println!("callers  turns/s  writes/s  turns/write  p50 ms  p95 ms  processor us/turn");
     for callers in [1_usize, 8, 32, 256] {
@@ -90,7 +90,7 @@
 }
 
 fn measure_programs() {
-    println!("\nstate in memory, programs of 2 turns of {TEXT_BYTES} + {TEXT_BYTES} bytes");
+    println!("\nstate in memory, programs of 2 turns of {TEXT_LEN} + {TEXT_LEN} bytes");
     println!("programs  KB/program  gate+apply us/turn  image MB  image ms");
     for programs in [1_000, 10_000, 100_000] {
         let before = resident_bytes();
@@ -258,7 +258,7 @@
 fn message(role: &str) -> chat::Message {
     chat::Message {
         role: role.to_owned(),
-        content: Value::from("x".repeat(TEXT_BYTES)),
+        content: Value::from("x".repeat(TEXT_LEN)),
         rest: Map::new(),
     }
 }
@@ -383,7 +383,7 @@
         &self,
         _holder: &copy::Holder,
         _shard: &id::Shard,
-        _held: &copy::Batch,
+        _batch: &copy::Batch,
     ) -> copy::Result<()> {
         Err(copy::Fault::Unreachable)
     }
--- a/crates/journal/src/decision/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -102,14 +102,14 @@
 
 fn start_turn(state: &mut State, request: TurnRequest) -> Start {
     let Turn::Start(start) = request_turn(state, request).unwrap() else {
-        panic!("the turn or call isn't started");
+        panic!("the turn isn't started");
     };
     apply(state, &start.records);
     start
 }
 
 fn commit_turn(state: &mut State, attempt: u64, used: u64) {
-    let answered = Commit {
+    let commit_request = Commit {
         program: &program(),
         attempt: id::Attempt(attempt),
         messages: vec![message("q")],
@@ -122,7 +122,7 @@
         endpoint: &endpoint("runner-1"),
         now: Millis::ZERO,
     };
-    let record = commit(state, answered).unwrap().unwrap();
+    let record = commit(state, commit_request).unwrap().unwrap();
     apply(state, &[record]);
 }
 
@@ -142,7 +142,7 @@
 fn state_with_intent() -> State {
     let mut state = state_with_program();
     let Call::Start(records) = request_call(&state, 1, Status::Open).unwrap() else {
-        panic!("the turn or call isn't started");
+        panic!("the call isn't started");
     };
     apply(&mut state, &records);
     state
@@ -157,7 +157,10 @@
 #[case::beyond_the_next(TurnRequest { turn: Some(3), ..FIRST_TURN }, Code::WrongTurn)]
 #[case::zero(TurnRequest { turn: Some(0), ..FIRST_TURN }, Code::WrongTurn)]
 #[case::committed_with_other_content(TurnRequest { digest: 9, ..FIRST_TURN }, Code::TurnConflict)]
-#[case::idle_limit_passed(TurnRequest { turn: Some(2), now: IDLE_MS + 1, ..FIRST_TURN }, Code::IdleExpired)]
+#[case::idle_limit_passed(
+    TurnRequest { turn: Some(2), now: IDLE_MS + 1, ..FIRST_TURN },
+    Code::IdleExpired
+)]
 fn is_refused_after_one_turn(#[case] request: TurnRequest, #[case] code: Code) {
     let mut state = state_with_program();
     start_turn(&mut state, FIRST_TURN);
@@ -170,12 +173,12 @@
 fn a_running_turn_is_joined_and_a_committed_one_replayed() {
     let mut state = state_with_program();
     start_turn(&mut state, FIRST_TURN);
-    let again = TurnRequest {
+    let repeated = TurnRequest {
         attempt: 2,
         ..FIRST_TURN
     };
     assert!(matches!(
-        request_turn(&state, again),
+        request_turn(&state, repeated),
         Ok(Turn::Join {
             attempt: id::Attempt(1),
             ..
@@ -183,14 +186,14 @@
     ));
     let unnumbered = TurnRequest {
         turn: None,
-        ..again
+        ..repeated
     };
     assert!(matches!(
         request_turn(&state, unnumbered),
         Ok(Turn::Join { .. })
     ));
     commit_turn(&mut state, 1, 5);
-    let Ok(Turn::Replay { answer, .. }) = request_turn(&state, again) else {
+    let Ok(Turn::Replay { answer, .. }) = request_turn(&state, repeated) else {
         panic!("the committed turn isn't replayed");
     };
     assert_eq!(answer.message, message("answer 1"));
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -47,7 +47,7 @@
     /// The platform doesn't answer: appends wait in memory and on other VMs, and intents are
     /// refused.
     Outage {
-        /// The latest time until the platform is tried again.
+        /// The longest time until the platform is tried again.
         retry_after: Millis,
     },
     /// The shard has another owner; this log never appends again.
@@ -82,7 +82,7 @@
     Withheld {
         /// `No` if the intent is certainly not in the journal, otherwise `Unknown`.
         ran: Ran,
-        /// The latest time until the platform is tried again.
+        /// The longest time until the platform is tried again.
         retry_after: Millis,
     },
     /// The records exceed [`crate::record::MAX_BYTES`]; nothing was appended. Doesn't occur for
@@ -99,7 +99,7 @@
 pub struct Setup {
     /// The platform.
     pub platform: Arc<dyn Platform>,
-    /// The other VMs of the centre.
+    /// The VMs of the centre.
     pub peers: Arc<dyn copy::Peers>,
     /// This VM.
     pub vm: id::Vm,
@@ -141,7 +141,7 @@
     snapshot_due: AtomicBool,
     /// A change of the copy holders isn't in the journal yet.
     changing_holders: AtomicBool,
-    /// At least one VM holds copies.
+    /// At least one other VM is set to hold copies.
     has_holders: AtomicBool,
 }
 
@@ -204,7 +204,8 @@
         self.status() == Status::Open && !self.flags.changing_holders.load(Ordering::SeqCst)
     }
 
-    /// Returns whether no other VM holds copies, so that nothing can become durable in an outage.
+    /// Returns whether no other VM is set to hold copies, so that nothing can become durable in an
+    /// outage.
     #[must_use]
     pub fn has_no_holders(&self) -> bool {
         !self.flags.has_holders.load(Ordering::SeqCst)
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -130,7 +130,7 @@
             }
             let lost = tokio::select! {
                 biased;
-                step = wait_for_slot(&mut write) => self.handle_write(step),
+                outcome = wait_for_slot(&mut write) => self.handle_write(outcome),
                 (seq, replication) = wait_for_slot(&mut hold) => self.handle_hold(seq, replication),
                 () = wait_for_slot(&mut pace) => {
                     self.paced = true;
--- a/crates/journal/src/log/task/outcome.rs
+++ b/crates/journal/src/log/task/outcome.rs
@@ -25,8 +25,8 @@
 
 impl Task {
     /// Handles the outcome of an attempt to write the first batch.
-    pub(super) fn handle_write(&mut self, step: WriteOutcome) -> Option<Lost> {
-        match step {
+    pub(super) fn handle_write(&mut self, outcome: WriteOutcome) -> Option<Lost> {
+        match outcome {
             WriteOutcome::Written(revision) => {
                 self.write_failures = 0;
                 self.handle_written(revision);
--- a/crates/journal/tests/fuzz/main.rs
+++ b/crates/journal/tests/fuzz/main.rs
@@ -28,7 +28,7 @@
     /// A VM tries to take over the shard.
     Claim(usize),
     /// A caller requests a turn of a program with one of several contents.
-    RequestTurn(usize, usize, u64),
+    Turn(usize, usize, u64),
     /// A caller requests a committed turn again.
     ReplayTurn(usize, usize),
     /// An engine answers an attempt, having generated this many quarters of the reservation.
@@ -36,7 +36,7 @@
     /// An engine fails an attempt, which is retried elsewhere or abandoned.
     FailTurn(usize, AfterFailure),
     /// A caller requests a call under one of several keys, with one of several contents.
-    RequestCall(usize, usize, u64),
+    Call(usize, usize, u64),
     /// A service answers a call, refuses it before running it, or its response is lost.
     ResolveCall(usize, u8),
     /// The owner writes a snapshot.
@@ -47,15 +47,19 @@
     InjectFault(platform::memory::Play),
     /// The platform's delayed writes take effect.
     DeliverWrites,
-    /// The platform goes down or comes back for all VMs, or (below) for one VM.
+    /// The platform goes down or comes back for all VMs.
     SetDown(bool),
+    /// The platform goes down or comes back for one VM.
     SetCutOff(usize, bool),
     /// All leases expire.
     ExpireLeases,
-    /// A VM is paused or resumed; (below) it dies or restarts, or the list of VMs is updated.
+    /// A VM is paused or resumed.
     Pause(usize, bool),
+    /// A VM dies.
     Kill(usize),
+    /// A dead VM starts again.
     Restart(usize),
+    /// The platform's list of VMs is updated to the VMs that are alive.
     UpdateMachines,
     /// Time passes, so that retry waits end.
     Wait(u64),
@@ -82,11 +86,13 @@
         ];
         prop_oneof![
             10 => vm.clone().prop_map(Step::Claim),
-            20 => (vm.clone(), 0..2usize, 0..3u64).prop_map(|(v, p, c)| Step::RequestTurn(v, p, c)),
+            20 => (vm.clone(), 0..2usize, 0..3u64).prop_map(|(v, p, c)| Step::Turn(v, p, c)),
             3 => (vm.clone(), 0..2usize).prop_map(|(v, p)| Step::ReplayTurn(v, p)),
             20 => (0..4usize, 0..5u64).prop_map(|(pick, used)| Step::AnswerTurn(pick, used)),
-            4 => (0..4usize, any::<bool>()).prop_map(|(pick, retry)| Step::FailTurn(pick, AfterFailure::from_draw(u8::from(retry)))),
-            14 => (vm.clone(), 0..3usize, 0..8u64).prop_map(|(v, k, c)| Step::RequestCall(v, k, c / 7)),
+            4 => (0..4usize, any::<bool>())
+                .prop_map(|(pick, on)| Step::FailTurn(pick, AfterFailure::from_draw(u8::from(on)))),
+            14 => (vm.clone(), 0..3usize, 0..8u64)
+                .prop_map(|(v, k, c)| Step::Call(v, k, c / 7)),
             8 => (0..3usize, 0..3u8).prop_map(|(pick, outcome)| Step::ResolveCall(pick, outcome)),
             3 => vm.clone().prop_map(Step::Snapshot),
             4 => vm.clone().prop_map(Step::ChangeHolders),
--- a/crates/journal/tests/fuzz/oracle.rs
+++ b/crates/journal/tests/fuzz/oracle.rs
@@ -73,15 +73,15 @@
                 || self.calls.iter().any(|call| call.attempt == *attempt);
             assert!(
                 *ran != Ran::No || !dispatched,
-                "answered 'no' of {attempt}, which was sent"
+                "a caller was told that {attempt} did not run, but it was dispatched"
             );
         }
         for run in &self.runs {
-            let own = self
+            let same_program = self
                 .runs
                 .iter()
                 .filter(|other| other.program == run.program);
-            let sum: u64 = own.map(|run| run.generated).sum();
+            let sum: u64 = same_program.map(|run| run.generated).sum();
             assert!(sum <= TOKENS, "{} generated {sum} tokens", run.program);
         }
     }
--- a/crates/journal/tests/fuzz/owner.rs
+++ b/crates/journal/tests/fuzz/owner.rs
@@ -52,17 +52,21 @@
 }
 
 impl AfterFailure {
-    pub fn from_draw(drawn: u8) -> Self {
-        if drawn == 0 { Self::Stop } else { Self::Retry }
+    pub fn from_draw(draw: u8) -> Self {
+        if draw == 0 { Self::Stop } else { Self::Retry }
     }
 }
 
 /// A side effect that waits for an append.
-enum SideEffect {
+enum Effect {
     None,
+    /// Dispatches an attempt to an engine.
     Dispatch(Run),
+    /// Sends a turn's answer to the caller.
     TellAnswer(Answered),
-    SendCall(id::Key, id::Attempt),
+    /// Sends a call to a service.
+    Send(id::Key, id::Attempt),
+    /// Sends a call's outcome to the caller.
     TellOutcome(id::Key, id::Attempt),
 }
 
@@ -70,10 +74,12 @@
     pub epoch: u64,
     pub state: State,
     pub log: Log,
-    waiting: Vec<(Append, SideEffect)>,
-    /// Attempts at engines that haven't ended, and (below) calls at services.
+    waiting: Vec<(Append, Effect)>,
+    /// Attempts at engines that haven't ended.
     running: Vec<Run>,
+    /// Calls at services that haven't ended.
     running_calls: Vec<(id::Key, id::Attempt)>,
+    /// Whether a caller was told something while it existed only in copies.
     exposed: bool,
     dead: bool,
 }
@@ -115,7 +121,7 @@
         self.running_calls.clear();
     }
 
-    fn append(&mut self, records: Vec<Record>, effect: SideEffect) {
+    fn append(&mut self, records: Vec<Record>, effect: Effect) {
         for record in &records {
             self.state.check(record).unwrap();
             self.state.apply(record);
@@ -135,7 +141,7 @@
         owner.is_open().then_some(owner)
     }
 
-    pub fn request_turn(&mut self, vm: usize, program: usize, content: u64) {
+    pub fn new_turn(&mut self, vm: usize, program: usize, content: u64) {
         let (id, now, attempt) = (
             program_id(program),
             self.now(),
@@ -151,7 +157,7 @@
             now,
         };
         if let Some(record) = decision::create(&owner.state, &create).unwrap() {
-            owner.append(vec![record], SideEffect::None);
+            owner.append(vec![record], Effect::None);
         }
         let question = message("user", &format!("question {content}"));
         let begin = Begin {
@@ -183,7 +189,7 @@
             prompt,
             generated: start.reserved,
         };
-        owner.append(start.records, SideEffect::Dispatch(run));
+        owner.append(start.records, Effect::Dispatch(run));
     }
 
     pub fn replay_turn(&mut self, vm: usize, program: usize) {
@@ -256,7 +262,7 @@
                 turn: *turn,
                 answer: answer.clone(),
             };
-            owner.append(vec![record], SideEffect::TellAnswer(answered));
+            owner.append(vec![record], Effect::TellAnswer(answered));
             self.note_generated(&run);
         }
     }
@@ -285,14 +291,14 @@
                 generated: start.reserved,
                 ..run.clone()
             };
-            owner.append(start.records, SideEffect::Dispatch(next));
+            owner.append(start.records, Effect::Dispatch(next));
             // The old engine may still answer, too late.
             owner.running.push(run.clone());
         } else {
             let used = Some(run.generated);
             let stopped = decision::stop(&owner.state, &run.program, run.attempt, used);
             let Some(stopped) = stopped else { return };
-            owner.append(vec![stopped], SideEffect::None);
+            owner.append(vec![stopped], Effect::None);
         }
         self.note_generated(&run);
     }
@@ -304,11 +310,11 @@
             return;
         }
         if let Some(record) = decision::change_copy_holders(&owner.state, &holders) {
-            owner.append(vec![record], SideEffect::None);
+            owner.append(vec![record], Effect::None);
         }
     }
 
-    pub fn request_call(&mut self, vm: usize, key: usize, content: u64) {
+    pub fn new_call(&mut self, vm: usize, key: usize, content: u64) {
         let (id, now, attempt) = (
             program_id(CALLING_PROGRAM),
             self.now(),
@@ -326,9 +332,7 @@
             status: owner.log.status(),
         };
         match decision::intend(&owner.state, &intend) {
-            Ok(decision::Call::Start(records)) => {
-                owner.append(records, SideEffect::SendCall(key, attempt))
-            }
+            Ok(decision::Call::Start(batch)) => owner.append(batch, Effect::Send(key, attempt)),
             Ok(decision::Call::Join(_) | decision::Call::Replay { .. }) => {}
             Err(refusal) => self.oracle.refused.push((attempt, refusal.ran)),
         }
@@ -349,8 +353,8 @@
             _ => Outcome::Unknown,
         };
         let effect = match outcome {
-            0 => SideEffect::TellOutcome(key.clone(), attempt),
-            _ => SideEffect::None,
+            0 => Effect::TellOutcome(key.clone(), attempt),
+            _ => Effect::None,
         };
         let id = program_id(CALLING_PROGRAM);
         if let Some(record) = decision::resolve(&owner.state, &id, &key, attempt, result) {
@@ -388,21 +392,21 @@
         }
     }
 
-    fn perform(&mut self, vm: usize, durable: Durable, effect: SideEffect) {
+    fn perform(&mut self, vm: usize, durable: Durable, effect: Effect) {
         let owner = self.vms[vm].owner.as_mut().unwrap();
         let copied = durable == Durable::Copy;
         match effect {
-            SideEffect::None => {}
-            SideEffect::Dispatch(run) => {
+            Effect::None => {}
+            Effect::Dispatch(run) => {
                 owner.exposed |= copied;
                 owner.running.push(run.clone());
                 self.oracle.runs.push(run);
             }
-            SideEffect::TellAnswer(answered) => {
+            Effect::TellAnswer(answered) => {
                 owner.exposed |= copied;
                 self.oracle.note_answer(answered);
             }
-            SideEffect::SendCall(key, attempt) => {
+            Effect::Send(key, attempt) => {
                 assert!(!copied, "an intent counted in copies");
                 owner.running_calls.push((key.clone(), attempt));
                 let refused = false;
@@ -412,30 +416,30 @@
                     refused,
                 });
             }
-            SideEffect::TellOutcome(key, attempt) => {
+            Effect::TellOutcome(key, attempt) => {
                 owner.exposed |= copied;
                 self.oracle.answered_calls.push((key, attempt));
             }
         }
     }
 
-    fn handle_fault(&mut self, vm: usize, fault: Fault, effect: SideEffect) {
+    fn handle_fault(&mut self, vm: usize, fault: Fault, effect: Effect) {
         let owner = self.vms[vm].owner.as_mut().unwrap();
         match (fault, effect) {
-            (Fault::Lost { ran }, SideEffect::Dispatch(run)) => {
+            (Fault::Lost { ran }, Effect::Dispatch(run)) => {
                 self.oracle.refused.push((run.attempt, ran));
             }
-            (Fault::Lost { ran }, SideEffect::SendCall(_, attempt)) => {
+            (Fault::Lost { ran }, Effect::Send(_, attempt)) => {
                 self.oracle.refused.push((attempt, ran));
                 if ran == Ran::No {
                     self.oracle.reported_absent.push(attempt);
                 }
             }
-            (Fault::Withheld { ran, .. }, SideEffect::SendCall(key, attempt)) => {
+            (Fault::Withheld { ran, .. }, Effect::Send(key, attempt)) => {
                 self.oracle.refused.push((attempt, ran));
                 let id = program_id(CALLING_PROGRAM);
                 let record = decision::resolve(&owner.state, &id, &key, attempt, Outcome::NotRun);
-                owner.append(vec![record.unwrap()], SideEffect::None);
+                owner.append(vec![record.unwrap()], Effect::None);
             }
             (Fault::Lost { .. }, _) => {}
             (fault, _) => panic!("{fault}"),
@@ -454,8 +458,8 @@
 
     fn note_generated(&mut self, run: &Run) {
         let runs = &mut self.oracle.runs;
-        let own = runs.iter_mut().find(|other| other.attempt == run.attempt);
-        own.unwrap().generated = run.generated;
+        let same = runs.iter_mut().find(|other| other.attempt == run.attempt);
+        same.unwrap().generated = run.generated;
     }
 }
 
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -77,9 +77,11 @@
     shared_vms: SharedVms,
     pub vms: Vec<Vm>,
     pub oracle: Oracle,
+    /// The last number handed out for attempts, seeds and incarnations.
     last_number: u64,
-    /// Deaths since everything that was told was last in the journal.
+    /// Deaths since the last time that everything callers were told was in the journal.
     deaths: u32,
+    /// The highest epoch that any VM has opened.
     last_epoch: u64,
 }
 
@@ -135,7 +137,7 @@
     }
 
     /// Picks a VM that believes it owns the shard, if there is one.
-    fn pick_owner(&self, pick: usize) -> usize {
+    fn owner_vm(&self, pick: usize) -> usize {
         let owners = (0..VMS).filter(|vm| self.is_running(*vm) && self.vms[*vm].is_owner());
         let owners: Vec<usize> = owners.collect();
         owners
@@ -147,18 +149,14 @@
     pub async fn step(&mut self, step: Step) {
         match step {
             Step::Claim(vm) => self.claim(vm),
-            Step::RequestTurn(pick, program, content) => {
-                self.request_turn(self.pick_owner(pick), program, content)
-            }
-            Step::ReplayTurn(pick, program) => self.replay_turn(self.pick_owner(pick), program),
+            Step::Turn(vm, program, content) => self.new_turn(self.owner_vm(vm), program, content),
+            Step::ReplayTurn(pick, program) => self.replay_turn(self.owner_vm(pick), program),
             Step::AnswerTurn(pick, used) => self.answer_turn(pick, used),
-            Step::FailTurn(pick, then) => self.fail_turn(pick, then),
-            Step::RequestCall(pick, key, content) => {
-                self.request_call(self.pick_owner(pick), key, content)
-            }
+            Step::FailTurn(pick, after) => self.fail_turn(pick, after),
+            Step::Call(vm, key, content) => self.new_call(self.owner_vm(vm), key, content),
             Step::ResolveCall(pick, outcome) => self.resolve_call(pick, outcome),
-            Step::Snapshot(pick) => self.snapshot(self.pick_owner(pick)),
-            Step::ChangeHolders(pick) => self.change_holders(self.pick_owner(pick)),
+            Step::Snapshot(pick) => self.snapshot(self.owner_vm(pick)),
+            Step::ChangeHolders(pick) => self.change_holders(self.owner_vm(pick)),
             Step::InjectFault(fault) => self.memory.play(fault),
             Step::DeliverWrites => self.memory.deliver(),
             Step::SetDown(down) => self.memory.set_down(down),
@@ -209,14 +207,14 @@
         }
         self.update_machines();
         self.let_time_pass().await;
-        let first = self.take_over(0).await;
+        let epoch = self.take_over(0).await;
         self.let_time_pass().await;
         self.memory.deliver();
         self.let_time_pass().await;
         self.oracle.check();
         let owner = self.vms[0].owner.as_ref().unwrap();
         assert_eq!(
-            owner.epoch, first,
+            owner.epoch, epoch,
             "the owner lost the shard although nobody claimed it"
         );
         self.oracle.check_rebuilt(&owner.state);
@@ -367,7 +365,7 @@
         }
         self.deaths += 1;
         self.vms[vm].mode.send_replace(Mode::Dead);
-        // What the owner had told remains exposed until another VM opens the shard.
+        // What this owner told callers remains exposed until another VM opens the shard.
         if let Some(owner) = &mut self.vms[vm].owner {
             owner.die();
         }
@@ -428,7 +426,7 @@
     async fn reach(&self) -> edge::Result<()> {
         wait_while_paused(&self.mode).await;
         if self.cut_off.load(Ordering::SeqCst) {
-            return Err(edge::Fault::Down("cut_off off".to_owned()));
+            return Err(edge::Fault::Down("cut off".to_owned()));
         }
         Ok(())
     }
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -51,7 +51,7 @@
         &self,
         _holder: &copy::Holder,
         _shard: &id::Shard,
-        _held: &copy::Batch,
+        _batch: &copy::Batch,
     ) -> copy::Result<()> {
         Err(copy::Fault::Unreachable)
     }
