--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -1,9 +1,9 @@
-//! What a shard's journal says, as one value in memory.
+//! The state of a shard in memory, as described by its journal.
 //!
-//! Exists for the failure "the new owner decides otherwise than the old one would have": the state
-//! is a function of the records alone, so one rebuilt after a takeover equals the one that the old
-//! owner held. What ran under an earlier owner is told from what runs here by the epoch of the
-//! last [`Record::Opened`], not by anything that lives beside the records.
+//! Prevents the failure "the new owner decides differently from the old owner": the state is a
+//! function of the records alone, so a state rebuilt after a takeover equals the one that the old
+//! owner held. Attempts and calls of an earlier owner are told apart from this owner's by the epoch
+//! of the last [`Record::Opened`], not by information outside the records.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -13,43 +13,43 @@
 
 use crate::copy::Holder;
 use crate::program::Program;
-use crate::program::insert;
-use crate::program::link;
+use crate::program::chain_digest;
+use crate::program::insert_sorted;
 use crate::record::Record;
 
-/// How many different endpoints must have crashed on a content before it is refused for good. One
-/// crash can be the endpoint's own fault; two different endpoints that crash on the same content
-/// are the content's.
-pub const POISON_AT: usize = 2;
+/// The number of different endpoints that must have crashed on the same content before the content
+/// is permanently refused. One crash can be the endpoint's fault; if two different endpoints crash
+/// on the same content, the content is at fault.
+pub const POISON_THRESHOLD: usize = 2;
 
-/// A record that doesn't fit the state: the journal was damaged or mixed with another one.
+/// A record that doesn't match the state: the journal is damaged or mixed with another one.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
-pub enum Misfit {
-    /// The record speaks of a program that doesn't exist.
-    #[display("program {_0} isn't known")]
+pub enum Mismatch {
+    /// The record names a program that doesn't exist.
+    #[display("program {_0} doesn't exist")]
     Unknown(#[error(not(source))] id::Program),
-    /// A program is made twice.
-    #[display("program {_0} exists")]
+    /// A program is created twice.
+    #[display("program {_0} already exists")]
     Exists(#[error(not(source))] id::Program),
-    /// A turn or attempt isn't the one that is due.
-    #[display("program {_0} isn't at this turn or attempt")]
+    /// The record's turn or attempt isn't the expected one.
+    #[display("the record isn't for the current turn or attempt of program {_0}")]
     Order(#[error(not(source))] id::Program),
-    /// A shard is opened with an epoch that isn't higher than the last.
-    #[display("epoch {_0} isn't new")]
+    /// A shard is opened with an epoch that isn't higher than the current one.
+    #[display("epoch {_0} isn't higher than the current epoch")]
     Epoch(#[error(not(source))] u64),
 }
 
-/// The outcome of checking a record.
-pub type Result<T> = std::result::Result<T, Misfit>;
+/// The result of checking a record.
+pub type Result<T> = std::result::Result<T, Mismatch>;
 
-/// The facts of one shard.
+/// The state of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     epoch: u64,
     owner: Option<id::Vm>,
-    /// The holders that were named last.
+    /// The holders set by the last change.
     named: Vec<Holder>,
-    /// These and the ones named before.
+    /// The holders set by the last change and by the one before it.
     copies: Vec<Holder>,
     #[expect(
         clippy::vec_box,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Fails on the first record that doesn't fit.
+    /// Fails on the first record that doesn't match the state.
     pub fn rebuild<'a>(records: impl IntoIterator<Item = &'a Record>) -> Result<Self> {
         let mut state = Self::default();
         for record in records {
@@ -80,8 +80,8 @@
         Ok(state)
     }
 
-    /// Applies a record. One that doesn't [`fit`](Self::check) has no effect; records that
-    /// [`crate::gate`] yields fit the state that they were asked of.
+    /// Applies a record. A record that doesn't pass [`check`](Self::check) has no effect. Records
+    /// returned by [`crate::decision`] match the state that they were decided on.
     pub fn apply(&mut self, record: &Record) {
         if self.check(record).is_err() {
             return;
@@ -93,7 +93,7 @@
                 self.named.clone_from(copies);
                 self.copies.clone_from(copies);
             }
-            Record::Copies { holders } => self.name(holders),
+            Record::Copies { holders } => self.set_copy_holders(holders),
             Record::Created { program, .. } => self.create(program, record),
             Record::Blamed {
                 content, endpoint, ..
@@ -107,25 +107,25 @@
             | Record::Ended { program, .. }
             | Record::Released { program, .. } => {
                 let epoch = self.epoch;
-                if let Ok(at) = self.find(program) {
-                    self.programs[at].apply(epoch, record);
+                if let Ok(index) = self.find(program) {
+                    self.programs[index].apply(epoch, record);
                 }
             }
         }
     }
 
-    /// Tells whether a record fits the state.
+    /// Checks whether a record matches the state.
     ///
     /// # Errors
     ///
-    /// Fails with the reason where it doesn't.
+    /// Returns the reason if it doesn't.
     pub fn check(&self, record: &Record) -> Result<()> {
         match record {
             Record::Opened { epoch, .. } if *epoch > self.epoch => Ok(()),
             Record::Copies { .. } => Ok(()),
-            Record::Opened { epoch, .. } => Err(Misfit::Epoch(*epoch)),
+            Record::Opened { epoch, .. } => Err(Mismatch::Epoch(*epoch)),
             Record::Created { program, .. } => match self.find(program) {
-                Ok(_) => Err(Misfit::Exists(program.clone())),
+                Ok(_) => Err(Mismatch::Exists(program.clone())),
                 Err(_) => Ok(()),
             },
             Record::Started { program, .. }
@@ -137,71 +137,72 @@
             | Record::Ended { program, .. }
             | Record::Released { program, .. }
             | Record::Forgotten { program } => {
-                let known = self.program(program);
-                let known = known.ok_or_else(|| Misfit::Unknown(program.clone()))?;
-                if known.takes(record) {
+                let stored = self.program(program);
+                let stored = stored.ok_or_else(|| Mismatch::Unknown(program.clone()))?;
+                if stored.accepts(record) {
                     return Ok(());
                 }
-                Err(Misfit::Order(program.clone()))
+                Err(Mismatch::Order(program.clone()))
             }
         }
     }
 
-    /// Yields the epoch of the last opening; 0 where the shard was never opened.
+    /// Returns the epoch of the last opening; 0 if the shard was never opened.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Yields the VM that opened the shard last.
+    /// Returns the VM that opened the shard last.
     #[must_use]
     pub fn owner(&self) -> Option<&id::Vm> {
         self.owner.as_ref()
     }
 
-    /// Yields the VMs that may hold that owner's pending batches: those that it named last and
-    /// those before, as it can't tell when the last naming lands.
+    /// Returns the VMs that may hold the current owner's pending batches: the holders of the last
+    /// change and those before it, because the owner can't tell when the last change takes effect
+    /// in the journal.
     #[must_use]
     pub fn copies(&self) -> &[Holder] {
         &self.copies
     }
 
-    /// Looks a program up.
+    /// Returns a program by its name.
     #[must_use]
     pub fn program(&self, id: &id::Program) -> Option<&Program> {
-        let at = self.find(id).ok()?;
-        Some(&self.programs[at])
+        let index = self.find(id).ok()?;
+        Some(&self.programs[index])
     }
 
-    /// Walks the programs by name, ended ones among them.
+    /// Iterates over all programs, including ended ones, sorted by name.
     pub fn programs(&self) -> impl Iterator<Item = &Program> {
         self.programs.iter().map(Box::as_ref)
     }
 
-    /// Yields the digest of a turn's content: its new messages after the program's history. The
-    /// same content in another program yields the same digest.
+    /// Returns the digest of a turn's content: the program's history followed by the turn's new
+    /// messages. The same content in another program has the same digest.
     #[must_use]
-    pub fn content(&self, id: &id::Program, digest: id::Digest) -> id::Digest {
+    pub fn content_digest(&self, id: &id::Program, digest: id::Digest) -> id::Digest {
         let chain = self.program(id).map_or(id::Digest(0), |p| p.chain);
-        link(chain, digest)
+        chain_digest(chain, digest)
     }
 
-    /// Yields the endpoints that crashed on a content.
+    /// Returns the endpoints that crashed on this content.
     #[must_use]
-    pub fn blamed(&self, content: id::Digest) -> &[id::Endpoint] {
+    pub fn crashed_endpoints(&self, content: id::Digest) -> &[id::Endpoint] {
         match self.find_blame(content) {
-            Ok(at) => &self.blames[at].endpoints,
+            Ok(index) => &self.blames[index].endpoints,
             Err(_) => &[],
         }
     }
 
-    /// Tells whether a content is refused for good.
+    /// Returns whether this content is permanently refused.
     #[must_use]
-    pub fn poisoned(&self, content: id::Digest) -> bool {
-        self.blamed(content).len() >= POISON_AT
+    pub fn is_poisoned(&self, content: id::Digest) -> bool {
+        self.crashed_endpoints(content).len() >= POISON_THRESHOLD
     }
 
-    fn name(&mut self, holders: &[Holder]) {
+    fn set_copy_holders(&mut self, holders: &[Holder]) {
         self.copies.clone_from(&self.named);
         for holder in holders {
             if !self.copies.contains(holder) {
@@ -212,40 +213,41 @@
     }
 
     fn create(&mut self, id: &id::Program, record: &Record) {
-        let (Err(at), Some(program)) = (self.find(id), Program::of(record)) else {
+        let (Err(index), Some(program)) = (self.find(id), Program::from_created(record)) else {
             return;
         };
-        self.programs.insert(at, Box::new(program));
+        self.programs.insert(index, Box::new(program));
     }
 
     fn forget(&mut self, id: &id::Program) {
-        if let Ok(at) = self.find(id) {
-            self.programs.remove(at);
+        if let Ok(index) = self.find(id) {
+            self.programs.remove(index);
         }
     }
 
-    /// Adds the turn, and clears the content of a crash that it was blamed for: it has run whole,
-    /// so what crashed was something else that ran beside it.
+    /// Adds the turn. Unless the content is already refused, also clears it of earlier blame: it
+    /// has now run to completion, so a crash was caused by something else that ran at the same
+    /// time.
     fn commit(&mut self, id: &id::Program, record: &Record) {
-        let Ok(at) = self.find(id) else { return };
-        let digest = self.programs[at].running.as_ref().map(|r| r.digest);
-        let content = digest.map(|digest| link(self.programs[at].chain, digest));
-        self.programs[at].apply(self.epoch, record);
-        let Some(content) = content.filter(|content| !self.poisoned(*content)) else {
+        let Ok(index) = self.find(id) else { return };
+        let digest = self.programs[index].running.as_ref().map(|r| r.digest);
+        let content = digest.map(|digest| chain_digest(self.programs[index].chain, digest));
+        self.programs[index].apply(self.epoch, record);
+        let Some(content) = content.filter(|content| !self.is_poisoned(*content)) else {
             return;
         };
-        if let Ok(at) = self.find_blame(content) {
-            self.blames.remove(at);
+        if let Ok(index) = self.find_blame(content) {
+            self.blames.remove(index);
         }
     }
 
     fn blame(&mut self, content: id::Digest, endpoint: &id::Endpoint) {
-        let at = self.find_blame(content).unwrap_or_else(|at| {
+        let index = self.find_blame(content).unwrap_or_else(|index| {
             let endpoints = Vec::new();
-            self.blames.insert(at, Blame { content, endpoints });
-            at
+            self.blames.insert(index, Blame { content, endpoints });
+            index
         });
-        insert(&mut self.blames[at].endpoints, endpoint);
+        insert_sorted(&mut self.blames[index].endpoints, endpoint);
     }
 
     fn find(&self, id: &id::Program) -> std::result::Result<usize, usize> {
