--- a/crates/node/src/dispatch/desk.rs
+++ b/crates/node/src/dispatch/desk.rs
@@ -14,7 +14,7 @@
 use policy::queue::Entry;
 use policy::queue::Queue;
 use policy::retry;
-use policy::shift;
+use policy::slow_start;
 use policy::stop;
 use settings::config::Endpoint;
 use settings::config::Kind;
@@ -398,7 +398,7 @@
             .binary_search_by(|s| s.endpoint.cmp(endpoint));
         found.unwrap_or_else(|at| {
             // At the VM's own start all endpoints are new to it, and none is to the others.
-            let starting = now.since(self.born) < shift::RAMP;
+            let starting = now.since(self.born) < slow_start::DURATION;
             let since = if starting { Millis::ZERO } else { now };
             self.standings
                 .insert(at, Standing::new(endpoint.clone(), since));
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -5,13 +5,13 @@
 //!
 //! An endpoint that is slower than others is no fault: [`crate::place`] gives it less. Only one
 //! that is slower than hardware explains, or that fails, is ejected: it gets nothing for a span that
-//! doubles each time, then a share that grows as in [`crate::shift`]. At most [`MAX_SHARE`] of the
+//! doubles each time, then a share that grows as in [`crate::slow_start`]. At most [`MAX_SHARE`] of the
 //! endpoints are out at once, the worst first: when many seem to fail, the cause is common to them
 //! (the network, this VM, a poisoned request), and the rest couldn't carry the load.
 
 use wire::clock::Millis;
 
-use crate::shift;
+use crate::slow_start;
 
 /// The most endpoints that are out at once, as a share. The rest has to carry their load: at 0.7
 /// of the endpoints a fleet that runs at 0.7 of its capacity is just full.
@@ -124,7 +124,7 @@
     #[must_use]
     pub fn share(&self, now: Millis) -> f64 {
         match self.state {
-            State::In { since } => shift::ramp(since, now),
+            State::In { since } => slow_start::share(since, now),
             State::Out { .. } => 0.0,
         }
     }
--- a/crates/policy/src/eject/tests.rs
+++ b/crates/policy/src/eject/tests.rs
@@ -9,7 +9,7 @@
 use super::State;
 use super::most_out;
 use super::sweep;
-use crate::shift;
+use crate::slow_start;
 
 const NOW: Millis = Millis::new(1_000_000);
 
@@ -76,7 +76,7 @@
     let kind = Kind::Back;
     assert_eq!(sweep(&mut pool, back), [Change { index: 0, kind }]);
     assert!(pool[0].share(back) < 0.2);
-    assert!(pool[0].share(back.plus(shift::RAMP)) >= 1.0);
+    assert!(pool[0].share(back.plus(slow_start::DURATION)) >= 1.0);
 }
 
 #[test]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,14 +9,14 @@
 pub mod admit;
 pub mod balancer;
 pub mod class;
+pub mod decay;
 pub mod displace;
 pub mod eject;
-pub mod fade;
 pub mod ledger;
 pub mod pace;
 pub mod place;
 pub mod prefix;
 pub mod queue;
 pub mod retry;
-pub mod shift;
+pub mod slow_start;
 pub mod stop;
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -8,7 +8,7 @@
 
 use wire::clock::Millis;
 
-use crate::fade;
+use crate::decay;
 
 /// In this time a sample loses half of its weight: long beside a call (some tenths of a second), so
 /// that the figure is made of some tens of calls, and short beside the times for which an endpoint
@@ -37,7 +37,7 @@
     /// Yields the mean as it weighs at a later time.
     #[must_use]
     pub fn at(&self, now: Millis) -> Self {
-        let left = fade::left(now.since(self.at), HALF);
+        let left = decay::remaining_weight(now.since(self.at), HALF);
         Self {
             sum: self.sum * left,
             weight: self.weight * left,
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -68,7 +68,7 @@
     pub prefill: f64,
     /// Prompt tokens of this call that its cache is thought to hold.
     pub cached: u64,
-    /// The share of its slots that may be used, from [`crate::shift`] and [`crate::eject`]: 1 for
+    /// The share of its slots that may be used, from [`crate::slow_start`] and [`crate::eject`]: 1 for
     /// an endpoint in good standing, 0 for one that gets nothing.
     pub share: f64,
     /// What it is kept for; see [`lanes`].
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -10,7 +10,7 @@
 
 use wire::clock::Millis;
 
-use crate::fade;
+use crate::decay;
 
 /// The share of an endpoint's memory that holds parts nobody works on: under high load running
 /// prompts take the other half.
@@ -135,14 +135,14 @@
 
 impl Count {
     fn weigh(&self, now: Millis) -> f64 {
-        self.turns * fade::left(now.since(self.at), DEMAND_HALF)
+        self.turns * decay::remaining_weight(now.since(self.at), DEMAND_HALF)
     }
 }
 
 impl Demand {
     /// Notes a turn that begins with a part.
     pub fn note(&mut self, first: u64, now: Millis) {
-        self.total = self.total * fade::left(now.since(self.at), DEMAND_HALF) + 1.0;
+        self.total = self.total * decay::remaining_weight(now.since(self.at), DEMAND_HALF) + 1.0;
         self.at = now;
         if let Ok(at) = self.find(first) {
             let count = &mut self.counts[at];
--- a/crates/policy/src/shift.rs
+++ b/crates/policy/src/slow_start.rs
@@ -12,20 +12,20 @@
 /// The share of its slots that a new or returned endpoint may use at first.
 ///
 /// About one call for an endpoint of eight slots: enough to see whether it works.
-pub const START: f64 = 0.125;
+pub const INITIAL_SHARE: f64 = 0.125;
 /// The time in which the share grows to the whole. Several times the lag of the load reports (up
 /// to 2 s) and of the mean call, so that each step shows in a report before the next.
-pub const RAMP: Millis = Millis::new(10_000);
+pub const DURATION: Millis = Millis::new(10_000);
 /// Yields the share of an endpoint's slots that may be used, for one that came at `since`.
 #[must_use]
-pub fn ramp(since: Millis, now: Millis) -> f64 {
+pub fn share(since: Millis, now: Millis) -> f64 {
     let span = now.since(since);
-    if span >= RAMP {
+    if span >= DURATION {
         return 1.0;
     }
     #[expect(clippy::cast_precision_loss, reason = "both are under 2^52")]
-    let part = span.as_u64() as f64 / RAMP.as_u64() as f64;
-    START + (1.0 - START) * part
+    let part = span.as_u64() as f64 / DURATION.as_u64() as f64;
+    INITIAL_SHARE + (1.0 - INITIAL_SHARE) * part
 }
 
 #[cfg(test)]
