--- a/crates/node/src/dispatch/standing.rs
+++ b/crates/node/src/dispatch/standing.rs
@@ -4,7 +4,7 @@
 use policy::class::Class;
 use policy::eject::Detector;
 use policy::eject::Sample;
-use policy::ledger::Ledger;
+use policy::own_calls::OwnCalls;
 use policy::place;
 use policy::place::Candidate;
 use policy::place::Lane;
@@ -46,7 +46,7 @@
     /// Calls that wait for it, as of the last look at the queue.
     pub claimed: u32,
     /// This VM's calls there, beside the last report.
-    ledger: Ledger,
+    ledger: OwnCalls,
     /// Its speed as reported, smoothed; 0 before the first report that names one.
     speed: f64,
     /// When the last report was made.
@@ -65,7 +65,7 @@
             endpoint,
             detector: Detector::new(since),
             claimed: 0,
-            ledger: Ledger::default(),
+            ledger: OwnCalls::default(),
             speed: 0.0,
             reported: Millis::ZERO,
             paused: Millis::ZERO,
@@ -75,7 +75,7 @@
 
     /// Counts a call that is sent.
     pub fn begin(&mut self, now: Millis, content: Content) {
-        self.ledger.send(now);
+        self.ledger.record_sent(now);
         self.suspects += u32::from(content == Content::Suspect);
     }
 
@@ -83,7 +83,7 @@
     pub fn end(&mut self, began: Millis, now: Millis, content: Content, sample: Option<Sample>) {
         let suspects = u32::from(content == Content::Suspect);
         self.suspects = self.suspects.saturating_sub(suspects);
-        self.ledger.end(began, now);
+        self.ledger.record_ended(began, now);
         if let Some(sample) = sample {
             self.detector.note(sample);
         }
@@ -96,7 +96,7 @@
 
     /// Takes the endpoint's last report in; one that was taken in before changes nothing.
     pub fn report(&mut self, load: &Load) {
-        self.ledger.report(load.at);
+        self.ledger.record_report(load.at);
         if load.at <= self.reported || load.speed <= 0.0 {
             return;
         }
@@ -116,7 +116,7 @@
     /// Yields how many of this VM's calls run there.
     #[must_use]
     pub fn running(&self) -> usize {
-        self.ledger.under_way()
+        self.ledger.in_flight()
     }
 
     /// Yields the endpoint as placement sees it, but for its lane, which depends on the others;
@@ -140,8 +140,8 @@
         Some(Candidate {
             slots: endpoint.slots,
             reported: load.map_or(0, |load| load.running.saturating_add(load.waiting)),
-            sent: u32::try_from(self.ledger.sent()).unwrap_or(u32::MAX),
-            ended: u32::try_from(self.ledger.ended()).unwrap_or(u32::MAX),
+            sent: u32::try_from(self.ledger.sent_since_report()).unwrap_or(u32::MAX),
+            ended: u32::try_from(self.ledger.ended_since_report()).unwrap_or(u32::MAX),
             claimed: self.claimed,
             speed,
             prefill: speed * PREFILL,
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/decaying_mean.rs
@@ -20,23 +20,23 @@
 
 /// A mean in which older samples weigh less.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mean {
+pub struct DecayingMean {
     sum: f64,
     weight: f64,
     at: Millis,
 }
 
-impl Mean {
+impl DecayingMean {
     /// Takes a sample in.
-    pub fn note(&mut self, value: f64, now: Millis) {
-        *self = self.at(now);
+    pub fn add(&mut self, value: f64, now: Millis) {
+        *self = self.decayed_to(now);
         self.sum += value;
         self.weight += 1.0;
     }
 
     /// Yields the mean as it weighs at a later time.
     #[must_use]
-    pub fn at(&self, now: Millis) -> Self {
+    pub fn decayed_to(&self, now: Millis) -> Self {
         let left = decay::remaining_weight(now.since(self.at), HALF);
         Self {
             sum: self.sum * left,
@@ -53,7 +53,7 @@
 
     /// Yields the value, drawn towards the pool's middle one where few samples made it.
     #[must_use]
-    pub fn drawn_to(&self, middle: f64) -> f64 {
+    pub fn shrunk_towards(&self, middle: f64) -> f64 {
         (self.sum + middle * POOL) / (self.weight + POOL)
     }
 }
@@ -61,7 +61,7 @@
 /// Yields the middle one of what a pool's endpoints showed, or `first` where none has shown
 /// anything; figures made of little count no less, as the middle one bears some that are far off.
 #[must_use]
-pub fn middle(figures: impl Iterator<Item = Mean>, first: f64) -> f64 {
+pub fn median(figures: impl Iterator<Item = DecayingMean>, first: f64) -> f64 {
     let mut known: Vec<f64> = figures
         .filter_map(|figure| Some(figure.value()?.0))
         .collect();
--- a/crates/policy/src/pace/tests.rs
+++ b/crates/policy/src/decaying_mean/tests.rs
@@ -1,14 +1,14 @@
 use wire::clock::Millis;
 
-use super::Mean;
-use super::middle;
+use super::DecayingMean;
+use super::median;
 
 const NOW: Millis = Millis::new(100_000);
 
-fn mean(values: &[f64]) -> Mean {
-    let mut mean = Mean::default();
+fn mean(values: &[f64]) -> DecayingMean {
+    let mut mean = DecayingMean::default();
     for value in values {
-        mean.note(*value, NOW);
+        mean.add(*value, NOW);
     }
     mean
 }
@@ -17,7 +17,7 @@
 fn a_sample_loses_half_of_its_weight_in_five_seconds() {
     let mut mean = mean(&[4.0, 4.0]);
     let later = NOW.plus(Millis::new(5_000));
-    mean.note(8.0, later);
+    mean.add(8.0, later);
     let (value, weight) = mean.value().expect("there are samples");
     assert!((value - 6.0).abs() < 1e-9, "{value}");
     assert!((weight - 2.0).abs() < 1e-9, "{weight}");
@@ -29,17 +29,25 @@
 fn an_endpoint_that_turns_slow_shows() {
     let mut mean = mean(&[2.0; 20]);
     for at in 0..20 {
-        mean.note(8.0, NOW.plus(Millis::new(500 * at)));
+        mean.add(8.0, NOW.plus(Millis::new(500 * at)));
     }
     assert!(mean.value().expect("there are samples").0 > 5.0);
 }
 
 #[test]
 fn what_is_not_measured_counts_as_the_middle_one() {
-    let pool = [mean(&[3.0]), mean(&[5.0]), mean(&[9.0]), Mean::default()];
-    let middle = middle(pool.into_iter(), 1.0);
-    assert!((middle - 5.0).abs() < 1e-9);
-    assert!((pool[3].drawn_to(middle) - 5.0).abs() < 1e-9);
-    assert!((pool[2].drawn_to(middle) - 7.0).abs() < 1e-9, "one sample");
-    assert!((super::middle([Mean::default()].into_iter(), 1.0) - 1.0).abs() < 1e-9);
+    let pool = [
+        mean(&[3.0]),
+        mean(&[5.0]),
+        mean(&[9.0]),
+        DecayingMean::default(),
+    ];
+    let median = median(pool.into_iter(), 1.0);
+    assert!((median - 5.0).abs() < 1e-9);
+    assert!((pool[3].shrunk_towards(median) - 5.0).abs() < 1e-9);
+    assert!(
+        (pool[2].shrunk_towards(median) - 7.0).abs() < 1e-9,
+        "one sample"
+    );
+    assert!((super::median([DecayingMean::default()].into_iter(), 1.0) - 1.0).abs() < 1e-9);
 }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/own_calls.rs
@@ -11,9 +11,9 @@
 
 /// One VM's calls at one endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ledger {
+pub struct OwnCalls {
     /// When the calls under way were sent, earliest first.
-    under_way: Vec<Millis>,
+    in_flight: Vec<Millis>,
     /// The calls that have ended since the last report.
     ended: Vec<Ended>,
     /// When the endpoint made its last report.
@@ -26,25 +26,25 @@
     at: Millis,
 }
 
-impl Ledger {
+impl OwnCalls {
     /// Counts a call that is sent.
-    pub fn send(&mut self, now: Millis) {
-        let at = self.under_way.partition_point(|sent| *sent <= now);
-        self.under_way.insert(at, now);
+    pub fn record_sent(&mut self, now: Millis) {
+        let at = self.in_flight.partition_point(|sent| *sent <= now);
+        self.in_flight.insert(at, now);
     }
 
     /// Counts a call that has ended, given when it was sent.
-    pub fn end(&mut self, sent: Millis, now: Millis) {
-        let Ok(at) = self.under_way.binary_search(&sent) else {
+    pub fn record_ended(&mut self, sent: Millis, now: Millis) {
+        let Ok(at) = self.in_flight.binary_search(&sent) else {
             return;
         };
-        self.under_way.remove(at);
+        self.in_flight.remove(at);
         self.ended.push(Ended { sent, at: now });
         self.ended.retain(|call| now.since(call.at) < KEPT);
     }
 
     /// Takes in that the endpoint made a report at `at`; one older than the last is ignored.
-    pub fn report(&mut self, at: Millis) {
+    pub fn record_report(&mut self, at: Millis) {
         self.reported = self.reported.max(at);
         let reported = self.reported;
         self.ended.retain(|call| call.at > reported);
@@ -52,22 +52,22 @@
 
     /// Yields how many calls are under way.
     #[must_use]
-    pub fn under_way(&self) -> usize {
-        self.under_way.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Yields how many calls under way the last report can't know of.
     #[must_use]
-    pub fn sent(&self) -> usize {
-        self.under_way.len()
+    pub fn sent_since_report(&self) -> usize {
+        self.in_flight.len()
             - self
-                .under_way
+                .in_flight
                 .partition_point(|sent| *sent <= self.reported)
     }
 
     /// Yields how many calls the last report still counts that have ended since.
     #[must_use]
-    pub fn ended(&self) -> usize {
+    pub fn ended_since_report(&self) -> usize {
         self.ended
             .iter()
             .filter(|call| call.sent <= self.reported && call.at > self.reported)
--- a/crates/policy/src/displace/tests.rs
+++ b/crates/policy/src/preempt/tests.rs
@@ -1,8 +1,8 @@
 use rstest::rstest;
 use wire::clock::Millis;
 
-use super::MIN_LEFT;
-use super::MOST;
+use super::MAX_PREEMPTIONS;
+use super::MIN_REMAINING;
 use super::Resume;
 use super::Running;
 use super::choose;
@@ -11,17 +11,17 @@
 const CALL: Running = Running {
     class: Class::Routine,
     resume: Resume::Possible,
-    left: Millis::new(5_000),
-    redo: Millis::new(100),
+    remaining: Millis::new(5_000),
+    prefill_cost: Millis::new(100),
     attained: Millis::ZERO,
-    displaced: 0,
+    preemptions: 0,
 };
 
 #[rstest]
 #[case::urgent(Running { class: Class::Urgent, ..CALL })]
 #[case::not_resumable(Running { resume: Resume::Impossible, ..CALL })]
-#[case::often_enough(Running { displaced: MOST, ..CALL })]
-#[case::nearly_done(Running { left: MIN_LEFT.since(Millis::new(1)), ..CALL })]
+#[case::often_enough(Running { preemptions: MAX_PREEMPTIONS, ..CALL })]
+#[case::nearly_done(Running { remaining: MIN_REMAINING.since(Millis::new(1)), ..CALL })]
 fn some_calls_are_never_displaced(#[case] call: Running) {
     assert_eq!(choose(&[call]), None);
 }
@@ -29,7 +29,7 @@
 #[test]
 fn the_one_that_loses_least_goes() {
     let cheap = Running {
-        redo: Millis::new(10),
+        prefill_cost: Millis::new(10),
         ..CALL
     };
     assert_eq!(choose(&[CALL, cheap, CALL]), Some(1));
--- a/crates/policy/tests/support/driver.rs
+++ b/crates/policy/tests/support/driver.rs
@@ -277,7 +277,9 @@
         let now = self.millis();
         let service = self.now - job.begun;
         let vm = &mut self.vms[job.vm];
-        vm.views[endpoint].ledger.end(Millis::new(job.sent), now);
+        vm.views[endpoint]
+            .ledger
+            .record_ended(Millis::new(job.sent), now);
         vm.under_way.retain(|sent| *sent != job.program);
         vm.learn(job.output, service);
         let pace = service as f64 / job.output as f64;
--- a/crates/policy/tests/support/driver/dispatch.rs
+++ b/crates/policy/tests/support/driver/dispatch.rs
@@ -2,8 +2,8 @@
 
 use policy::admit;
 use policy::class::Class;
-use policy::displace;
 use policy::place;
+use policy::preempt;
 use policy::queue;
 use wire::clock::Millis;
 
@@ -171,9 +171,9 @@
             let own: Vec<usize> = under_way
                 .filter(|program| self.records[*program].fate == Fate::Open)
                 .collect();
-            let running: Vec<displace::Running> =
+            let running: Vec<preempt::Running> =
                 own.iter().map(|program| self.running(*program)).collect();
-            let Some(chosen) = displace::choose(&running) else {
+            let Some(chosen) = preempt::choose(&running) else {
                 return;
             };
             self.stop(at, own[chosen]);
@@ -181,18 +181,18 @@
         }
     }
 
-    fn running(&self, program: usize) -> displace::Running {
+    fn running(&self, program: usize) -> preempt::Running {
         let standing = &self.standings[program];
         let begun = standing.sent.map_or(self.now, |sent| sent.at);
         let vm = &self.vms[program % self.vms.len()];
         let spent = self.now - begun;
-        displace::Running {
+        preempt::Running {
             class: self.programs[program].class,
-            resume: displace::Resume::Possible,
-            left: Millis::new((vm.service as u64).saturating_sub(spent)),
-            redo: Millis::ZERO,
+            resume: preempt::Resume::Possible,
+            remaining: Millis::new((vm.service as u64).saturating_sub(spent)),
+            prefill_cost: Millis::ZERO,
             attained: Millis::new(standing.attained + spent),
-            displaced: standing.displaced,
+            preemptions: standing.displaced,
         }
     }
 
@@ -208,7 +208,7 @@
         let now = self.millis();
         self.vms[at].views[sent.endpoint]
             .ledger
-            .end(Millis::new(sent.at), now);
+            .record_ended(Millis::new(sent.at), now);
         let made = (job.output as f64 - job.left).max(0.0) as u64;
         let begun = if job.begun == 0 { self.now } else { job.begun };
         let standing = &mut self.standings[program];
@@ -247,7 +247,7 @@
             left: output as f64,
         };
         vm.under_way.push(program);
-        vm.views[endpoint].ledger.send(Millis::new(self.now));
+        vm.views[endpoint].ledger.record_sent(Millis::new(self.now));
         standing.tries += 1;
         if self.engines[endpoint].health == Health::Failing {
             self.failing.push(job);
--- a/crates/policy/tests/support/driver/failure.rs
+++ b/crates/policy/tests/support/driver/failure.rs
@@ -20,7 +20,9 @@
         let program = job.program;
         let vm = &mut self.vms[job.vm];
         vm.under_way.retain(|sent| *sent != program);
-        vm.views[endpoint].ledger.end(Millis::new(job.sent), now);
+        vm.views[endpoint]
+            .ledger
+            .record_ended(Millis::new(job.sent), now);
         vm.detectors[endpoint].note(eject::Sample::Failed);
         let standing = &mut self.standings[program];
         standing.sent = None;
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -4,7 +4,7 @@
 
 use policy::admit;
 use policy::eject;
-use policy::ledger::Ledger;
+use policy::own_calls::OwnCalls;
 use policy::place;
 use policy::queue::Limits;
 use policy::queue::Queue;
@@ -44,7 +44,7 @@
     /// Its last report.
     pub report: Report,
     /// The VM's own calls there.
-    pub ledger: Ledger,
+    pub ledger: OwnCalls,
 }
 
 /// What a VM knows of a call that waits.
@@ -115,7 +115,7 @@
                 speed: spec.speed,
                 ..Report::default()
             },
-            ledger: Ledger::default(),
+            ledger: OwnCalls::default(),
         };
         let slots: f64 = of.endpoints.iter().map(|spec| f64::from(spec.slots)).sum();
         Self {
@@ -141,7 +141,7 @@
     /// Takes in a report.
     pub fn hear(&mut self, endpoint: usize, report: &Report) {
         let view = &mut self.views[endpoint];
-        view.ledger.report(Millis::new(report.at));
+        view.ledger.record_report(Millis::new(report.at));
         let speed = view.report.speed;
         view.report = report.clone();
         view.report.speed = place::smoothed(speed, report.speed);
@@ -223,8 +223,8 @@
             place::Candidate {
                 slots: view.slots,
                 reported: view.report.calls,
-                sent: view.ledger.sent() as u32,
-                ended: view.ledger.ended() as u32,
+                sent: view.ledger.sent_since_report() as u32,
+                ended: view.ledger.ended_since_report() as u32,
                 claimed: 0,
                 speed: view.report.speed,
                 prefill: view.prefill,
@@ -267,6 +267,9 @@
 }
 
 fn outstanding(view: &View) -> u32 {
-    let reported = view.report.calls.saturating_sub(view.ledger.ended() as u32);
-    reported + view.ledger.sent() as u32
+    let reported = view
+        .report
+        .calls
+        .saturating_sub(view.ledger.ended_since_report() as u32);
+    reported + view.ledger.sent_since_report() as u32
 }
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -1,7 +1,7 @@
 //! Chooses a runner for a request.
 
 use policy::class::Class;
-use policy::pace;
+use policy::decaying_mean;
 use policy::place;
 use policy::place::Candidate;
 use policy::place::Weights;
@@ -54,12 +54,12 @@
             .runners
             .iter()
             .filter(|runner| runner.entry.service == want.service);
-        let paces = of_service.map(|runner| runner.pace.at(want.now));
+        let paces = of_service.map(|runner| runner.pace.decayed_to(want.now));
         let first = match want.engine {
             Some(_) => FIRST_PACE,
             None => FIRST_PACE_PLAIN,
         };
-        pace::middle(paces, first)
+        decaying_mean::median(paces, first)
     }
 
     /// Chooses a runner; `None` where the service has none that may be used.
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -5,7 +5,7 @@
 use adapter::runner::Entry;
 use adapter::runner::Load;
 use adapter::runner::State;
-use policy::pace::Mean;
+use policy::decaying_mean::DecayingMean;
 use policy::place::Candidate;
 use policy::place::Lane;
 use policy::prefix;
@@ -50,7 +50,7 @@
     pub(super) memory: u64,
     pub(super) cache: Cache,
     /// Milliseconds a token; for plain services, a request.
-    pub(super) pace: Mean,
+    pub(super) pace: DecayingMean,
     /// No connection to it could be made, or one broke, and none has been made since.
     pub(super) unreachable: bool,
     /// Requests to it that broke since one was answered last.
@@ -89,7 +89,7 @@
             told: Told::default(),
             load: None,
             cache: Cache::new(memory),
-            pace: Mean::default(),
+            pace: DecayingMean::default(),
             unreachable: false,
             broken: 0,
             held_until: Millis::ZERO,
@@ -123,7 +123,7 @@
         } else {
             known.max(told)
         };
-        let speed = 1_000.0 / self.pace.at(want.now).drawn_to(middle_pace);
+        let speed = 1_000.0 / self.pace.decayed_to(want.now).shrunk_towards(middle_pace);
         Candidate {
             slots: self.entry.slots,
             reported: busy,
@@ -219,7 +219,7 @@
     pub fn note_done(&mut self, tokens: u64, span: Millis, now: Millis) {
         let span = span.as_u64().max(1) as f64;
         let pace = span / tokens.max(1) as f64;
-        self.pace.note(pace, now);
+        self.pace.add(pace, now);
         self.failed = 0;
     }
 }
