--- a/crates/node/src/dispatch/choose.rs
+++ b/crates/node/src/dispatch/choose.rs
@@ -92,7 +92,7 @@
         choice.wait,
         choice.miss,
         choice.run,
-        choice.next,
+        choice.runner_up_cost,
         names.join(",")
     )
 }
--- a/crates/node/src/dispatch/desk.rs
+++ b/crates/node/src/dispatch/desk.rs
@@ -7,7 +7,7 @@
 use std::sync::PoisonError;
 
 use policy::admit;
-use policy::admit::Drain;
+use policy::admit::DrainRate;
 use policy::admit::Stage;
 use policy::eject::Sample;
 use policy::queue;
@@ -92,7 +92,7 @@
 pub(super) struct State {
     pub(super) standings: Vec<Standing>,
     queue: Queue<Waiter>,
-    pub(super) drain: Drain,
+    pub(super) drain: DrainRate,
     retries: retry::Budget,
     born: Millis,
     /// The view that the standings follow.
@@ -116,7 +116,7 @@
         Self(Mutex::new(State {
             standings: Vec::new(),
             queue: Queue::new(limits),
-            drain: Drain::default(),
+            drain: DrainRate::default(),
             retries: retry::Budget::new(now),
             born: now,
             synced: Arc::default(),
@@ -189,9 +189,9 @@
     for entry in queue.remove(|waiter| is_given_up(core, &waiter.work, now)) {
         ready.push((entry.item, Err(shutting_down())));
     }
-    for entry in queue.give_up(now) {
+    for entry in queue.take_expired(now) {
         let load = admit::Load::of(queue, drain, entry.class, &entry.caller);
-        let refusal = admit::give_up(&load, &mut rand::rng());
+        let refusal = admit::refuse_expired(&load, &mut rand::rng());
         ready.push((entry.item, Err(refusal)));
     }
     loop {
@@ -301,7 +301,7 @@
         caller: work.caller.clone(),
         attained: Millis::new(work.spent.saturating_mul(TOKEN)),
         cost: run,
-        since: now,
+        arrived: now,
         expires: queue::expiry(now, class, work.deadline, run).min(limit),
         item: Waiter { work, slot },
     }
--- a/crates/node/src/dispatch/standing.rs
+++ b/crates/node/src/dispatch/standing.rs
@@ -148,7 +148,7 @@
             cached,
             share: self.detector.share(now),
             lane: Lane::Shared,
-            away: 0.0,
+            network_cost: 0.0,
         })
     }
 }
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -180,7 +180,7 @@
     let Some(stop) = core.stop.get() else {
         return;
     };
-    let left = stop.last_call().since(core.clock.now());
+    let left = stop.unassigned_deadline().since(core.clock.now());
     tokio::time::sleep(left.as_duration()).await;
 }
 
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -70,7 +70,7 @@
 /// Yields the time that the last words take at most, and the controllers' end as much again: a
 /// third of what is left then, so that the process itself ends in the last one.
 fn part(stop: &Stop) -> Duration {
-    stop.killed().since(stop.last()).as_duration() / 3
+    stop.killed().since(stop.deadline()).as_duration() / 3
 }
 
 fn warn(reason: &str) {
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -252,7 +252,7 @@
 /// Plans a stop under which all that was taken is over at `last`.
 fn ends_at(last: Millis) -> Stop {
     let grace = Millis::new(10_000);
-    let span = Stop::new(Millis::ZERO, grace).last();
+    let span = Stop::new(Millis::ZERO, grace).deadline();
     Stop::new(last.since(span), grace)
 }
 
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -74,7 +74,7 @@
         cached: if index % 50 == 7 { 18_000 } else { 0 },
         share: 1.0,
         lane: place::Lane::Open,
-        away: 0.0,
+        network_cost: 0.0,
     }
 }
 
@@ -108,13 +108,13 @@
         queue
             .push(soon.clone())
             .expect("there is room for one more");
-        black_box(queue.give_up(Millis::new(1)));
+        black_box(queue.take_expired(Millis::new(1)));
     })
 }
 
 fn admission(count: u32) {
     let queue = filled(count, CALLERS);
-    let mut drain = admit::Drain::default();
+    let mut drain = admit::DrainRate::default();
     drain.count(Millis::new(1), 1);
     drain.roll(Millis::new(10_000));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -150,7 +150,7 @@
         caller: id::Caller::parse(&format!("caller-{}", item % callers)).expect("it is an id"),
         attained: Millis::new(u64::from(item * 37 % 60_000)),
         cost: Millis::new(3_000),
-        since: Millis::new(u64::from(item)),
+        arrived: Millis::new(u64::from(item)),
         expires: Millis::new(u64::MAX),
     }
 }
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -81,7 +81,7 @@
 impl Load {
     /// Reads the load off a queue.
     #[must_use]
-    pub fn of<T>(queue: &Queue<T>, drain: &Drain, class: Class, caller: &id::Caller) -> Self {
+    pub fn of<T>(queue: &Queue<T>, drain: &DrainRate, class: Class, caller: &id::Caller) -> Self {
         let ahead = queue.ahead_of(class, caller);
         let (waiting, used) = match class {
             Class::Urgent => (ahead, queue.len()),
@@ -135,7 +135,7 @@
 }
 
 /// Builds the refusal of a call that was let in and whose time ended in the queue.
-pub fn give_up<R: Rng>(load: &Load, rng: &mut R) -> Refusal {
+pub fn refuse_expired<R: Rng>(load: &Load, rng: &mut R) -> Refusal {
     refuse(load, Code::WaitedTooLong, load.wait(), rng)
 }
 
@@ -169,7 +169,7 @@
 /// Only spells in which something always waited tell how fast the endpoints take work; in others
 /// the rate is that of the arrivals, which is a lower bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Drain {
+pub struct DrainRate {
     rate: Option<f64>,
     begun: Millis,
     taken: u32,
@@ -183,7 +183,7 @@
 /// endpoints' number within some three spells.
 pub const FRESH: f64 = 0.4;
 
-impl Drain {
+impl DrainRate {
     /// Yields the rate in calls a second; `None` before the first spell is over.
     #[must_use]
     pub const fn rate(&self) -> Option<f64> {
--- a/crates/policy/src/admit/tests.rs
+++ b/crates/policy/src/admit/tests.rs
@@ -6,7 +6,7 @@
 use wire::code::Ran;
 
 use super::Call;
-use super::Drain;
+use super::DrainRate;
 use super::FIRST_WAIT;
 use super::Load;
 use super::MIN_RETRY;
@@ -103,7 +103,7 @@
 
 #[test]
 fn the_drain_is_measured_while_something_waits() {
-    let mut drain = Drain::default();
+    let mut drain = DrainRate::default();
     let start = 1_000;
     for tick in 0..=2 * SPELL.as_u64() / 100 {
         drain.count(Millis::new(start + tick * 100), 5);
@@ -118,7 +118,7 @@
 
 #[test]
 fn a_standstill_shows_in_the_drain() {
-    let mut drain = Drain::default();
+    let mut drain = DrainRate::default();
     let start = Millis::new(1_000);
     for _ in 0..20 {
         drain.count(start, 5);
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -74,7 +74,7 @@
     /// What it is kept for; see [`lanes`].
     pub lane: Lane,
     /// What the way to it costs, in milliseconds: 0 in the VM's own data centre.
-    pub away: f64,
+    pub network_cost: f64,
 }
 
 /// What an endpoint is kept for.
@@ -146,7 +146,7 @@
     /// The weighted sum that was compared.
     pub cost: f64,
     /// The lowest cost among the other candidates; infinite where there was no other.
-    pub next: f64,
+    pub runner_up_cost: f64,
 }
 
 /// The weight of the latest report in an endpoint's speed: with two reports a second the figure is
@@ -181,23 +181,26 @@
     let cheapest = cheapest?;
     if second > cheapest.cost * (1.0 + TIE) {
         return Some(Choice {
-            next: second,
+            runner_up_cost: second,
             ..cheapest
         });
     }
     let tied = candidates.iter().enumerate().filter_map(weigh);
     let tied = tied.filter(|choice| ties(choice, &cheapest));
-    let away = |choice: &Choice| candidates[choice.index].away;
+    let away = |choice: &Choice| candidates[choice.index].network_cost;
     let best = tied.min_by(|a, b| {
         let nearer = away(a).total_cmp(&away(b));
         nearer.then_with(|| mix(call.salt, b.index).cmp(&mix(call.salt, a.index)))
     })?;
-    let next = if best.index == cheapest.index {
+    let runner_up_cost = if best.index == cheapest.index {
         second
     } else {
         cheapest.cost
     };
-    Some(Choice { next, ..best })
+    Some(Choice {
+        runner_up_cost,
+        ..best
+    })
 }
 
 /// Tells whether a choice is as good as the cheapest. One that loses more cache isn't, so that a
@@ -302,7 +305,7 @@
         Start::Later
     };
     let toll = miss * f64::from(occupied(of).min(of.slots)) * TOLL;
-    let time = wait + miss + run * (1.0 - scarcity) + toll + of.away;
+    let time = wait + miss + run * (1.0 - scarcity) + toll + of.network_cost;
     let cost = weights.latency * time + weights.cache * miss;
     Some(Choice {
         index,
@@ -311,7 +314,7 @@
         miss,
         run,
         cost,
-        next: f64::INFINITY,
+        runner_up_cost: f64::INFINITY,
     })
 }
 
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -22,7 +22,7 @@
     cached: 0,
     share: 1.0,
     lane: Lane::Shared,
-    away: 0.0,
+    network_cost: 0.0,
 };
 
 const CALL: Call = Call {
@@ -197,14 +197,17 @@
         ..IDLE
     };
     let choice = choose(&[IDLE, slow], &CALL, &LATENCY).expect("all may be used");
-    assert!(choice.next > choice.cost);
+    assert!(choice.runner_up_cost > choice.cost);
     let alone = choose(&[IDLE], &CALL, &LATENCY).expect("it may be used");
-    assert!(alone.next.is_infinite());
+    assert!(alone.runner_up_cost.is_infinite());
 }
 
 #[test]
 fn of_equal_endpoints_the_near_one_is_chosen() {
-    let far = Candidate { away: 3.0, ..IDLE };
+    let far = Candidate {
+        network_cost: 3.0,
+        ..IDLE
+    };
     for salt in 0..16 {
         let call = Call { salt, ..CALL };
         let choice = choose(&[far, IDLE, far], &call, &LATENCY).expect("all may be used");
@@ -214,7 +217,10 @@
 
 #[test]
 fn a_near_endpoint_that_is_full_loses_to_a_far_one() {
-    let far = Candidate { away: 3.0, ..IDLE };
+    let far = Candidate {
+        network_cost: 3.0,
+        ..IDLE
+    };
     let full = Candidate {
         reported: 24,
         ..IDLE
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -106,7 +106,7 @@
 /// else.
 pub const SPREAD: f64 = 2.0;
 /// The fewest endpoints that are presumed to hold it: one may be away and one full.
-pub const PRESUMED_LEAST: usize = 3;
+pub const MIN_HOLDERS: usize = 3;
 /// In this time a turn counts half as much for its first part's share of the work: some hundred
 /// turns of a VM in a large deployment, and short beside the hours in which demand moves.
 const DEMAND_HALF: Millis = Millis::new(10_000);
@@ -183,7 +183,7 @@
         let count = found.map_or(0.0, |at| self.counts[at].weigh(self.at));
         let share = count / self.total.max(1.0);
         let wanted = (share * endpoints as f64 * SPREAD).ceil() as usize;
-        wanted.max(PRESUMED_LEAST).min(endpoints)
+        wanted.max(MIN_HOLDERS).min(endpoints)
     }
 }
 
@@ -199,7 +199,7 @@
 /// Few parts may ask for most of the work. With as few holders for such a part as for any other,
 /// most turns went to a tenth of the endpoints while the others idled.
 #[must_use]
-pub fn presumed(first: u64, endpoints: &[u64], holders: usize) -> Vec<bool> {
+pub fn presumed_holders(first: u64, endpoints: &[u64], holders: usize) -> Vec<bool> {
     if endpoints.len() <= holders {
         return vec![false; endpoints.len()];
     }
--- a/crates/policy/src/prefix/tests.rs
+++ b/crates/policy/src/prefix/tests.rs
@@ -48,7 +48,7 @@
     for turn in 0..turns {
         let vm = turn * 31 % vms;
         let part = (turn as u64 * 13) % parts + 1;
-        let presumed = super::presumed(part, &names, 5);
+        let presumed = super::presumed_holders(part, &names, 5);
         let candidate = |at: usize| Candidate {
             slots: 16,
             reported: 0,
@@ -64,7 +64,7 @@
             },
             share: 1.0,
             lane: Lane::Open,
-            away: 0.0,
+            network_cost: 0.0,
         };
         let candidates: Vec<Candidate> = (0..endpoints).map(candidate).collect();
         let call = Call {
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_small_pool_has_no_presumption() {
-    assert_eq!(super::presumed(7, &[1, 2, 3], 3), [false; 3]);
-    let of_many = super::presumed(7, &(0..45).collect::<Vec<u64>>(), 5);
+    assert_eq!(super::presumed_holders(7, &[1, 2, 3], 3), [false; 3]);
+    let of_many = super::presumed_holders(7, &(0..45).collect::<Vec<u64>>(), 5);
     assert_eq!(of_many.iter().filter(|presumed| **presumed).count(), 5);
 }
 
@@ -116,8 +116,8 @@
     );
     assert_eq!(demand.holders(99, 48), 3, "never seen");
     assert!(demand.holders(1, 2) <= 2);
-    let few = super::presumed(1, &(0..48).collect::<Vec<u64>>(), 5);
-    let more = super::presumed(1, &(0..48).collect::<Vec<u64>>(), 9);
+    let few = super::presumed_holders(1, &(0..48).collect::<Vec<u64>>(), 5);
+    let more = super::presumed_holders(1, &(0..48).collect::<Vec<u64>>(), 9);
     assert!(few.iter().zip(&more).all(|(few, more)| !few || *more));
 }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -78,7 +78,7 @@
     /// Service that the call is expected to take, in time at an endpoint.
     pub cost: Millis,
     /// When it came; a call that was displaced keeps the time of its first arrival.
-    pub since: Millis,
+    pub arrived: Millis,
     /// When it is given up; see [`expiry`].
     pub expires: Millis,
 }
@@ -211,7 +211,7 @@
     }
 
     /// Takes out the calls whose time is over, for their refusal.
-    pub fn give_up(&mut self, now: Millis) -> Vec<Entry<T>> {
+    pub fn take_expired(&mut self, now: Millis) -> Vec<Entry<T>> {
         if now < self.earliest {
             return Vec::new();
         }
@@ -363,7 +363,7 @@
 
 /// Yields a call's place in its lane; the lowest is taken first.
 fn rank<T>(entry: &Entry<T>) -> Millis {
-    entry.since.plus(entry.attained.min(AGEING_BOUND))
+    entry.arrived.plus(entry.attained.min(AGEING_BOUND))
 }
 
 #[cfg(test)]
--- a/crates/policy/src/queue/tests.rs
+++ b/crates/policy/src/queue/tests.rs
@@ -26,7 +26,7 @@
         caller: caller(name),
         attained: Millis::ZERO,
         cost: Millis::new(1_000),
-        since: Millis::new(u64::from(item)),
+        arrived: Millis::new(u64::from(item)),
         expires: Millis::new(100_000),
     }
 }
@@ -66,9 +66,9 @@
     let mut long = entry(0, Class::Routine, "a");
     long.attained = Millis::new(u64::MAX);
     let mut within = entry(1, Class::Routine, "a");
-    within.since = AGEING_BOUND.since(Millis::new(1));
+    within.arrived = AGEING_BOUND.since(Millis::new(1));
     let mut after = entry(2, Class::Routine, "a");
-    after.since = AGEING_BOUND.plus(Millis::new(1));
+    after.arrived = AGEING_BOUND.plus(Millis::new(1));
     let mut queue = filled(vec![long, within, after]);
     assert_eq!(drain(&mut queue), [1, 0, 2]);
 }
@@ -114,9 +114,9 @@
     let mut soon = entry(1, Class::Routine, "a");
     soon.expires = Millis::new(50);
     let mut queue = filled(vec![soon, entry(2, Class::Urgent, "a")]);
-    assert!(queue.give_up(Millis::new(49)).is_empty());
+    assert!(queue.take_expired(Millis::new(49)).is_empty());
     let gone: Vec<u32> = queue
-        .give_up(Millis::new(50))
+        .take_expired(Millis::new(50))
         .iter()
         .map(|e| e.item)
         .collect();
--- a/crates/policy/src/stop/tests.rs
+++ b/crates/policy/src/stop/tests.rs
@@ -54,17 +54,17 @@
         let stop = Stop::new(BEGUN, Millis::new(grace_ms));
         let killed = after(grace_ms);
         assert_eq!((stop.begun(), stop.killed()), (BEGUN, killed));
-        assert!(stop.last() <= killed);
-        assert!(grace_ms < 4 || stop.last() < killed, "{grace_ms}");
+        assert!(stop.deadline() <= killed);
+        assert!(grace_ms < 4 || stop.deadline() < killed, "{grace_ms}");
         let coarse = usize::try_from(grace_ms / 200 + 1).unwrap();
         for arrived in (0..grace_ms + 500).step_by(coarse).map(after) {
             for limit_ms in (0..grace_ms + 500).step_by(coarse).chain([u64::MAX]) {
                 let until = arrived.plus(Millis::new(limit_ms));
-                let fits = until <= stop.last();
+                let fits = until <= stop.deadline();
                 assert_eq!(stop.takes(Some(until)), fits);
                 assert_eq!(
                     fits,
-                    limit_ms <= stop.left(arrived).as_u64() && arrived <= stop.last()
+                    limit_ms <= stop.left(arrived).as_u64() && arrived <= stop.deadline()
                 );
             }
             assert!(!stop.takes(None));
@@ -80,8 +80,8 @@
         for arrived in (0..grace_ms).step_by(25).map(after) {
             let left = stop.left(arrived);
             let fits = arrived.plus(left);
-            assert_eq!(stop.takes(Some(fits)), arrived <= stop.last());
-            assert!(!stop.takes(Some(stop.last().plus(Millis::new(1)))));
+            assert_eq!(stop.takes(Some(fits)), arrived <= stop.deadline());
+            assert!(!stop.takes(Some(stop.deadline().plus(Millis::new(1)))));
         }
     }
 }
@@ -106,7 +106,7 @@
 #[case(8_000, 7_100)]
 fn the_last_call_leaves_time_to_answer(#[case] grace_ms: u64, #[case] called_ms: u64) {
     let stop = Stop::new(BEGUN, Millis::new(grace_ms));
-    assert_eq!(stop.last_call(), after(called_ms));
+    assert_eq!(stop.unassigned_deadline(), after(called_ms));
 }
 
 // An answer is taken that is over at the last moment. The process lives on for its last bytes, and ends
@@ -114,7 +114,7 @@
 #[test]
 fn the_last_bytes_of_the_last_answer_go_out() {
     let stop = Stop::new(BEGUN, Millis::new(8_000));
-    assert!(!stop.is_over(stop.last().plus(Millis::new(50)), Activity::Busy));
-    assert!(stop.is_over(stop.last().plus(Millis::new(200)), Activity::Busy));
-    assert!(stop.ends() < stop.killed());
+    assert!(!stop.is_over(stop.deadline().plus(Millis::new(50)), Activity::Busy));
+    assert!(stop.is_over(stop.deadline().plus(Millis::new(200)), Activity::Busy));
+    assert!(stop.exit_at() < stop.killed());
 }
--- a/crates/policy/tests/stopping.rs
+++ b/crates/policy/tests/stopping.rs
@@ -82,7 +82,7 @@
             phase: Phase::Up,
             ends: Vec::new(),
             misses: 0,
-            asked: random.random_range(0..balancer::ASKS.as_u64()),
+            asked: random.random_range(0..balancer::PROBE_INTERVAL.as_u64()),
         };
         Self {
             vms: (0..vms).map(|_| vm(&mut random)).collect(),
@@ -120,7 +120,7 @@
     fn advance(&mut self, now: u64) {
         let same_step = |one: u64, other: u64| one / u64::from(STEP) == other / u64::from(STEP);
         for (vm, stop) in self.vms.iter_mut().zip(&self.stops) {
-            if same_step(now % balancer::ASKS.as_u64(), vm.asked) {
+            if same_step(now % balancer::PROBE_INTERVAL.as_u64(), vm.asked) {
                 let ready = matches!(vm.phase, Phase::Up);
                 vm.misses = if ready { 0 } else { vm.misses + 1 };
             }
@@ -151,7 +151,7 @@
 
     /// Sends a request; one that isn't served comes again.
     fn ask(&mut self, now: u64, request: &Request) -> Option<Request> {
-        let misses = balancer::MISSES;
+        let misses = balancer::FAILURE_THRESHOLD;
         let rotation: Vec<usize> = (0..self.vms.len())
             .filter(|at| self.vms[*at].misses < misses)
             .collect();
--- a/crates/policy/tests/support/driver.rs
+++ b/crates/policy/tests/support/driver.rs
@@ -355,10 +355,10 @@
         for at in 0..self.vms.len() {
             let vm = &mut self.vms[at];
             vm.drain.roll(now);
-            for entry in vm.queue.give_up(now) {
+            for entry in vm.queue.take_expired(now) {
                 let vm = &mut self.vms[at];
                 let load = admit::Load::of(&vm.queue, &vm.drain, entry.class, &entry.caller);
-                let refusal = admit::give_up(&load, &mut vm.rng);
+                let refusal = admit::refuse_expired(&load, &mut vm.rng);
                 self.refuse(entry.item, refusal.retry_after);
             }
             self.pump(at);
--- a/crates/policy/tests/support/driver/dispatch.rs
+++ b/crates/policy/tests/support/driver/dispatch.rs
@@ -46,8 +46,8 @@
                 self.refuse(program, Some(TRIED_RETRY));
             }
             Ok(()) => {
-                let since = self.millis();
-                self.enqueue(at, program, since);
+                let arrived = self.millis();
+                self.enqueue(at, program, arrived);
                 self.pump(at);
             }
             Err(refusal) => self.refuse(program, refusal.retry_after),
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn enqueue(&mut self, at: usize, program: usize, since: Millis) {
+    pub(super) fn enqueue(&mut self, at: usize, program: usize, arrived: Millis) {
         let of = &self.programs[program];
         let vm = &mut self.vms[at];
         let run = Millis::new(vm.service as u64);
@@ -83,8 +83,8 @@
             caller: self.callers[of.caller].clone(),
             attained: Millis::new(self.standings[program].attained),
             cost: run,
-            since,
-            expires: queue::expiry(since, of.class, None, run),
+            arrived,
+            expires: queue::expiry(arrived, of.class, None, run),
         };
         if vm.queue.push(entry).is_err() {
             self.refuse(program, Some(admit::MIN_RETRY));
--- a/crates/policy/tests/support/driver/failure.rs
+++ b/crates/policy/tests/support/driver/failure.rs
@@ -58,8 +58,8 @@
             return;
         }
         let at = program % self.vms.len();
-        let since = Millis::new(self.standings[program].asked);
-        self.enqueue(at, program, since);
+        let arrived = Millis::new(self.standings[program].asked);
+        self.enqueue(at, program, arrived);
         self.pump(at);
     }
 }
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -82,7 +82,7 @@
     /// Programs whose calls are at endpoints.
     pub under_way: Vec<usize>,
     /// The rate at which the queue drains.
-    pub drain: admit::Drain,
+    pub drain: admit::DrainRate,
     /// The endpoints.
     pub views: Vec<View>,
     /// What they are kept for.
@@ -124,7 +124,7 @@
             queue: Queue::new(Limits::default()),
             fifo: VecDeque::new(),
             under_way: Vec::new(),
-            drain: admit::Drain::default(),
+            drain: admit::DrainRate::default(),
             views: of.endpoints.iter().map(view).collect(),
             lanes: place::lanes(&of.endpoints.iter().map(|e| e.speed).collect::<Vec<_>>()),
             detectors: vec![eject::Detector::new(Millis::ZERO); of.endpoints.len()],
@@ -231,7 +231,7 @@
                 cached: 0,
                 share: detector.share(now),
                 lane: *lane,
-                away: 0.0,
+                network_cost: 0.0,
             }
         };
         endpoints.map(candidate).collect()
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -36,7 +36,7 @@
     door.leaving.cancel();
     // Connections alone don't count: with callers that connect and bring nothing, or are refused, the
     // listener would stay open to the last moment, and keep the next process from serving.
-    wait(|| stop.closes(node.clock.now(), requests(node))).await;
+    wait(|| stop.closes_listener(node.clock.now(), requests(node))).await;
     // A request that is taken after the last look would be cut off: nobody can connect by then.
     door.shut.cancel();
     if timeout(CLOSING, listener).await.is_err() {
--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -47,10 +47,10 @@
     process.drained.await.unwrap();
     let stop = process.node.stop().unwrap();
     assert!(
-        shut >= stop.last() && shut < stop.ends(),
+        shut >= stop.deadline() && shut < stop.exit_at(),
         "{shut} of {stop:?}"
     );
-    assert!(process.node.clock.now() >= stop.ends());
+    assert!(process.node.clock.now() >= stop.exit_at());
 }
 
 /// The balancer has noticed that the process stops, and no request is under way; callers go on to connect
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -84,10 +84,10 @@
         if let Some(first) = want.prompt.first() {
             let numbers: Vec<u64> = usable.iter().map(|runner| runner.number).collect();
             let demand = self.demand(want.service);
-            let holders = demand.map_or(prefix::PRESUMED_LEAST, |demand| {
+            let holders = demand.map_or(prefix::MIN_HOLDERS, |demand| {
                 demand.holders(first.id, numbers.len())
             });
-            let presumed = prefix::presumed(first.id, &numbers, holders);
+            let presumed = prefix::presumed_holders(first.id, &numbers, holders);
             for (candidate, presumed) in candidates.iter_mut().zip(presumed) {
                 if presumed {
                     candidate.cached = candidate.cached.max(first.tokens);
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -135,7 +135,7 @@
             cached: self.cache.cached(want.prompt),
             share: WHOLE,
             lane: Lane::Open,
-            away: if self.entry.centre == want.centre {
+            network_cost: if self.entry.centre == want.centre {
                 0.0
             } else {
                 want.away
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -210,7 +210,7 @@
         if self.service == Service::Starting || self.is_ready() {
             return RETRY;
         }
-        balancer::NOTICES
+        balancer::DETECTION_TIME
             .since(now.since(self.since))
             .max(RETRY_NOTICED)
     }
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -34,7 +34,7 @@
 /// Refuses where it may not.
 pub fn pass_on(node: &Node, ends: Instant) -> Result<(), Refusal> {
     match node.stop() {
-        Some(stop) if node.clock.now() >= stop.last_call() => admit(node, ends),
+        Some(stop) if node.clock.now() >= stop.unassigned_deadline() => admit(node, ends),
         _ => Ok(()),
     }
 }
@@ -86,7 +86,7 @@
 /// Waits until the process's last answers have to go out; yields that of a request which may have run.
 async fn end(node: &Node) -> Refusal {
     let stop = node.stopping().await;
-    let left = stop.last().since(node.clock.now());
+    let left = stop.deadline().since(node.clock.now());
     sleep(left.as_duration()).await;
     Refusal::new(Code::OutcomeUnknown, "the VM is shutting down").ran(Ran::Unknown)
 }
@@ -95,9 +95,9 @@
 async fn last_call(node: &Node, ends: Instant) -> Refusal {
     let stop = node.stopping().await;
     let at = if outlasts(node, stop, ends) {
-        stop.last_call()
+        stop.unassigned_deadline()
     } else {
-        stop.last()
+        stop.deadline()
     };
     let left = at.since(node.clock.now());
     sleep(left.as_duration()).await;
--- a/crates/relay/src/shutdown/tests.rs
+++ b/crates/relay/src/shutdown/tests.rs
@@ -46,8 +46,8 @@
     let refusal = refusal.unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
     let stop = node.stop().unwrap();
-    assert!(node.clock.now() >= stop.last_call());
-    assert!(node.clock.now() < stop.last());
+    assert!(node.clock.now() >= stop.unassigned_deadline());
+    assert!(node.clock.now() < stop.deadline());
 }
 
 // What is over before the process is, isn't given up, stop or no stop: refused, its caller would lose
@@ -94,6 +94,6 @@
     let told = timeout(GRACE.as_duration(), waited).await;
     let refusal = told.expect("it is told before the end").unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
-    assert!(node.clock.now() >= stop.last());
-    assert!(node.clock.now() < stop.ends());
+    assert!(node.clock.now() >= stop.deadline());
+    assert!(node.clock.now() < stop.exit_at());
 }
--- a/crates/relay/tests/ending.rs
+++ b/crates/relay/tests/ending.rs
@@ -99,8 +99,8 @@
     let stop = node.begin_stop();
     let got = timeout(GRACE.as_duration(), ask(&node, kind, "")).await;
     let got = got.expect("it is answered before the process is killed");
-    assert!(node.clock.now() >= stop.last());
-    assert!(node.clock.now() < stop.ends());
+    assert!(node.clock.now() >= stop.deadline());
+    assert!(node.clock.now() < stop.exit_at());
     assert_eq!(got.status, 504, "{got:?}");
     assert!(got.body.contains(r#""ran":"unknown""#), "{got:?}");
     assert_eq!(taken.load(Ordering::Relaxed), 1);
@@ -123,7 +123,7 @@
     let stop = node.begin_stop();
     sleep(Duration::from_secs(1)).await;
     let got = ask(&node, kind, r#","attempts":3,"resumable":true"#).await;
-    assert!(node.clock.now() < stop.last(), "{got:?}");
+    assert!(node.clock.now() < stop.deadline(), "{got:?}");
     assert_eq!(got.status, 502, "{got:?}");
     assert!(got.body.contains(r#""ran":"unknown""#), "{got:?}");
     assert_eq!(taken.load(Ordering::Relaxed), 1);
