--- a/crates/node/src/dispatch/standing.rs
+++ b/crates/node/src/dispatch/standing.rs
@@ -4,7 +4,7 @@
 use policy::class::Class;
 use policy::eject::Detector;
 use policy::eject::Sample;
-use policy::own_calls::OwnCalls;
+use policy::own_calls::Calls;
 use policy::place;
 use policy::place::Candidate;
 use policy::place::Lane;
@@ -46,7 +46,7 @@
     /// Calls that wait for it, as of the last look at the queue.
     pub claimed: u32,
     /// This VM's calls there, beside the last report.
-    ledger: OwnCalls,
+    ledger: Calls,
     /// Its speed as reported, smoothed; 0 before the first report that names one.
     speed: f64,
     /// When the last report was made.
@@ -65,7 +65,7 @@
             endpoint,
             detector: Detector::new(since),
             claimed: 0,
-            ledger: OwnCalls::default(),
+            ledger: Calls::default(),
             speed: 0.0,
             reported: Millis::ZERO,
             paused: Millis::ZERO,
--- a/crates/policy/src/decaying_mean.rs
+++ b/crates/policy/src/decaying_mean.rs
@@ -20,13 +20,13 @@
 
 /// A mean in which older samples weigh less.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct DecayingMean {
+pub struct Mean {
     sum: f64,
     weight: f64,
     at: Millis,
 }
 
-impl DecayingMean {
+impl Mean {
     /// Takes a sample in.
     pub fn add(&mut self, value: f64, now: Millis) {
         *self = self.decayed_to(now);
@@ -61,7 +61,7 @@
 /// Yields the middle one of what a pool's endpoints showed, or `first` where none has shown
 /// anything; figures made of little count no less, as the middle one bears some that are far off.
 #[must_use]
-pub fn median(figures: impl Iterator<Item = DecayingMean>, first: f64) -> f64 {
+pub fn median(figures: impl Iterator<Item = Mean>, first: f64) -> f64 {
     let mut known: Vec<f64> = figures
         .filter_map(|figure| Some(figure.value()?.0))
         .collect();
--- a/crates/policy/src/decaying_mean/tests.rs
+++ b/crates/policy/src/decaying_mean/tests.rs
@@ -1,12 +1,12 @@
 use wire::clock::Millis;
 
-use super::DecayingMean;
+use super::Mean;
 use super::median;
 
 const NOW: Millis = Millis::new(100_000);
 
-fn mean(values: &[f64]) -> DecayingMean {
-    let mut mean = DecayingMean::default();
+fn mean(values: &[f64]) -> Mean {
+    let mut mean = Mean::default();
     for value in values {
         mean.add(*value, NOW);
     }
@@ -36,12 +36,7 @@
 
 #[test]
 fn what_is_not_measured_counts_as_the_middle_one() {
-    let pool = [
-        mean(&[3.0]),
-        mean(&[5.0]),
-        mean(&[9.0]),
-        DecayingMean::default(),
-    ];
+    let pool = [mean(&[3.0]), mean(&[5.0]), mean(&[9.0]), Mean::default()];
     let median = median(pool.into_iter(), 1.0);
     assert!((median - 5.0).abs() < 1e-9);
     assert!((pool[3].shrunk_towards(median) - 5.0).abs() < 1e-9);
@@ -49,5 +44,5 @@
         (pool[2].shrunk_towards(median) - 7.0).abs() < 1e-9,
         "one sample"
     );
-    assert!((super::median([DecayingMean::default()].into_iter(), 1.0) - 1.0).abs() < 1e-9);
+    assert!((super::median([Mean::default()].into_iter(), 1.0) - 1.0).abs() < 1e-9);
 }
--- a/crates/policy/src/own_calls.rs
+++ b/crates/policy/src/own_calls.rs
@@ -11,7 +11,7 @@
 
 /// One VM's calls at one endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct OwnCalls {
+pub struct Calls {
     /// When the calls under way were sent, earliest first.
     in_flight: Vec<Millis>,
     /// The calls that have ended since the last report.
@@ -26,7 +26,7 @@
     at: Millis,
 }
 
-impl OwnCalls {
+impl Calls {
     /// Counts a call that is sent.
     pub fn record_sent(&mut self, now: Millis) {
         let at = self.in_flight.partition_point(|sent| *sent <= now);
--- a/crates/policy/src/own_calls/tests.rs
+++ b/crates/policy/src/own_calls/tests.rs
@@ -1,6 +1,6 @@
 use wire::clock::Millis;
 
-use super::OwnCalls;
+use super::Calls;
 
 fn at(millis: u64) -> Millis {
     Millis::new(millis)
@@ -8,7 +8,7 @@
 
 #[test]
 fn only_what_the_report_cannot_know_is_added() {
-    let mut calls = OwnCalls::default();
+    let mut calls = Calls::default();
     calls.record_sent(at(10));
     calls.record_sent(at(20));
     assert_eq!(calls.sent_since_report(), 2);
@@ -36,7 +36,7 @@
 
 #[test]
 fn late_and_crossed_reports_change_nothing() {
-    let mut calls = OwnCalls::default();
+    let mut calls = Calls::default();
     calls.record_sent(at(10));
     calls.record_report(at(20));
     calls.record_report(at(5));
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -4,7 +4,7 @@
 
 use policy::admit;
 use policy::eject;
-use policy::own_calls::OwnCalls;
+use policy::own_calls::Calls;
 use policy::place;
 use policy::queue::Limits;
 use policy::queue::Queue;
@@ -44,7 +44,7 @@
     /// Its last report.
     pub report: Report,
     /// The VM's own calls there.
-    pub ledger: OwnCalls,
+    pub ledger: Calls,
 }
 
 /// What a VM knows of a call that waits.
@@ -115,7 +115,7 @@
                 speed: spec.speed,
                 ..Report::default()
             },
-            ledger: OwnCalls::default(),
+            ledger: Calls::default(),
         };
         let slots: f64 = of.endpoints.iter().map(|spec| f64::from(spec.slots)).sum();
         Self {
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -5,7 +5,7 @@
 use adapter::runner::Entry;
 use adapter::runner::Load;
 use adapter::runner::State;
-use policy::decaying_mean::DecayingMean;
+use policy::decaying_mean::Mean;
 use policy::place::Candidate;
 use policy::place::Lane;
 use policy::prefix;
@@ -50,7 +50,7 @@
     pub(super) memory: u64,
     pub(super) cache: Cache,
     /// Milliseconds a token; for plain services, a request.
-    pub(super) pace: DecayingMean,
+    pub(super) pace: Mean,
     /// No connection to it could be made, or one broke, and none has been made since.
     pub(super) unreachable: bool,
     /// Requests to it that broke since one was answered last.
@@ -89,7 +89,7 @@
             told: Told::default(),
             load: None,
             cache: Cache::new(memory),
-            pace: DecayingMean::default(),
+            pace: Mean::default(),
             unreachable: false,
             broken: 0,
             held_until: Millis::ZERO,
