--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -6,7 +6,7 @@
 //! been spent.
 //!
 //! A call that can't be served in time is refused at once, so that the caller can act otherwise:
-//! - Nothing is refused while no call of its class is waiting.
+//! - While no call waits, a call is refused only if it couldn't finish before its deadline.
 //! - A caller may have as many calls waiting as there is capacity left in its class (a dynamic
 //!   threshold). One caller that floods is limited to half of the capacity, two to a third each,
 //!   and the others always find some left.
--- a/crates/policy/src/admit/tests.rs
+++ b/crates/policy/src/admit/tests.rs
@@ -42,9 +42,9 @@
 #[case::idle(0, Stage::First, None)]
 #[case::short_wait(19, Stage::First, None)]
 #[case::long_wait(21, Stage::First, Some(Code::Overloaded))]
-#[case::long_wait_under_way(21, Stage::Later, None)]
-#[case::hopeless_under_way(700, Stage::Later, Some(Code::Overloaded))]
-fn the_load_is_cut_at_the_first_call(
+#[case::long_wait_later_call(21, Stage::Later, None)]
+#[case::too_long_wait_later_call(700, Stage::Later, Some(Code::Overloaded))]
+fn load_is_shed_at_the_first_call(
     #[case] waiting: usize,
     #[case] stage: Stage,
     #[case] expected: Option<Code>,
@@ -54,12 +54,12 @@
 }
 
 #[rstest]
-#[case::nobody_else(0, 100, None)]
+#[case::none_waiting(0, 100, None)]
 #[case::half(50, 50, Some(Code::QueueFull))]
 #[case::below_half(49, 51, None)]
-#[case::newcomer_finds_room(0, 1, None)]
+#[case::new_caller_finds_capacity(0, 1, None)]
 #[case::full(0, 0, Some(Code::QueueFull))]
-fn a_caller_stops_at_half_of_the_room(
+fn a_caller_is_limited_to_half_of_the_capacity(
     #[case] own: usize,
     #[case] room: usize,
     #[case] expected: Option<Code>,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_cannot_be_met_is_refused_at_once() {
+fn an_unmeetable_deadline_is_refused_at_once() {
     let load = Load {
         waiting: 15,
         ..LOAD
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn those_refused_together_come_back_apart() {
+fn callers_refused_together_retry_at_different_times() {
     let load = Load {
         waiting: 200,
         ..LOAD
@@ -102,22 +102,25 @@
 }
 
 #[test]
-fn the_drain_is_measured_while_something_waits() {
+fn the_drain_rate_is_measured_while_calls_wait() {
     let mut drain = DrainRate::default();
     let start = 1_000;
     for tick in 0..=2 * WINDOW.as_u64() / 100 {
         drain.count(Millis::new(start + tick * 100), 5);
     }
-    let rate = drain.rate().expect("two spells are over");
+    let rate = drain.rate().expect("two windows have ended");
     assert!((rate - 10.0).abs() < 0.6, "{rate}");
     let now = Millis::new(start).plus(WINDOW).plus(WINDOW);
     drain.count(now, 0);
     drain.roll(now.plus(WINDOW));
-    assert!(drain.rate() >= Some(rate), "few arrivals lower it");
+    assert!(
+        drain.rate() >= Some(rate),
+        "a window with few arrivals must not lower the rate"
+    );
 }
 
 #[test]
-fn a_standstill_shows_in_the_drain() {
+fn a_standstill_lowers_the_drain_rate() {
     let mut drain = DrainRate::default();
     let start = Millis::new(1_000);
     for _ in 0..20 {
--- a/crates/policy/src/decay/tests.rs
+++ b/crates/policy/src/decay/tests.rs
@@ -7,7 +7,7 @@
 #[case::fresh(0, 1.0)]
 #[case::one_half_life(5_000, 0.5)]
 #[case::two_half_lives(10_000, 0.25)]
-fn half_of_the_weight_goes_in_each_half_life(#[case] age: u64, #[case] expected: f64) {
-    let left = remaining_weight(Millis::new(age), Millis::new(5_000));
-    assert!((left - expected).abs() < 1e-12, "{left}");
+fn the_weight_halves_with_each_half_life(#[case] age: u64, #[case] expected: f64) {
+    let weight = remaining_weight(Millis::new(age), Millis::new(5_000));
+    assert!((weight - expected).abs() < 1e-12, "{weight}");
 }
--- a/crates/policy/src/decaying_mean/tests.rs
+++ b/crates/policy/src/decaying_mean/tests.rs
@@ -23,10 +23,10 @@
     assert!((weight - 2.0).abs() < 1e-9, "{weight}");
 }
 
-/// An endpoint turns slow. Within two of the samples' half-lives its figure is nearer the new pace
-/// than the old one.
+/// An endpoint becomes slow. Within two half-lives, its mean is nearer the new pace than the old
+/// one.
 #[test]
-fn an_endpoint_that_turns_slow_shows() {
+fn the_mean_follows_an_endpoint_that_becomes_slow() {
     let mut mean = mean(&[2.0; 20]);
     for at in 0..20 {
         mean.add(8.0, NOW.plus(Millis::new(500 * at)));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_not_measured_counts_as_the_middle_one() {
+fn an_unmeasured_endpoint_counts_as_the_median() {
     let pool = [mean(&[3.0]), mean(&[5.0]), mean(&[9.0]), Mean::default()];
     let median = median(pool.into_iter(), 1.0);
     assert!((median - 5.0).abs() < 1e-9);
--- a/crates/policy/src/eject/tests.rs
+++ b/crates/policy/src/eject/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn unlike_speeds_are_no_fault() {
+fn different_speeds_are_no_fault() {
     let mut pool = pool(&[10.0, 15.0, 20.0, 25.0, 30.0]);
     assert_eq!(sweep(&mut pool, NOW), []);
 }
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn the_worst_go_first_and_most_stay() {
+fn the_worst_are_ejected_first_and_most_stay_in_use() {
     let mut pool = pool(&[10.0; 10]);
     for (index, detector) in pool.iter_mut().enumerate() {
-        let failures = u32::try_from(index).expect("ten fit");
+        let failures = u32::try_from(index).expect("ten endpoints fit into u32");
         fail(detector, 10 + failures);
     }
     assert_eq!(ejected(&sweep(&mut pool, NOW)), [9, 8, 7]);
@@ -68,15 +68,15 @@
 }
 
 #[test]
-fn an_endpoint_comes_back_with_a_growing_share() {
+fn a_restored_endpoint_has_a_growing_share() {
     let mut pool = pool(&[10.0; 4]);
     fail(&mut pool[0], 3);
     sweep(&mut pool, NOW);
-    let back = NOW.plus(FIRST_EJECTION);
+    let restored_at = NOW.plus(FIRST_EJECTION);
     let kind = Kind::Back;
-    assert_eq!(sweep(&mut pool, back), [Change { index: 0, kind }]);
-    assert!(pool[0].share(back) < 0.2);
-    assert!(pool[0].share(back.plus(slow_start::DURATION)) >= 1.0);
+    assert_eq!(sweep(&mut pool, restored_at), [Change { index: 0, kind }]);
+    assert!(pool[0].share(restored_at) < 0.2);
+    assert!(pool[0].share(restored_at.plus(slow_start::DURATION)) >= 1.0);
 }
 
 #[test]
@@ -84,11 +84,11 @@
     let mut pool = pool(&[10.0; 4]);
     fail(&mut pool[0], 3);
     sweep(&mut pool, NOW);
-    let back = NOW.plus(FIRST_EJECTION);
-    sweep(&mut pool, back);
+    let restored_at = NOW.plus(FIRST_EJECTION);
+    sweep(&mut pool, restored_at);
     fail(&mut pool[0], 3);
-    sweep(&mut pool, back);
-    let until = back.plus(FIRST_EJECTION).plus(FIRST_EJECTION);
+    sweep(&mut pool, restored_at);
+    let until = restored_at.plus(FIRST_EJECTION).plus(FIRST_EJECTION);
     assert_eq!(pool[0].state(), State::Ejected { until });
 }
 
@@ -99,6 +99,6 @@
 #[case(3, 1)]
 #[case(12, 3)]
 #[case(600, 180)]
-fn some_always_stay(#[case] endpoints: usize, #[case] expected: usize) {
+fn some_endpoints_always_stay_in_use(#[case] endpoints: usize, #[case] expected: usize) {
     assert_eq!(max_ejected(endpoints), expected);
 }
--- a/crates/policy/src/own_calls/tests.rs
+++ b/crates/policy/src/own_calls/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn only_what_the_report_cannot_know_is_added() {
+fn only_changes_after_the_report_count() {
     let mut calls = Calls::default();
     calls.record_sent(at(10));
     calls.record_sent(at(20));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn late_and_crossed_reports_change_nothing() {
+fn late_and_reordered_reports_change_nothing() {
     let mut calls = Calls::default();
     calls.record_sent(at(10));
     calls.record_report(at(20));
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -62,11 +62,11 @@
 #[rstest]
 #[case(0.0, 1)]
 #[case(4.0, 0)]
-fn the_weight_of_cache_decides_between_waiting_and_moving(
+fn the_cache_weight_decides_between_waiting_and_moving(
     #[case] cache: f64,
     #[case] expected: usize,
 ) {
-    // The holder has a wait of 16 s over 15 places for each call ahead; moving costs 4 s of
+    // Waiting for the holder takes 16 s over 15 slots for each call ahead; moving costs 4 s of
     // prefill.
     let holder = Candidate {
         cached: 20_000,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn own_dispatches_since_the_report_count() {
+fn own_calls_since_the_report_count() {
     let sent = Candidate { sent: 16, ..IDLE };
     let busy = Candidate {
         reported: 8,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn equal_endpoints_are_drawn_by_the_salt() {
+fn the_salt_decides_between_equal_endpoints() {
     let pool = [IDLE; 4];
     let mut seen = [false; 4];
     for salt in 0..64 {
@@ -104,44 +104,45 @@
     assert_eq!(seen, [true; 4]);
 }
 
-/// An endpoint fails with sixteen calls of six VMs. All VMs act on the same old report, in which
-/// the other endpoints are alike, and don't hear of each other's dispatches.
+/// An endpoint with sixteen calls of six VMs fails. All VMs act on the same outdated report, in
+/// which the other endpoints are alike, and don't know of each other's new calls.
 #[test]
-fn the_calls_of_a_failed_endpoint_spread_over_the_rest() {
+fn calls_of_a_failed_endpoint_spread_over_the_others() {
     let busy = Candidate {
         reported: 10,
         ..IDLE
     };
-    let mut taken = [0; 8];
+    let mut sent_calls = [0; 8];
     for vm in 0..6 {
-        let mut seen = [busy; 8];
+        let mut candidates = [busy; 8];
         for call in 0..3 {
             let salt = vm * 100 + call;
-            let choice = choose(&seen, &Call { salt, ..CALL }, &LATENCY).expect("all may be used");
-            seen[choice.index].sent += 1;
-            taken[choice.index] += 1;
+            let choice =
+                choose(&candidates, &Call { salt, ..CALL }, &LATENCY).expect("all may be used");
+            candidates[choice.index].sent += 1;
+            sent_calls[choice.index] += 1;
         }
     }
-    assert!(taken.iter().all(|calls| *calls <= 5), "{taken:?}");
+    assert!(sent_calls.iter().all(|calls| *calls <= 5), "{sent_calls:?}");
 }
 
 #[test]
-fn one_report_moves_the_speed_little_and_many_move_it_whole() {
-    let once = smoothed(60.0, 40.0);
-    assert!((once - 58.0).abs() < 1e-9, "{once}");
-    let often = (0..60).fold(60.0, |speed, _| smoothed(speed, 40.0));
-    assert!((often - 40.0).abs() < 0.1, "{often}");
+fn one_report_changes_the_speed_little_and_many_change_it_fully() {
+    let after_one = smoothed(60.0, 40.0);
+    assert!((after_one - 58.0).abs() < 1e-9, "{after_one}");
+    let after_many = (0..60).fold(60.0, |speed, _| smoothed(speed, 40.0));
+    assert!((after_many - 40.0).abs() < 0.1, "{after_many}");
 }
 
 #[test]
-fn endpoints_without_a_share_get_nothing() {
+fn endpoints_without_a_share_get_no_calls() {
     let out = Candidate { share: 0.0, ..IDLE };
     assert_eq!(choose(&[out, out], &CALL, &LATENCY), None);
     assert_eq!(choose(&[], &CALL, &LATENCY), None);
 }
 
 #[test]
-fn urgent_calls_find_the_slots_that_routine_calls_leave() {
+fn urgent_calls_use_the_slots_that_routine_calls_leave_free() {
     let full = Candidate {
         reported: 15,
         ..IDLE
@@ -182,7 +183,7 @@
 #[case(8, 1)]
 #[case(15, 1)]
 #[case(600, 37)]
-fn a_fleet_has_a_lane_in_sixteen(#[case] endpoints: u32, #[case] expected: usize) {
+fn one_endpoint_in_sixteen_is_a_lane(#[case] endpoints: u32, #[case] expected: usize) {
     let speeds: Vec<f64> = (0..endpoints).map(f64::from).collect();
     let lanes = lanes(&speeds);
     let urgent = lanes.iter().filter(|lane| **lane == Lane::Urgent);
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn the_runner_up_is_reported() {
+fn the_runner_up_cost_is_reported() {
     let slow = Candidate {
         speed: 10.0,
         ..IDLE
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn of_equal_endpoints_the_near_one_is_chosen() {
+fn the_nearer_of_equal_endpoints_is_chosen() {
     let far = Candidate {
         network_cost: 3.0,
         ..IDLE
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn a_near_endpoint_that_is_full_loses_to_a_far_one() {
+fn a_far_endpoint_is_chosen_over_a_full_near_one() {
     let far = Candidate {
         network_cost: 3.0,
         ..IDLE
--- a/crates/policy/src/preempt/tests.rs
+++ b/crates/policy/src/preempt/tests.rs
@@ -20,14 +20,14 @@
 #[rstest]
 #[case::urgent(Running { class: Class::Urgent, ..CALL })]
 #[case::not_resumable(Running { resume: Resume::Impossible, ..CALL })]
-#[case::often_enough(Running { preemptions: MAX_PREEMPTIONS, ..CALL })]
-#[case::nearly_done(Running { remaining: MIN_REMAINING.since(Millis::new(1)), ..CALL })]
-fn some_calls_are_never_displaced(#[case] call: Running) {
+#[case::preempted_too_often(Running { preemptions: MAX_PREEMPTIONS, ..CALL })]
+#[case::nearly_finished(Running { remaining: MIN_REMAINING.since(Millis::new(1)), ..CALL })]
+fn ineligible_calls_are_never_preempted(#[case] call: Running) {
     assert_eq!(choose(&[call]), None);
 }
 
 #[test]
-fn the_one_that_loses_least_goes() {
+fn the_call_with_the_cheapest_resumption_is_preempted() {
     let cheap = Running {
         prefill_cost: Millis::new(10),
         ..CALL
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn among_equals_the_most_served_program_goes() {
+fn among_equals_the_program_with_the_most_service_is_preempted() {
     let served = Running {
         attained: Millis::new(60_000),
         ..CALL
--- a/crates/policy/src/prefix/tests.rs
+++ b/crates/policy/src/prefix/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_least_recently_used_part_goes_first() {
+fn the_least_recently_used_part_is_evicted_first() {
     let mut cache = Cache::new(2000);
     cache.note(&[part(1, 400)], Millis::new(1));
     cache.note(&[part(2, 400)], Millis::new(2));
@@ -37,18 +37,24 @@
     assert_eq!(cache.cached(&[part(3, 400)]), 400);
 }
 
-/// Many VMs place the first turns of programs whose long first part is shared, over an idle fleet.
-/// Each knows only what it sent itself. Yields how often an endpoint read a part that another one
-/// had read already, of so many placed turns.
-fn reads_again(vms: usize, endpoints: usize, parts: u64, turns: usize, is_presumed: bool) -> usize {
-    let names: Vec<u64> = (0..endpoints as u64).map(|at| at * 7_919 + 3).collect();
+/// Simulates many VMs that place the first turns of programs with shared long first parts on an
+/// idle fleet, each knowing only what it has sent itself. Returns how often, in `turns` turns, an
+/// endpoint prefilled a part that another endpoint had already prefilled.
+fn repeated_prefills(
+    vms: usize,
+    endpoints: usize,
+    parts: u64,
+    turns: usize,
+    use_presumption: bool,
+) -> usize {
+    let ids: Vec<u64> = (0..endpoints as u64).map(|at| at * 7_919 + 3).collect();
     let mut held = vec![Vec::new(); endpoints];
     let mut known = vec![vec![Vec::new(); endpoints]; vms];
-    let mut reads = 0;
+    let mut prefills = 0;
     for turn in 0..turns {
         let vm = turn * 31 % vms;
         let part = (turn as u64 * 13) % parts + 1;
-        let presumed = super::presumed_holders(part, &names, 5);
+        let presumed = super::presumed_holders(part, &ids, 5);
         let candidate = |at: usize| Candidate {
             slots: 16,
             reported: 0,
@@ -57,7 +63,7 @@
             claimed: 0,
             speed: 700.0,
             prefill: 160_000.0,
-            cached: if known[vm][at].contains(&part) || (is_presumed && presumed[at]) {
+            cached: if known[vm][at].contains(&part) || (use_presumption && presumed[at]) {
                 12_600
             } else {
                 0
@@ -76,34 +82,35 @@
         let chosen = choose(&candidates, &call, &Weights::default()).expect("all are idle");
         if !held[chosen.index].contains(&part) {
             held[chosen.index].push(part);
-            reads += 1;
+            prefills += 1;
         }
         known[vm][chosen.index].push(part);
     }
-    reads - usize::try_from(parts).expect("some tens")
+    prefills - usize::try_from(parts).expect("the number of parts fits into usize")
 }
 
-/// Without a presumption each of 79 VMs sends a shared part to endpoints of its own, until all have
-/// read it; callers wait 77 ms for each, and everyone else at that endpoint is slowed.
+/// Without presumed holders, each of 79 VMs sends a shared part to endpoints of its own choice,
+/// until all endpoints have prefilled it. Callers wait 77 ms for each prefill, and all other calls
+/// at that endpoint are slowed.
 #[test]
-fn many_vms_read_a_shared_part_at_few_endpoints() {
-    let before = reads_again(79, 45, 24, 4_000, false);
-    let after = reads_again(79, 45, 24, 4_000, true);
+fn many_vms_send_a_shared_part_to_few_endpoints() {
+    let before = repeated_prefills(79, 45, 24, 4_000, false);
+    let after = repeated_prefills(79, 45, 24, 4_000, true);
     assert!(before > 800, "{before}");
     assert!(after <= 24 * 4, "{after}");
 }
 
 #[test]
-fn a_small_pool_has_no_presumption() {
+fn a_small_pool_has_no_presumed_holders() {
     assert_eq!(super::presumed_holders(7, &[1, 2, 3], 3), [false; 3]);
     let of_many = super::presumed_holders(7, &(0..45).collect::<Vec<u64>>(), 5);
     assert_eq!(of_many.iter().filter(|presumed| **presumed).count(), 5);
 }
 
-/// The load: two first parts of which one asks for most of the work. Each VM sees few of the turns;
-/// it presumes the popular part at as many endpoints as its work needs, and a rare one at few.
+/// One first part accounts for most of the work, and each VM sees few of the turns. A VM presumes
+/// the popular part at as many endpoints as its work needs, and a rare part at few.
 #[test]
-fn a_popular_part_is_presumed_at_more_endpoints() {
+fn a_popular_part_has_more_presumed_holders() {
     let mut demand = Demand::default();
     for at in 0..100 {
         let first = if at % 10 < 7 { 1 } else { 2 + at };
@@ -121,10 +128,10 @@
     assert!(few.iter().zip(&more).all(|(few, more)| !few || *more));
 }
 
-/// The load: more first parts than are followed, each asked for twice at once, so that none of them
-/// is rare. A VM that followed them all would hold and search as many as there are programs.
+/// There are more first parts than are tracked, each requested twice at once, so that none of them
+/// is rare. A VM that tracked them all would store and search as many as there are programs.
 #[test]
-fn no_more_parts_are_followed_than_the_bound() {
+fn the_number_of_tracked_parts_is_bounded() {
     let mut demand = Demand::default();
     let now = Millis::new(1_000);
     for first in 0..2_000 {
@@ -135,9 +142,9 @@
     assert_eq!(demand.counts.len(), super::MAX_TRACKED);
 }
 
-/// All followed parts were popular and aren't any more. A part that becomes popular now is followed.
+/// All tracked parts were popular and no longer are. A part that becomes popular now is tracked.
 #[test]
-fn a_new_part_takes_a_faded_ones_place() {
+fn a_new_part_replaces_a_part_that_is_no_longer_popular() {
     let mut demand = Demand::default();
     for first in 0..2 * super::MAX_TRACKED as u64 {
         demand.note(first, Millis::new(1_000));
@@ -150,8 +157,8 @@
     assert_eq!(demand.holders(0, 48), 3);
 }
 
-/// Parts are noted at times of their own; each counts by what is left of each note, as all notes
-/// weighed anew at the last one's time would say.
+/// Parts are recorded at different times. Each counts by the decayed weight of its turns, the same
+/// as when all weights are computed afresh at the time of the last turn.
 #[test]
 #[expect(
     clippy::cast_possible_truncation,
@@ -159,7 +166,7 @@
     clippy::cast_precision_loss,
     reason = "the figures are small"
 )]
-fn a_part_counts_by_what_is_left_of_its_turns() {
+fn a_part_counts_by_the_decayed_weight_of_its_turns() {
     let notes: Vec<(u64, u64)> = (0..300).map(|at| (at * at % 5, at * 137)).collect();
     let mut demand = Demand::default();
     for (first, at) in &notes {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -24,7 +24,7 @@
 
 use crate::class::Class;
 
-/// Largest delay of a program's calls by its attained service.
+/// Limit on how far a program's attained service sets its calls back.
 ///
 /// Half of [`MAX_ROUTINE_WAIT`]: a call of the longest program still reaches the front before its
 /// wait ends, as far as its caller's share of the drain rate allows.
--- a/crates/policy/src/queue/tests.rs
+++ b/crates/policy/src/queue/tests.rs
@@ -16,7 +16,7 @@
 };
 
 fn caller(name: &str) -> id::Caller {
-    id::Caller::parse(name).expect("a test's caller is an id")
+    id::Caller::parse(name).expect("the test's caller name is a valid id")
 }
 
 fn entry(item: u32, class: Class, name: &str) -> Entry<u32> {
@@ -38,13 +38,13 @@
 fn filled(entries: Vec<Entry<u32>>) -> Queue<u32> {
     let mut queue = Queue::new(LIMITS);
     for entry in entries {
-        queue.push(entry).expect("the test's calls fit in");
+        queue.push(entry).expect("the calls fit into the queue");
     }
     queue
 }
 
 #[test]
-fn urgent_goes_before_routine() {
+fn urgent_calls_go_before_routine_calls() {
     let mut queue = filled(vec![
         entry(1, Class::Routine, "a"),
         entry(2, Class::Routine, "a"),
@@ -76,7 +76,7 @@
 #[rstest]
 #[case(Class::Urgent)]
 #[case(Class::Routine)]
-fn a_flood_of_one_caller_delays_another_by_one_call(#[case] class: Class) {
+fn a_flood_from_one_caller_delays_another_by_one_call(#[case] class: Class) {
     let mut flood: Vec<_> = (0..6).map(|item| entry(item, class, "flood")).collect();
     flood.push(entry(6, class, "other"));
     flood.push(entry(7, class, "other"));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_caller_cannot_shed_its_share_by_running_empty() {
+fn a_caller_cannot_reset_its_share_by_letting_its_queue_run_empty() {
     let mut queue = filled(vec![
         entry(0, Class::Routine, "greedy"),
         entry(1, Class::Routine, "patient"),
@@ -96,12 +96,12 @@
     assert_eq!(queue.pop().map(|e| e.item), Some(0));
     queue
         .push(entry(3, Class::Routine, "greedy"))
-        .expect("fits");
+        .expect("the call fits");
     assert_eq!(queue.pop().map(|e| e.item), Some(1));
 }
 
 #[test]
-fn routine_calls_leave_the_reserved_room() {
+fn routine_calls_leave_the_reserved_capacity_free() {
     let mut queue = filled((0..8).map(|n| entry(n, Class::Routine, "a")).collect());
     assert!(queue.push(entry(8, Class::Routine, "b")).is_err());
     assert!(queue.push(entry(9, Class::Urgent, "b")).is_ok());
@@ -110,22 +110,22 @@
 }
 
 #[test]
-fn what_expires_is_given_up_and_nothing_else() {
+fn only_expired_calls_are_taken_out() {
     let mut soon = entry(1, Class::Routine, "a");
     soon.expires = Millis::new(50);
     let mut queue = filled(vec![soon, entry(2, Class::Urgent, "a")]);
     assert!(queue.take_expired(Millis::new(49)).is_empty());
-    let gone: Vec<u32> = queue
+    let expired: Vec<u32> = queue
         .take_expired(Millis::new(50))
         .iter()
         .map(|e| e.item)
         .collect();
-    assert_eq!(gone, [1]);
+    assert_eq!(expired, [1]);
     assert_eq!(drain(&mut queue), [2]);
 }
 
 #[test]
-fn a_call_that_does_not_fit_does_not_hold_up_others() {
+fn a_call_that_does_not_fit_does_not_block_others() {
     let mut queue = filled((0..6).map(|n| entry(n, Class::Routine, "a")).collect());
     let taken = queue.pop_where(|e| e.item == 4);
     assert_eq!(taken.map(|e| e.item), Some(4));
@@ -134,15 +134,17 @@
 }
 
 #[test]
-fn a_flood_is_not_ahead_of_others() {
+fn a_flood_does_not_count_as_ahead_of_other_callers() {
     let mut queue = filled((0..6).map(|n| entry(n, Class::Routine, "flood")).collect());
-    queue.push(entry(6, Class::Routine, "other")).expect("fits");
+    queue
+        .push(entry(6, Class::Routine, "other"))
+        .expect("the call fits");
     let ahead = |name: &str| queue.ahead_of(Class::Routine, &caller(name));
     assert_eq!((ahead("new"), ahead("other"), ahead("flood")), (2, 3, 7));
 }
 
 #[test]
-fn removed_calls_are_handed_back() {
+fn removed_calls_are_returned() {
     let mut queue = filled((0..4).map(|n| entry(n, Class::Urgent, "a")).collect());
     assert_eq!(queue.remove(|item| item % 2 == 0).len(), 2);
     assert_eq!(drain(&mut queue), [1, 3]);
--- a/crates/policy/src/retry/tests.rs
+++ b/crates/policy/src/retry/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_the_successes() {
+fn retries_stay_a_share_of_successes() {
     let mut budget = Budget::new(NOW);
     retries(&mut budget, FAILURE, 100);
     for _ in 0..100 {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn urgent_calls_find_tokens_that_routine_calls_left() {
+fn urgent_calls_use_tokens_reserved_from_routine_calls() {
     let mut budget = Budget::new(NOW);
     let urgent = Failure {
         class: Class::Urgent,
@@ -67,7 +67,7 @@
 #[case(Repeat::Once, Ran::No, 1, 1.0)]
 #[case(Repeat::Safe, Ran::Unknown, MAX_TRIES - 1, 1.0)]
 #[case(Repeat::Safe, Ran::Unknown, MAX_TRIES, 0.0)]
-fn only_what_may_be_repeated_is(
+fn only_repeatable_calls_are_retried(
     #[case] repeat: Repeat,
     #[case] ran: Ran,
     #[case] tries: u32,
--- a/crates/policy/tests/patterns.rs
+++ b/crates/policy/tests/patterns.rs
@@ -40,8 +40,8 @@
 }
 
 /// Callers in sum get as much at twice the saturating load as at the load itself. Without a limit
-/// on new programs the queue grows, calls time out one after the other when most of their
-/// program is done, and the endpoints work for nobody.
+/// on new programs the queue grows, calls time out one after the other when most of their program
+/// is done, and the endpoints work for nobody.
 #[test]
 fn saturation_does_not_lower_the_goodput() {
     let peak = play(Pattern::Steady(1.0), Rules::Ours);
@@ -77,8 +77,9 @@
     assert!(burst.routine.p95 * 5 <= simple.routine.p95 * 4, "{burst:?}");
 }
 
-/// Two callers of forty ask for most of 1.3 times what the endpoints can do; each other one still gets most of its fair part.
-/// Without fairness the queue is theirs, and the small callers' programs are those that time out.
+/// Two callers of forty ask for most of 1.3 times what the endpoints can do; each other one still
+/// gets most of its fair part. Without fairness the queue is theirs, and the small callers'
+/// programs are those that time out.
 #[test]
 fn few_callers_do_not_take_the_fleet() {
     let ours = play(Pattern::FewCallers, Rules::Ours);
--- a/crates/policy/tests/stopping.rs
+++ b/crates/policy/tests/stopping.rs
@@ -197,11 +197,11 @@
     all
 }
 
-/// VMs of a data centre are told to stop while others of it still do, so that the balancer has too few
-/// and sends to those that stop as well. What one of them takes is never cut off; what it refuses
-/// comes again, and is lost where it meets another one that stops or is gone. The sooner a process
-/// ends that takes nothing any more, the sooner the next one serves: of a hundred requests around such
-/// a roll at most two are lost, and none where the stops are far enough apart.
+/// VMs of a data centre are told to stop while others of it still do, so that the balancer has too
+/// few and sends to those that stop as well. What one of them takes is never cut off; what it
+/// refuses comes again, and is lost where it meets another one that stops or is gone. The sooner a
+/// process ends that takes nothing any more, the sooner the next one serves: of a hundred requests
+/// around such a roll at most two are lost, and none where the stops are far enough apart.
 #[rstest]
 #[case::three_of_three(3, 1_300, 12.0, 50)]
 #[case::four_of_four(4, 1_000, 12.0, 50)]
--- a/crates/policy/tests/support/dcaf.rs
+++ b/crates/policy/tests/support/dcaf.rs
@@ -1,18 +1,18 @@
-//! Two admission rules after the DCAF paper (Jiang et al., 2020), tried against
-//! `policy::admit`'s limit on the wait of first calls. Neither is used outside of the driver.
+//! Two admission rules after the DCAF paper (Jiang et al., 2020), compared with `policy::admit`'s
+//! limit on the wait of first calls. They are used only in this simulator.
 
-/// Milliseconds of offers that the price is computed from.
+/// The price is computed from the offers of this many milliseconds.
 const WINDOW: u64 = 10_000;
-/// Milliseconds between two prices.
+/// Milliseconds between two updates of the price.
 const RENEW: u64 = 1_000;
 /// Steps of the bisection.
 const STEPS: u32 = 40;
 
 /// A price on work under a fixed budget: the paper's eq. 6 with the actions "refuse" (no gain, no
-/// cost) and "admit", the multiplier by its algorithm 1.
+/// cost) and "admit". The multiplier is found by its algorithm 1.
 #[derive(Clone, Debug)]
 pub struct Price {
-    /// Service that the VM's part of the fleet gives, in milliseconds a millisecond.
+    /// Service that the VM's part of the fleet provides, in milliseconds per millisecond.
     budget: f64,
     offers: Vec<Offer>,
     lambda: f64,
@@ -27,7 +27,7 @@
 }
 
 impl Price {
-    /// Builds the rule for a budget.
+    /// Creates the rule for a budget.
     pub fn new(budget: f64) -> Self {
         Self {
             budget,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Tells whether a job is admitted: where its gain exceeds the price of its cost.
+    /// Returns whether a job is admitted: its gain must be at least the price of its cost.
     pub fn admits(&mut self, now: u64, gain: f64, cost: f64) -> bool {
         self.offers.retain(|offer| offer.at + WINDOW > now);
         self.offers.push(Offer {
@@ -52,7 +52,7 @@
         gain >= self.lambda * cost
     }
 
-    /// Searches for the multiplier at which the admitted cost meets the budget.
+    /// Returns the multiplier at which the admitted cost meets the budget.
     fn solve(&self, span: u64) -> f64 {
         let budget = self.budget * span as f64;
         if self.cost_at(0.0) <= budget {
@@ -79,16 +79,16 @@
     }
 }
 
-/// The paper's weights of the proportional, the summed and the differential part.
+/// The paper's gains of the proportional, the integral and the derivative term.
 const GAINS: [f64; 3] = [1.0, 0.1, 0.2];
-/// The wait that counts as no instability, in milliseconds, as `admit::FIRST_WAIT`.
+/// Setpoint of the wait, in milliseconds, as `admit::MAX_FIRST_WAIT`.
 const TARGET: f64 = 2_000.0;
-/// The bound at rest, in prompt tokens: above nearly all prompts.
+/// The bound without overload, in prompt tokens: above nearly all prompts.
 const AT_REST: f64 = 32_000.0;
-/// The most that the sum counts; without it the bound stays shut long after an overload.
+/// Limit of the integral term; without it, the bound stays low long after an overload.
 const MOST_SUM: f64 = 60.0;
 
-/// A bound on the largest job, moved by feedback on the wait: the paper's algorithm 2.
+/// A bound on the largest job, controlled by feedback on the wait: the paper's algorithm 2.
 #[derive(Clone, Copy, Debug)]
 pub struct MaxPower {
     bound: f64,
@@ -97,7 +97,7 @@
 }
 
 impl MaxPower {
-    /// Builds the rule with its bound at rest.
+    /// Creates the rule with its bound for no overload.
     pub const fn new() -> Self {
         Self {
             bound: AT_REST,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Moves the bound, once a second; each unit of control halves it.
+    /// Updates the bound; called once a second. Each unit of control halves it.
     pub fn renew(&mut self, wait: u64) {
         let error = wait as f64 / TARGET - 1.0;
         self.sum = (self.sum + error).clamp(0.0, MOST_SUM);
@@ -115,7 +115,7 @@
         self.bound = AT_REST * (-control.max(0.0)).exp2();
     }
 
-    /// Tells whether a job of so many prompt tokens is admitted.
+    /// Returns whether a job with this many prompt tokens is admitted.
     pub fn admits(&self, prompt: u64) -> bool {
         prompt as f64 <= self.bound
     }
--- a/crates/policy/tests/support/deployment.rs
+++ b/crates/policy/tests/support/deployment.rs
@@ -2,45 +2,45 @@
 
 use policy::place::Weights;
 
-/// One endpoint's properties.
+/// The properties of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// Calls at once.
+    /// Calls that run at once.
     pub slots: u32,
-    /// Tokens a second for a lone call.
+    /// Tokens per second of a call that runs alone.
     pub speed: f64,
-    /// Prompt tokens a second, all prefills together.
+    /// Prompt tokens per second, for all prefills together.
     pub prefill: f64,
-    /// Tokens that its prefix cache holds.
+    /// Tokens that fit into its prefix cache.
     pub cache: u64,
-    /// How old its load reports are when they come, in milliseconds.
+    /// Age of its load reports on arrival, in milliseconds.
     pub lag: u64,
 }
 
-/// A fleet and what it minds.
+/// A fleet, its cost weights and its workload.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Its name in the table.
     pub name: &'static str,
     /// Its runners.
     pub endpoints: Vec<Endpoint>,
-    /// Its weights.
+    /// Its cost weights.
     pub weights: Weights,
-    /// VMs that dispatch without coordination.
+    /// Number of VMs; they dispatch without coordination.
     pub vms: usize,
-    /// Turns of a mean program.
+    /// Mean number of turns of a program.
     pub turns: f64,
-    /// Prompt tokens of a mean first turn.
+    /// Mean prompt tokens of a first turn.
     pub first: f64,
-    /// Prompt tokens that a mean later turn adds.
+    /// Mean prompt tokens that a later turn adds.
     pub add: f64,
-    /// Tokens that a mean turn generates.
+    /// Mean tokens that a turn generates.
     pub output: f64,
-    /// Milliseconds of a mean tool pause.
+    /// Mean pause for a tool call, in milliseconds.
     pub pause: f64,
 }
 
-/// Yields 15 runners of three speeds; latency weighs more than wasted cache.
+/// Returns 15 runners of three speeds; latency weighs more than wasted cache.
 pub fn unlike_runners() -> Deployment {
     let endpoint = |n: u32| Endpoint {
         slots: 16,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Yields 12 runners and programs of many turns; wasted cache weighs more than latency.
+/// Returns 12 runners and programs of many turns; wasted cache weighs more than latency.
 pub fn long_programs() -> Deployment {
     let endpoint = |n: u32| Endpoint {
         slots: 16,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Yields a fleet for tests: nine runners of three speeds, and three VMs.
+/// Returns a fleet for tests: nine runners of three speeds, and three VMs.
 pub fn small() -> Deployment {
     let mut of = unlike_runners();
     of.name = "small";
@@ -99,7 +99,7 @@
     of
 }
 
-/// Spreads the lags over the brief's 0.2 to 2 s.
+/// Spreads the lags between 0.2 and 2 s.
 fn lag(n: u32) -> u64 {
     200 + u64::from(n) * 777 % 1_800
 }
--- a/crates/policy/tests/support/driver.rs
+++ b/crates/policy/tests/support/driver.rs
@@ -1,4 +1,4 @@
-//! The event loop: callers ask, VMs decide, endpoints work, reports arrive late.
+//! The event loop: callers send requests, VMs decide, endpoints run calls, reports arrive late.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -27,62 +27,63 @@
 mod dispatch;
 mod failure;
 
-/// How long a caller waits for one turn, with all its tries, before it gives the program up.
+/// How long a caller waits for one turn, with all its attempts, before it gives up the program, in
+/// milliseconds.
 pub const PATIENCE: u64 = 60_000;
-/// How often endpoints report.
+/// Interval between the reports of an endpoint, in milliseconds.
 const REPORT: u64 = 500;
-/// How often VMs look after their queues.
+/// Interval at which VMs process their queues, in milliseconds.
 const TICK: u64 = 100;
-/// How often VMs judge the endpoints.
+/// Interval at which VMs eject and restore endpoints, in milliseconds.
 const SWEEP: u64 = 1_000;
-/// How many times slower the fault of [`Pattern::SlowEndpoint`] makes an endpoint.
+/// How many times slower an endpoint becomes in [`Pattern::SlowEndpoint`].
 const SLOWER: f64 = 10.0;
 
-/// What happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A caller asks for the turn that its program is at.
+    /// A caller requests the current turn of its program.
     Ask { program: usize },
-    /// A caller's patience for a turn ends.
+    /// A caller's time limit for a turn ends.
     Tire { program: usize, turn: usize },
-    /// A call at an endpoint changes its phase, unless the epoch is over.
+    /// A call at an endpoint completes a phase. Ignored if the engine's epoch has changed.
     Work { endpoint: usize, epoch: u64 },
-    /// An endpoint makes a report.
+    /// An endpoint sends a report.
     Report { endpoint: usize },
     /// A report arrives at the VMs.
     Hear { endpoint: usize, report: usize },
-    /// VMs look after their queues.
+    /// VMs process their queues.
     Tick,
-    /// VMs judge the endpoints.
+    /// VMs eject and restore endpoints.
     Sweep,
-    /// An endpoint begins to fail its calls.
+    /// An endpoint starts to fail its calls.
     Crash { endpoint: usize },
-    /// It works again.
+    /// The endpoint works as before the failure.
     Mend { endpoint: usize },
     /// A call that was sent to a failing endpoint fails.
     Fail { endpoint: usize, job: usize },
-    /// A VM tries a call again.
+    /// A VM retries a call.
     Retry { program: usize },
     /// An endpoint becomes slow.
     Fault { endpoint: usize },
 }
 
-/// Where a program stands.
+/// The progress of a program.
 #[derive(Clone, Copy, Debug, Default)]
 struct Standing {
     turn: usize,
-    /// When the turn was first asked.
+    /// When the turn was first requested; 0 if it hasn't been.
     asked: u64,
     /// Tokens of the committed history.
     history: u64,
     /// Tokens that some endpoint has computed.
     known: u64,
-    /// Tokens of this turn generated before a displacement.
+    /// Tokens of this turn that were generated before a preemption.
     made: u64,
-    /// Service had, in milliseconds.
+    /// Service received, in milliseconds.
     attained: u64,
     displaced: u32,
-    /// How often this turn's call was tried.
+    /// Number of attempts of this turn's call.
     tries: u32,
     home: Option<Home>,
     sent: Option<Sent>,
@@ -94,7 +95,7 @@
     at: u64,
 }
 
-/// A run in progress.
+/// A simulation in progress.
 pub struct Driver<'a> {
     programs: &'a [Program],
     standings: Vec<Standing>,
@@ -111,7 +112,7 @@
     lags: Vec<u64>,
 }
 
-/// Plays the programs under one policy; counts those that begin after `warm`.
+/// Simulates the programs under one set of rules; counts those that begin after `warm`.
 pub fn play(
     of: &Deployment,
     rules: Rules,
--- a/crates/policy/tests/support/driver/dispatch.rs
+++ b/crates/policy/tests/support/driver/dispatch.rs
@@ -1,4 +1,5 @@
-//! How calls get from a VM's door to an endpoint: admission, queue, placement, displacement.
+//! The path of a call from its arrival at a VM to an endpoint: admission, queue, placement,
+//! preemption.
 
 use policy::admit;
 use policy::class::Class;
@@ -19,11 +20,12 @@
 use crate::support::vm;
 use crate::support::work::Program;
 
-/// The `retry_after` of the rules that are tried: about what ours yields at twice the load.
+/// The `retry_after` of the compared admission rules: about what this crate returns at twice the
+/// load.
 const TRIED_RETRY: Millis = Millis::new(3_000);
 /// How soon a failing endpoint fails a call, in milliseconds.
 const FAIL_TIME: u64 = 5;
-/// Prompt tokens of a mean call, for the cost that the price is put on.
+/// Prompt tokens of a mean call, to compute the cost that the price applies to.
 const MEAN_PROMPT: f64 = 3_000.0;
 
 impl Driver<'_> {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Asks the rule of the DCAF paper that is tried, if any.
+    /// Returns whether the compared admission rule admits the call, if there is one.
     fn tried_rule_admits(&mut self, at: usize, program: usize) -> bool {
         let of = &self.programs[program];
         if of.class == Class::Urgent {
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Lets a caller come back, if its patience lasts so long.
+    /// Schedules the caller's next request, or gives up the program if that would exceed the
+    /// caller's time limit.
     pub(super) fn refuse(&mut self, program: usize, retry_after: Option<Millis>) {
         self.records[program].refusals += 1;
         let back = self.now + retry_after.unwrap_or(admit::MIN_RETRY_AFTER).as_u64();
@@ -107,7 +110,7 @@
         self.records[program].ended = self.now;
     }
 
-    /// Sends what can be sent.
+    /// Sends the waiting calls that can be sent.
     pub(super) fn pump(&mut self, at: usize) {
         match self.vms[at].rules {
             Rules::FifoLeast => self.pump_fifo(at),
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Gives the places of routine calls to urgent ones that wait.
+    /// Preempts routine calls in favour of waiting urgent ones.
     fn displace(&mut self, at: usize) {
         for _ in 0..self.vms[at].queue.waiting(Class::Urgent) {
             let under_way = self.vms[at].under_way.iter().copied();
--- a/crates/policy/tests/support/driver/failure.rs
+++ b/crates/policy/tests/support/driver/failure.rs
@@ -1,4 +1,4 @@
-//! What happens to a call that an endpoint fails.
+//! Handling of calls that an endpoint fails.
 
 use policy::admit;
 use policy::eject;
@@ -13,8 +13,8 @@
 use crate::support::rules::Rules;
 
 impl Driver<'_> {
-    /// Takes in that a call failed: by our rules the VM tries again while its budget lasts, by the
-    /// others the caller comes back.
+    /// Handles a failed call. Under this crate's rules the VM retries while its budget lasts; under
+    /// the others the caller sends the request anew.
     pub(super) fn fail(&mut self, endpoint: usize, job: &Job) {
         let now = self.millis();
         let program = job.program;
@@ -30,7 +30,7 @@
             return;
         }
         if self.vms[job.vm].rules != Rules::Ours {
-            // A sticky program keeps its endpoint, failing or not.
+            // A sticky program keeps its endpoint even if the endpoint fails.
             self.refuse(program, Some(admit::MIN_RETRY_AFTER));
             return;
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Puts a call back into the queue, at the time at which it came first.
+    /// Puts a call back into the queue with the time of its first arrival.
     pub(super) fn retry(&mut self, program: usize) {
         if self.records[program].fate != Fate::Open {
             return;
--- a/crates/policy/tests/support/engine.rs
+++ b/crates/policy/tests/support/engine.rs
@@ -1,5 +1,6 @@
-//! An endpoint: slots, continuous batching, prefill and a bounded prefix cache (least recently
-//! used goes first). Calls that find no slot wait at it, urgent ones first where told.
+//! Models an endpoint: slots, continuous batching, prefill, and a bounded prefix cache that evicts
+//! the least recently used program. Calls without a slot wait at the endpoint; if it is told the
+//! class of calls, the urgent ones go first.
 
 use policy::class::Class;
 
@@ -7,9 +8,9 @@
 
 /// How much slower each call generates in a full batch than alone.
 const BATCH: f64 = 0.5;
-/// The rate at which calls generate while a prompt is prefilled beside them.
+/// Factor on the generation rate of calls while a prompt is prefilled beside them.
 const BESIDE_PREFILL: f64 = 0.7;
-/// What is left of a phase when it counts as done, in tokens.
+/// A phase with fewer tokens left than this is complete.
 const DONE: f64 = 1e-6;
 
 /// A call at an endpoint.
@@ -21,7 +22,7 @@
     pub vm: usize,
     /// Its class, as the engine is told.
     pub class: Class,
-    /// Tokens of the prompt, with what was generated before a displacement.
+    /// Tokens of the prompt, including what was generated before a preemption.
     pub prompt: u64,
     /// Tokens to generate.
     pub output: u64,
@@ -29,15 +30,15 @@
     pub sent: u64,
     /// When it got its slot.
     pub begun: u64,
-    /// Prompt tokens left to prefill.
+    /// Prompt tokens that remain to be prefilled.
     pub miss: f64,
-    /// Prompt tokens that the cache lacked when it began.
+    /// Prompt tokens that the cache lacked when it got its slot.
     pub missed: u64,
-    /// Tokens left to generate.
+    /// Tokens that remain to be generated.
     pub left: f64,
 }
 
-/// Whether an endpoint answers.
+/// Whether an endpoint works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// It works.
@@ -46,28 +47,28 @@
     Failing,
 }
 
-/// An endpoint's state.
+/// The state of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// Its properties.
     pub spec: Endpoint,
     /// Calls that have a slot.
     pub running: Vec<Job>,
-    /// Calls that have none.
+    /// Calls that wait for a slot.
     pub waiting: Vec<Job>,
-    /// Programs and the tokens held of them, least recently used first.
+    /// Programs and their cached tokens, least recently used first.
     pub cache: Vec<(usize, u64)>,
-    /// How many times slower than its properties say.
+    /// How many times slower it is than its properties say.
     pub fault: f64,
-    /// Whether it answers.
+    /// Whether it works.
     pub health: Health,
-    /// Grows with each change; an event of an earlier one is void.
+    /// Grows with each change; an event of an earlier epoch is void.
     pub epoch: u64,
     updated: u64,
 }
 
 impl Engine {
-    /// Builds an idle endpoint.
+    /// Creates an idle endpoint.
     pub fn new(spec: Endpoint) -> Self {
         Self {
             spec,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes a call.
+    /// Accepts a call.
     pub fn take(&mut self, job: Job, now: u64) {
         self.advance(now);
         let at = match job.class {
@@ -92,7 +93,7 @@
         self.start(now);
     }
 
-    /// Moves time on; yields the calls that ended.
+    /// Advances to a time; returns the calls that ended.
     pub fn step(&mut self, now: u64) -> Vec<Job> {
         self.advance(now);
         let ended: Vec<Job> = self
@@ -106,7 +107,7 @@
         ended
     }
 
-    /// Stops a call; yields it, with what it has generated missing from `left`.
+    /// Stops a call and returns it; what it has generated is missing from `output_left`.
     pub fn cancel(&mut self, program: usize, now: u64) -> Option<Job> {
         self.advance(now);
         if let Some(at) = self.waiting.iter().position(|j| j.program == program) {
@@ -122,7 +123,7 @@
         Some(job)
     }
 
-    /// Yields when the next call changes its phase.
+    /// Returns when the next call completes a phase.
     pub fn next(&self) -> Option<u64> {
         let (prefill, generate) = self.rates();
         let spans = self.running.iter().map(|job| {
@@ -136,18 +137,18 @@
         Some(self.updated + (least * 1000.0).ceil().max(1.0) as u64)
     }
 
-    /// Yields the tokens a second that one call gets now.
+    /// Returns the current generation rate of one call, in tokens per second.
     pub fn pace(&self) -> f64 {
         self.rates().1
     }
 
-    /// Yields the tokens held of a program.
+    /// Returns the cached tokens of a program.
     pub fn held(&self, program: usize) -> u64 {
         let found = self.cache.iter().find(|(held, _)| *held == program);
         found.map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Breaks the endpoint; yields the calls that fail by it.
+    /// Makes the endpoint fail; returns the calls that fail with it.
     pub fn crash(&mut self, now: u64) -> Vec<Job> {
         self.advance(now);
         self.health = Health::Failing;
@@ -158,7 +159,7 @@
         failed
     }
 
-    /// Changes the endpoint's fault.
+    /// Changes how many times slower the endpoint is.
     pub fn set_fault(&mut self, times: f64, now: u64) {
         self.advance(now);
         self.fault = times;
@@ -189,7 +190,7 @@
         self.updated = now;
     }
 
-    /// Yields the rates of one prefill and of one generating call.
+    /// Returns the rates of one prefill and of one generating call.
     fn rates(&self) -> (f64, f64) {
         let prefills = self.running.iter().filter(|job| job.miss > DONE).count();
         let prefill = self.spec.prefill / self.fault / (prefills as f64).max(1.0);
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small virtual-clock driver around the decisions: endpoints, VMs and callers as plain state,
-//! an event heap, no network. It plays a pattern of load under one policy and tells what callers
-//! got. Shared by the example `patterns` and the tests.
+//! A small simulator for the policy decisions, on a virtual clock: endpoints, VMs and callers are
+//! plain state, driven by an event heap, without a network. It runs a load pattern under one set of
+//! rules and reports the results for the callers. Shared by the example `patterns` and the tests.
 
 #![allow(
     dead_code,
--- a/crates/policy/tests/support/outcome.rs
+++ b/crates/policy/tests/support/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! Results of a run for the callers.
 
 use hdrhistogram::Histogram;
 use policy::class::Class;
@@ -7,39 +7,39 @@
 use super::work::FLOODER;
 use super::work::Program;
 
-/// The longest program latency that is told apart, in milliseconds.
+/// Longest program latency that the histogram distinguishes, in milliseconds.
 const LONGEST: u64 = 100_000_000;
 
-/// What became of a program.
+/// The state of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It isn't over.
+    /// It is in progress.
     Open,
-    /// It finished whole.
+    /// All its turns were answered.
     Whole,
-    /// Its caller gave up on it, after refusals or for want of an answer.
+    /// Its caller gave up on it, after refusals or for lack of an answer.
     Lost,
 }
 
-/// One program's record.
+/// The record of one program.
 #[derive(Clone, Copy, Debug)]
 pub struct Record {
-    /// What became of it.
+    /// Its state.
     pub fate: Fate,
-    /// When it was over.
+    /// When it ended.
     pub ended: u64,
     /// Time between its requests and their answers, summed over its turns.
     pub latency: u64,
-    /// Tokens of history that were prefilled again.
+    /// Tokens of history that were prefilled repeatedly.
     pub again: u64,
-    /// Whether any of its calls was refused.
+    /// Number of its calls that were refused.
     pub refusals: u32,
     /// Tokens generated for it, in calls that ended.
     pub made: u64,
 }
 
 impl Record {
-    /// Builds the record of a program that hasn't begun.
+    /// Creates the record of a program that hasn't begun.
     pub const fn new() -> Self {
         Self {
             fate: Fate::Open,
@@ -52,45 +52,45 @@
     }
 }
 
-/// Percentiles of program latency in milliseconds.
+/// Percentiles of program latency, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Latency {
-    /// How many programs it is made of.
+    /// Number of programs.
     pub count: u64,
     /// The median.
     pub p50: u64,
-    /// 95 in 100 are below.
+    /// The 95th percentile.
     pub p95: u64,
-    /// 99 in 100 are below.
+    /// The 99th percentile.
     pub p99: u64,
 }
 
 /// A line of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// Urgent programs that finished.
+    /// Latency of finished urgent programs.
     pub urgent: Latency,
-    /// Urgent programs that finished, without those of [`FLOODER`].
+    /// Latency of finished urgent programs, without those of [`FLOODER`].
     pub others: Latency,
-    /// Routine programs that finished.
+    /// Latency of finished routine programs.
     pub routine: Latency,
-    /// The share of urgent programs that didn't finish.
+    /// Share of urgent programs that didn't finish.
     pub urgent_lost: f64,
-    /// The share of urgent programs that didn't finish, without those of [`FLOODER`].
+    /// Share of urgent programs that didn't finish, without those of [`FLOODER`].
     pub others_lost: f64,
-    /// The share of routine programs that didn't finish.
+    /// Share of routine programs that didn't finish.
     pub routine_lost: f64,
-    /// Thousands of history tokens prefilled again for each hundred programs begun.
+    /// Thousands of history tokens prefilled repeatedly, per hundred programs begun.
     pub again: f64,
-    /// The least that a caller got of what max-min fairness gives it.
+    /// Smallest ratio of a caller's share to its max-min fair share.
     pub worst: f64,
-    /// Tokens a second of programs that finished whole.
+    /// Tokens per second of finished programs.
     pub goodput: f64,
-    /// Tokens a second that were generated, whether of use or not.
+    /// Tokens generated per second, useful or not.
     pub generated: f64,
 }
 
-/// Sums the records of programs that began within a window up.
+/// Summarizes the records of the programs that began within a window.
 pub fn sum(programs: &[Program], records: &[Record], from: u64, until: u64) -> Outcome {
     let all = || programs.iter().zip(records);
     let within = || all().filter(|(p, _)| p.arrival >= from && p.arrival < until);
@@ -141,7 +141,7 @@
     lost / f64::max(count, 1.0)
 }
 
-/// Yields the least ratio of what a caller got to its max-min fair part of all that was got.
+/// Returns the smallest ratio of what a caller received to its max-min fair share of the total.
 fn worst<'a>(of: impl Iterator<Item = (&'a Program, &'a Record)>) -> f64 {
     let mut asked = [0.0; CALLERS];
     let mut got = [0.0; CALLERS];
@@ -157,7 +157,8 @@
     ratios.fold(1.0, f64::min)
 }
 
-/// Yields the part of each caller that asks for more, where `total` is shared out max-min fairly.
+/// Returns the share of each caller that wants more than its share, if `total` is split max-min
+/// fairly.
 fn water_level(asked: &[f64], total: f64) -> f64 {
     let mut sorted = asked.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/policy/tests/support/rules.rs
+++ b/crates/policy/tests/support/rules.rs
@@ -1,30 +1,34 @@
-//! The policies that are compared.
+//! The sets of rules that are compared.
 
 /// How VMs decide.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rules {
-    /// By this crate.
+    /// With the decisions of this crate.
     Ours,
-    /// By this crate, with new programs let in by the price of eq. 6 of the DCAF paper.
+    /// With the decisions of this crate, but new programs are admitted by the price of eq. 6 of the
+    /// DCAF paper.
     Price,
-    /// By this crate, with routine calls bounded in size by algorithm 2 of the DCAF paper.
+    /// With the decisions of this crate, but the size of routine calls is bounded by algorithm 2 of
+    /// the DCAF paper.
     MaxPower,
-    /// The same bound for first calls only.
+    /// Like [`Self::MaxPower`], but only for first calls.
     MaxPowerFirst,
-    /// By this crate, with nothing refused before the queue's own limits.
+    /// With the decisions of this crate, but no call is refused before the queue's own limits are
+    /// reached.
     Unlimited,
-    /// One first-in-first-out queue at the VM, then the endpoint with the least outstanding.
+    /// One first-in, first-out queue at the VM, then the endpoint with the fewest outstanding
+    /// calls.
     FifoLeast,
-    /// Each call to the next endpoint in turn, at once.
+    /// Sends each call at once to the next endpoint in turn.
     RoundRobin,
-    /// Each call to the endpoint with the least outstanding, at once.
+    /// Sends each call at once to the endpoint with the fewest outstanding calls.
     LeastOutstanding,
-    /// Each program to one endpoint for good, drawn in turn, at once.
+    /// Binds each program to the next endpoint in turn, and sends its calls there at once.
     Sticky,
 }
 
 impl Rules {
-    /// All of them, ours first.
+    /// The compared rules, this crate's first.
     pub const ALL: [Self; 5] = [
         Self::Ours,
         Self::FifoLeast,
@@ -33,7 +37,7 @@
         Self::Sticky,
     ];
 
-    /// The ways to let programs in, ours first.
+    /// The compared rules for admission, this crate's first.
     pub const ADMISSION: [Self; 5] = [
         Self::Ours,
         Self::Price,
@@ -42,7 +46,7 @@
         Self::Unlimited,
     ];
 
-    /// Yields the name in the table.
+    /// Returns the name in the table.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ours => "ours",
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -1,4 +1,4 @@
-//! A VM: its queue, its view of the endpoints, and how it chooses among them.
+//! Models a VM: its queue, its view of the endpoints, and how it chooses among them.
 
 use std::collections::VecDeque;
 
@@ -18,19 +18,19 @@
 use super::deployment::Deployment;
 use super::rules::Rules;
 
-/// The weight of the latest call in a VM's means of output and service.
+/// Weight of the latest call in a VM's means of output and service.
 const FRESH: f64 = 0.05;
 
-/// What an endpoint says of itself.
+/// A load report of an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// When it said so.
+    /// When it was sent.
     pub at: u64,
     /// Calls that run or wait there.
     pub calls: u32,
-    /// Tokens a second for one call.
+    /// Tokens per second of one call.
     pub speed: f64,
-    /// Programs and tokens that its cache holds, sorted by program.
+    /// Programs and tokens in its cache, sorted by program.
     pub held: Vec<(usize, u64)>,
 }
 
@@ -39,7 +39,7 @@
 pub struct View {
     /// Its slots.
     pub slots: u32,
-    /// Its rate of prefill.
+    /// Its prefill rate.
     pub prefill: f64,
     /// Its last report.
     pub report: Report,
@@ -47,37 +47,37 @@
     pub ledger: Calls,
 }
 
-/// What a VM knows of a call that waits.
+/// What a VM knows of a waiting call.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     /// Its program.
     pub program: usize,
-    /// What its placement depends on.
+    /// The properties that its placement depends on.
     pub placed: place::Call,
     /// Where the program's last call ended.
     pub home: Option<Home>,
 }
 
-/// Where a program's prefix was left.
+/// The endpoint that has a program's prefix.
 #[derive(Clone, Copy, Debug)]
 pub struct Home {
     /// The endpoint.
     pub endpoint: usize,
-    /// Tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
-    /// When.
+    /// When the call ended.
     pub at: u64,
 }
 
-/// A VM's state.
+/// The state of a VM.
 pub struct Vm {
     /// How it decides.
     pub rules: Rules,
     /// The deployment's weights.
     pub weights: place::Weights,
-    /// What waits, by our rules.
+    /// The waiting calls under this crate's rules.
     pub queue: Queue<usize>,
-    /// What waits, first in first out.
+    /// The waiting calls under first-in, first-out rules.
     pub fifo: VecDeque<usize>,
     /// Programs whose calls are at endpoints.
     pub under_way: Vec<usize>,
@@ -85,28 +85,28 @@
     pub drain: admit::DrainRate,
     /// The endpoints.
     pub views: Vec<View>,
-    /// What they are kept for.
+    /// Which calls the endpoints are reserved for.
     pub lanes: Vec<place::Lane>,
-    /// What it saw them do.
+    /// The VM's observations of the endpoints.
     pub detectors: Vec<eject::Detector>,
-    /// The price of work, where that rule is tried.
+    /// The price of work, for the rules that use it.
     pub price: Price,
-    /// The bound on work, where that rule is tried.
+    /// The bound on the size of work, for the rules that use it.
     pub power: MaxPower,
-    /// The retries that it may make.
+    /// The retries that it may still make.
     pub retries: retry::Budget,
-    /// Its generator.
+    /// Its random generator.
     pub rng: ChaCha8Rng,
-    /// Mean tokens of a call.
+    /// Mean number of tokens that a call generates.
     pub output: f64,
-    /// Mean service of a call, in milliseconds.
+    /// Mean service time of a call, in milliseconds.
     pub service: f64,
-    /// The endpoint whose turn it is.
+    /// The endpoint that the last call in turn went to.
     turn: usize,
 }
 
 impl Vm {
-    /// Builds a VM that knows the endpoints and nothing of their load.
+    /// Creates a VM that knows the endpoints but not their load.
     pub fn new(of: &Deployment, rules: Rules, number: usize) -> Self {
         let view = |spec: &super::deployment::Endpoint| View {
             slots: spec.slots,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes in a report.
+    /// Processes a load report.
     pub fn hear(&mut self, endpoint: usize, report: &Report) {
         let view = &mut self.views[endpoint];
         view.ledger.record_report(Millis::new(report.at));
@@ -147,7 +147,7 @@
         view.report.speed = place::smoothed(speed, report.speed);
     }
 
-    /// Judges the endpoints.
+    /// Ejects and restores endpoints, and updates the lanes.
     pub fn sweep(&mut self, now: Millis) {
         eject::sweep(&mut self.detectors, now);
         let speed = |(view, detector): (&View, &eject::Detector)| {
@@ -167,13 +167,13 @@
         self.power.renew(wait.wait().as_u64());
     }
 
-    /// Takes in what a call was like.
+    /// Updates the means with a completed call.
     pub fn learn(&mut self, output: u64, service: u64) {
         self.output += FRESH * (output as f64 - self.output);
         self.service += FRESH * (service as f64 - self.service);
     }
 
-    /// Chooses an endpoint for a call that is sent at once, by a rule without a queue.
+    /// Chooses an endpoint for a call that is sent at once, under rules without a queue.
     pub fn direct(&mut self, home: Option<usize>) -> usize {
         match self.rules {
             Rules::Sticky => home.unwrap_or_else(|| self.next_in_turn()),
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Yields the endpoint with the fewest calls, and among equals the next in turn.
+    /// Returns the endpoint with the fewest calls, and among equals the next in turn.
     pub fn least_outstanding(&mut self) -> usize {
         let first = self.next_in_turn();
         let count = self.views.len();
@@ -191,7 +191,7 @@
         least.unwrap_or(first)
     }
 
-    /// Tells whether an endpoint is thought to have a free slot.
+    /// Returns whether an endpoint is expected to have a free slot.
     pub fn has_slot(&self, endpoint: usize) -> bool {
         let view = &self.views[endpoint];
         outstanding(view) < view.slots
@@ -207,16 +207,16 @@
 pub struct Fleet<'a> {
     /// The endpoints.
     pub views: &'a [View],
-    /// What they are kept for.
+    /// Which calls the endpoints are reserved for.
     pub lanes: &'a [place::Lane],
-    /// What the VM saw them do.
+    /// The VM's observations of the endpoints.
     pub detectors: &'a [eject::Detector],
     /// The deployment's weights.
     pub weights: &'a place::Weights,
 }
 
 impl Fleet<'_> {
-    /// Yields the endpoints as they are for a call of which nothing is cached anywhere.
+    /// Returns the endpoints as candidates for a call without any cached prefix.
     pub fn candidates(&self, now: Millis) -> Vec<place::Candidate> {
         let endpoints = self.views.iter().zip(self.detectors).zip(self.lanes);
         let candidate = |((view, detector), lane): ((&View, &eject::Detector), &place::Lane)| {
@@ -237,7 +237,7 @@
         endpoints.map(candidate).collect()
     }
 
-    /// Chooses the endpoint of a call by our rules.
+    /// Chooses the endpoint of a call by this crate's rules.
     pub fn choose(
         &self,
         call: &Call,
@@ -250,8 +250,8 @@
     }
 }
 
-/// Yields what an endpoint is thought to hold: what the VM itself left there since the report, else
-/// what the report says.
+/// Returns how many of the call's tokens the endpoint is expected to have cached: what the VM
+/// itself left there since the report, otherwise what the report says.
 fn cached(index: usize, view: &View, call: &Call) -> u64 {
     if let Some(home) = call.home
         && home.endpoint == index
--- a/crates/policy/tests/support/work.rs
+++ b/crates/policy/tests/support/work.rs
@@ -1,5 +1,5 @@
-//! The patterns of load: who asks what, when. Made before a run, so that every policy gets the
-//! same programs.
+//! The load patterns: which caller sends what, and when. Programs are generated before a run, so
+//! that every set of rules gets the same ones.
 
 use policy::class::Class;
 use rand::RngExt;
@@ -8,12 +8,12 @@
 
 use super::deployment::Deployment;
 
-/// A pattern of load.
+/// A load pattern.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pattern {
     /// Arrivals at a share of the saturating load.
     Steady(f64),
-    /// 0.6 of the load, with five times as much for ten seconds each minute.
+    /// 0.6 of the load, and five times as much for ten seconds in each minute.
     Burst,
     /// Two callers of forty send most of 1.3 times the load.
     FewCallers,
@@ -23,16 +23,16 @@
     SlowEndpoint,
     /// 0.7 of the load; the fastest endpoint fails every call in the middle third of the time.
     FailingEndpoint,
-    /// 0.9 of the load, a twentieth of the programs ten times as long.
+    /// 0.9 of the load; a twentieth of the programs are ten times as long.
     LongAmongShort,
     /// Only the urgent programs of twice the load.
     UrgentAlone,
-    /// 4 times the load in programs, most of it one caller's urgent work, which is short.
+    /// Four times the load in programs; most of it is one caller's urgent calls, in short programs.
     UrgentFlood,
 }
 
 impl Pattern {
-    /// Yields its name in the table.
+    /// Returns its name in the table.
     pub fn name(self) -> String {
         match self {
             Self::Steady(load) => format!("steady {load:.2}"),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Yields the load as a share of the saturating one at a time.
+    /// Returns the load at a time, as a share of the saturating load.
     fn load(self, at: u64) -> f64 {
         match self {
             Self::Steady(load) => load,
@@ -63,29 +63,29 @@
     }
 }
 
-/// How many callers there are.
+/// Number of callers.
 pub const CALLERS: usize = 40;
 /// The caller that floods in [`Pattern::UrgentFlood`].
 pub const FLOODER: usize = 0;
-/// The share of programs that are urgent.
+/// Share of programs that are urgent.
 const URGENT: f64 = 0.03;
-/// The turns of a mean urgent program.
+/// Mean number of turns of an urgent program.
 const URGENT_TURNS: f64 = 2.0;
-/// The most turns, from the letter's largest program.
+/// Most turns of a program, as in the largest program of the modelled workload.
 const MOST_TURNS: usize = 77;
 
-/// One turn.
+/// A turn of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Turn {
     /// Prompt tokens that it adds.
     pub add: u64,
     /// Tokens that it generates.
     pub output: u64,
-    /// The tool pause after it, in milliseconds.
+    /// Pause for a tool call after it, in milliseconds.
     pub pause: u64,
 }
 
-/// One program.
+/// A program.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// Its caller.
@@ -99,13 +99,13 @@
 }
 
 impl Program {
-    /// Yields the tokens that it generates in all.
+    /// Returns the tokens that it generates in total.
     pub fn output(&self) -> u64 {
         self.turns.iter().map(|turn| turn.output).sum()
     }
 }
 
-/// Makes the programs of a pattern; `rate` is the saturating load in programs a second.
+/// Generates the programs of a pattern; `rate` is the saturating load in programs per second.
 pub fn programs(
     of: &Deployment,
     pattern: Pattern,
@@ -177,12 +177,12 @@
     rng.random_range(heavy..CALLERS)
 }
 
-/// Draws from the exponential distribution.
+/// Returns a sample of the exponential distribution.
 fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// Draws a positive number whose mean is the one given: half of it plus an exponential half.
+/// Returns a positive random number with the given mean: half of the mean plus an exponential half.
 fn around(rng: &mut ChaCha8Rng, mean: f64) -> u64 {
     (mean / 2.0 + exponential(rng, mean / 2.0)).ceil() as u64
 }
