--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,8 +1,8 @@
-//! What a decision costs: nanoseconds and allocations of a placement by the number of endpoints,
-//! and of taking a call out of the queue by the number that wait.
+//! Measures the cost of decisions, in nanoseconds and allocations: of a placement by the number of
+//! endpoints, and of taking a call out of the queue by the number of waiting calls.
 //!
-//! A plain timing loop, as the slope is printed beside the points; the best of some rounds is
-//! taken, since other work on the machine only ever adds time.
+//! Uses a plain timing loop, so that it can also print the slope between the points. The best of
+//! several rounds counts, because other work on the machine only adds time.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -19,12 +19,12 @@
 
 const ENDPOINTS: [u32; 3] = [15, 150, 600];
 const WAITING: [u32; 3] = [10, 1_000, 10_000];
-/// Callers that the waiting calls are spread over.
+/// Number of callers among which the waiting calls are distributed.
 const CALLERS: u32 = 40;
-/// The letter's number of workspaces, for the cost of many callers.
-const WORKSPACES: u32 = 3_700;
+/// Number of workspaces of a large deployment, for the cost of many callers.
+const MANY_CALLERS: u32 = 3_700;
 const ROUNDS: u32 = 20;
-const LOOPS: u32 = 500;
+const ITERATIONS: u32 = 500;
 
 fn main() {
     println!(
@@ -35,12 +35,12 @@
     slope("place::choose, ns an endpoint", points[0], points[2]);
     let points = ENDPOINTS.map(|count| (count, sweep(count)));
     slope("eject::sweep, ns an endpoint", points[0], points[2]);
-    for callers in [CALLERS, WORKSPACES] {
-        let points = WAITING.map(|count| (count, turnover(count, callers)));
+    for callers in [CALLERS, MANY_CALLERS] {
+        let points = WAITING.map(|count| (count, push_and_pop(count, callers)));
         slope("queue push and pop, ns a call", points[0], points[2]);
     }
-    let points = WAITING.map(|count| (count, give_up(count)));
-    slope("queue::give_up, ns a call", points[0], points[2]);
+    let points = WAITING.map(|count| (count, take_expired(count)));
+    slope("queue::take_expired, ns a call", points[0], points[2]);
     for count in WAITING {
         admission(count);
     }
@@ -91,23 +91,25 @@
     })
 }
 
-fn turnover(count: u32, callers: u32) -> f64 {
+fn push_and_pop(count: u32, callers: u32) -> f64 {
     let mut queue = filled(count, callers);
     let name = format!("queue push and pop, {callers} callers");
     report(&name, count, || {
-        let entry = queue.pop().expect("the queue stays filled");
-        queue.push(entry).expect("its place is free");
+        let entry = queue.pop().expect("the queue is never empty");
+        queue
+            .push(entry)
+            .expect("the popped call left its capacity free");
     })
 }
 
-fn give_up(count: u32) -> f64 {
+fn take_expired(count: u32) -> f64 {
     let mut queue = filled(count, CALLERS);
-    let mut soon = entry(0, CALLERS);
-    soon.expires = Millis::new(1);
-    report("queue::give_up, one expired", count, || {
+    let mut expired = entry(0, CALLERS);
+    expired.expires = Millis::new(1);
+    report("queue::take_expired, one expired", count, || {
         queue
-            .push(soon.clone())
-            .expect("there is room for one more");
+            .push(expired.clone())
+            .expect("the queue has capacity for one more call");
         black_box(queue.take_expired(Millis::new(1)));
     })
 }
@@ -138,7 +140,9 @@
     };
     let mut queue = queue::Queue::new(limits);
     for item in 0..count {
-        queue.push(entry(item, callers)).expect("they fit in");
+        queue
+            .push(entry(item, callers))
+            .expect("the queue has capacity for all calls");
     }
     queue
 }
@@ -147,7 +151,8 @@
     queue::Entry {
         item,
         class: Class::Routine,
-        caller: id::Caller::parse(&format!("caller-{}", item % callers)).expect("it is an id"),
+        caller: id::Caller::parse(&format!("caller-{}", item % callers))
+            .expect("the caller name is a valid id"),
         attained: Millis::new(u64::from(item * 37 % 60_000)),
         cost: Millis::new(3_000),
         arrived: Millis::new(u64::from(item)),
@@ -155,15 +160,15 @@
     }
 }
 
-/// Measures a decision and prints its line; yields the nanoseconds.
+/// Measures a decision and prints its row; returns the nanoseconds.
 fn report(name: &str, size: u32, mut decide: impl FnMut()) -> f64 {
     let mut best = f64::INFINITY;
     for _ in 0..ROUNDS {
         let start = Instant::now();
-        for _ in 0..LOOPS {
+        for _ in 0..ITERATIONS {
             decide();
         }
-        let each = start.elapsed().as_secs_f64() * 1e9 / f64::from(LOOPS);
+        let each = start.elapsed().as_secs_f64() * 1e9 / f64::from(ITERATIONS);
         best = best.min(each);
     }
     let counted = allocation_counter::measure(&mut decide);
--- a/crates/policy/examples/patterns/main.rs
+++ b/crates/policy/examples/patterns/main.rs
@@ -1,6 +1,6 @@
-//! Plays patterns of load under this crate's decisions and under simpler ones, for the sizes and
-//! weights of both deployments, and prints what callers got. Fixed seeds: the same figures at each
-//! run.
+//! Simulates load patterns under this crate's decisions and under simpler rules, with the sizes and
+//! weights of both deployments, and prints the results for callers. The seeds are fixed, so each
+//! run prints the same figures.
 #![allow(
     clippy::cast_precision_loss,
     reason = "times and counts of a run stay far below 2^52"
@@ -20,14 +20,14 @@
 use support::work;
 use support::work::Pattern;
 
-/// Milliseconds of a run, the first of which aren't counted.
+/// Duration of a run in milliseconds, including [`WARM`], which isn't counted.
 const SPAN: u64 = 900_000;
-/// Milliseconds until the load has settled: several times a mean program's length.
+/// Milliseconds until the load has settled: several times the duration of a mean program.
 const WARM: u64 = 300_000;
-/// The seed of the work.
+/// Seed of the generated programs.
 const SEED: u64 = 1;
 
-/// Threads that play runs side by side.
+/// Number of threads that simulate runs in parallel.
 const THREADS: usize = 6;
 
 const PATTERNS: [Pattern; 9] = [
@@ -42,7 +42,7 @@
     Pattern::UrgentFlood,
 ];
 
-const ADMITTED: [Pattern; 4] = [
+const ADMISSION_PATTERNS: [Pattern; 4] = [
     Pattern::Steady(0.9),
     Pattern::Steady(1.2),
     Pattern::Steady(2.0),
@@ -55,67 +55,69 @@
 struct Run {
     pattern: Pattern,
     rules: Rules,
-    /// Programs a second that count as load 1.
+    /// Programs per second that count as load 1.
     rate: f64,
 }
 
-/// Plays both deployments, or the one that the first argument names; a second argument is a seed
-/// in place of [`SEED`].
+/// Simulates both deployments, or the one that the first argument names. The second argument is a
+/// seed to use instead of [`SEED`].
 fn main() {
     let only = std::env::args().nth(1);
     let seed = std::env::args().nth(2);
     let seed = seed.map_or(SEED, |text| text.parse().expect("the seed is a number"));
-    for of in [deployment::unlike_runners(), deployment::long_programs()] {
-        if only.as_ref().is_none_or(|name| name == of.name) {
-            deployment_table(&of, seed);
+    for deployment in [deployment::mixed_runners(), deployment::long_programs()] {
+        if only.as_ref().is_none_or(|name| name == deployment.name) {
+            deployment_table(&deployment, seed);
         }
     }
 }
 
-fn deployment_table(of: &Deployment, seed: u64) {
+fn deployment_table(deployment: &Deployment, seed: u64) {
     let rules = [Rules::FifoLeast, Rules::Sticky, Rules::Ours];
-    let saturating = parallel::map(&rules, THREADS, |rules| capacity::saturating(of, *rules));
+    let carried = parallel::map(&rules, THREADS, |rules| {
+        capacity::carried_load(deployment, *rules)
+    });
     println!(
         "\n{}: {} runners, {} VMs",
-        of.name,
-        of.endpoints.len(),
-        of.vms
+        deployment.name,
+        deployment.endpoints.len(),
+        deployment.vms
     );
-    for (rules, rate) in rules.iter().zip(&saturating) {
+    for (rules, rate) in rules.iter().zip(&carried) {
         println!("carried: {rate:.2} programs/s by {}", rules.name());
     }
     println!(
         "\npatterns, load 1 = {:.2} programs/s, what fifo + least outstanding carries:",
-        saturating[0]
+        carried[0]
     );
     let runs = PATTERNS
         .iter()
-        .flat_map(|pattern| with_all(*pattern, saturating[0]));
-    table(of, seed, &runs.collect::<Vec<_>>());
-    let most = capacity::limit(of, Rules::Ours);
-    println!("\nloads, load 1 = {most:.2} programs/s, what the endpoints can do by ours:");
+        .flat_map(|pattern| with_all_rules(*pattern, carried[0]));
+    table(deployment, seed, &runs.collect::<Vec<_>>());
+    let limit = capacity::saturating_load(deployment, Rules::Ours);
+    println!("\nloads, load 1 = {limit:.2} programs/s, the limit of the endpoints under ours:");
     let loads = LOADS
         .iter()
-        .flat_map(|load| with_all(Pattern::Steady(*load), most));
+        .flat_map(|load| with_all_rules(Pattern::Steady(*load), limit));
     let mut runs: Vec<Run> = loads.collect();
     runs.push(Run {
         pattern: Pattern::UrgentAlone,
         rules: Rules::Ours,
-        rate: most,
+        rate: limit,
     });
-    table(of, seed, &runs);
-    println!("\nways to let programs in, load 1 = {most:.2} programs/s:");
-    let ways = ADMITTED.iter().flat_map(|pattern| {
+    table(deployment, seed, &runs);
+    println!("\nadmission rules, load 1 = {limit:.2} programs/s:");
+    let admission_runs = ADMISSION_PATTERNS.iter().flat_map(|pattern| {
         Rules::ADMISSION.into_iter().map(|rules| Run {
             pattern: *pattern,
             rules,
-            rate: most,
+            rate: limit,
         })
     });
-    table(of, seed, &ways.collect::<Vec<_>>());
+    table(deployment, seed, &admission_runs.collect::<Vec<_>>());
 }
 
-fn with_all(pattern: Pattern, rate: f64) -> impl Iterator<Item = Run> {
+fn with_all_rules(pattern: Pattern, rate: f64) -> impl Iterator<Item = Run> {
     Rules::ALL.into_iter().map(move |rules| Run {
         pattern,
         rules,
@@ -123,13 +125,13 @@
     })
 }
 
-fn table(of: &Deployment, seed: u64, runs: &[Run]) {
-    table::head();
+fn table(deployment: &Deployment, seed: u64, runs: &[Run]) {
+    table::print_header();
     let outcomes = parallel::map(runs, THREADS, |run| {
-        let work = work::programs(of, run.pattern, run.rate, SPAN, seed);
-        driver::play(of, run.rules, run.pattern, &work, WARM, SPAN)
+        let programs = work::programs(deployment, run.pattern, run.rate, SPAN, seed);
+        driver::simulate(deployment, run.rules, run.pattern, &programs, WARM, SPAN)
     });
     for (run, outcome) in runs.iter().zip(&outcomes) {
-        table::line(&run.pattern.name(), run.rules.name(), outcome);
+        table::print_row(&run.pattern.name(), run.rules.name(), outcome);
     }
 }
--- a/crates/policy/examples/patterns/parallel.rs
+++ b/crates/policy/examples/patterns/parallel.rs
@@ -1,19 +1,24 @@
-//! Runs that don't depend on each other, side by side.
+//! Runs independent simulations in parallel.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 use std::thread;
 
-/// Applies a function to each item on a few threads; the results stand in the items' order.
-pub fn map<T: Sync, R: Send>(items: &[T], threads: usize, of: impl Fn(&T) -> R + Sync) -> Vec<R> {
+/// Applies a function to each item on several threads; returns the results in the order of the
+/// items.
+pub fn map<T: Sync, R: Send>(
+    items: &[T],
+    threads: usize,
+    apply: impl Fn(&T) -> R + Sync,
+) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let done = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some((index, item)) = take(items, &next) {
-                    let result = of(item);
+                    let result = apply(item);
                     done.lock().expect("no run panics").push((index, result));
                 }
             });
--- a/crates/policy/tests/support/dcaf.rs
+++ b/crates/policy/tests/support/dcaf.rs
@@ -4,7 +4,7 @@
 /// The price is computed from the offers of this many milliseconds.
 const WINDOW: u64 = 10_000;
 /// Milliseconds between two updates of the price.
-const RENEW: u64 = 1_000;
+const UPDATE_INTERVAL: u64 = 1_000;
 /// Steps of the bisection.
 const STEPS: u32 = 40;
 
@@ -16,7 +16,7 @@
     budget: f64,
     offers: Vec<Offer>,
     lambda: f64,
-    renewed: u64,
+    updated: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
             budget,
             offers: Vec::new(),
             lambda: 0.0,
-            renewed: 0,
+            updated: 0,
         }
     }
 
@@ -45,8 +45,8 @@
             gain,
             cost,
         });
-        if self.renewed + RENEW <= now {
-            self.renewed = now;
+        if self.updated + UPDATE_INTERVAL <= now {
+            self.updated = now;
             self.lambda = self.solve(now.min(WINDOW));
         }
         gain >= self.lambda * cost
@@ -84,9 +84,9 @@
 /// Setpoint of the wait, in milliseconds, as `admit::MAX_FIRST_WAIT`.
 const TARGET: f64 = 2_000.0;
 /// The bound without overload, in prompt tokens: above nearly all prompts.
-const AT_REST: f64 = 32_000.0;
+const RESTING_BOUND: f64 = 32_000.0;
 /// Limit of the integral term; without it, the bound stays low long after an overload.
-const MOST_SUM: f64 = 60.0;
+const MAX_SUM: f64 = 60.0;
 
 /// A bound on the largest job, controlled by feedback on the wait: the paper's algorithm 2.
 #[derive(Clone, Copy, Debug)]
@@ -100,19 +100,19 @@
     /// Creates the rule with its bound for no overload.
     pub const fn new() -> Self {
         Self {
-            bound: AT_REST,
+            bound: RESTING_BOUND,
             sum: 0.0,
             last: 0.0,
         }
     }
 
     /// Updates the bound; called once a second. Each unit of control halves it.
-    pub fn renew(&mut self, wait: u64) {
+    pub fn update(&mut self, wait: u64) {
         let error = wait as f64 / TARGET - 1.0;
-        self.sum = (self.sum + error).clamp(0.0, MOST_SUM);
+        self.sum = (self.sum + error).clamp(0.0, MAX_SUM);
         let control = GAINS[0] * error + GAINS[1] * self.sum + GAINS[2] * (error - self.last);
         self.last = error;
-        self.bound = AT_REST * (-control.max(0.0)).exp2();
+        self.bound = RESTING_BOUND * (-control.max(0.0)).exp2();
     }
 
     /// Returns whether a job with this many prompt tokens is admitted.
--- a/crates/policy/tests/support/deployment.rs
+++ b/crates/policy/tests/support/deployment.rs
@@ -31,9 +31,9 @@
     /// Mean number of turns of a program.
     pub turns: f64,
     /// Mean prompt tokens of a first turn.
-    pub first: f64,
+    pub first_prompt: f64,
     /// Mean prompt tokens that a later turn adds.
-    pub add: f64,
+    pub added_prompt: f64,
     /// Mean tokens that a turn generates.
     pub output: f64,
     /// Mean pause for a tool call, in milliseconds.
@@ -41,7 +41,7 @@
 }
 
 /// Returns 15 runners of three speeds; latency weighs more than wasted cache.
-pub fn unlike_runners() -> Deployment {
+pub fn mixed_runners() -> Deployment {
     let endpoint = |n: u32| Endpoint {
         slots: 16,
         speed: [30.0, 60.0, 90.0][n as usize % 3],
@@ -58,8 +58,8 @@
         },
         vms: 6,
         turns: 6.0,
-        first: 1_500.0,
-        add: 300.0,
+        first_prompt: 1_500.0,
+        added_prompt: 300.0,
         output: 150.0,
         pause: 2_000.0,
     }
@@ -83,8 +83,8 @@
         },
         vms: 6,
         turns: 12.0,
-        first: 1_500.0,
-        add: 400.0,
+        first_prompt: 1_500.0,
+        added_prompt: 400.0,
         output: 150.0,
         pause: 4_000.0,
     }
@@ -92,11 +92,11 @@
 
 /// Returns a fleet for tests: nine runners of three speeds, and three VMs.
 pub fn small() -> Deployment {
-    let mut of = unlike_runners();
-    of.name = "small";
-    of.endpoints.truncate(9);
-    of.vms = 3;
-    of
+    let mut deployment = mixed_runners();
+    deployment.name = "small";
+    deployment.endpoints.truncate(9);
+    deployment.vms = 3;
+    deployment
 }
 
 /// Spreads the lags between 0.2 and 2 s.
--- a/crates/policy/tests/support/driver.rs
+++ b/crates/policy/tests/support/driver.rs
@@ -13,11 +13,11 @@
 use super::engine::Health;
 use super::engine::Job;
 use super::outcome;
-use super::outcome::Fate;
 use super::outcome::Outcome;
 use super::outcome::Record;
+use super::outcome::Status;
 use super::rules::Rules;
-use super::vm::Home;
+use super::vm::PrefixLocation;
 use super::vm::Report;
 use super::vm::Vm;
 use super::work::CALLERS;
@@ -29,29 +29,29 @@
 
 /// How long a caller waits for one turn, with all its attempts, before it gives up the program, in
 /// milliseconds.
-pub const PATIENCE: u64 = 60_000;
+pub const CALLER_TIMEOUT: u64 = 60_000;
 /// Interval between the reports of an endpoint, in milliseconds.
-const REPORT: u64 = 500;
+const REPORT_INTERVAL: u64 = 500;
 /// Interval at which VMs process their queues, in milliseconds.
-const TICK: u64 = 100;
+const TICK_INTERVAL: u64 = 100;
 /// Interval at which VMs eject and restore endpoints, in milliseconds.
-const SWEEP: u64 = 1_000;
+const SWEEP_INTERVAL: u64 = 1_000;
 /// How many times slower an endpoint becomes in [`Pattern::SlowEndpoint`].
-const SLOWER: f64 = 10.0;
+const SLOWDOWN: f64 = 10.0;
 
 /// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A caller requests the current turn of its program.
-    Ask { program: usize },
+    Request { program: usize },
     /// A caller's time limit for a turn ends.
-    Tire { program: usize, turn: usize },
+    Timeout { program: usize, turn: usize },
     /// A call at an endpoint completes a phase. Ignored if the engine's epoch has changed.
-    Work { endpoint: usize, epoch: u64 },
+    PhaseEnd { endpoint: usize, epoch: u64 },
     /// An endpoint sends a report.
     Report { endpoint: usize },
     /// A report arrives at the VMs.
-    Hear { endpoint: usize, report: usize },
+    ReportArrival { endpoint: usize, report: usize },
     /// VMs process their queues.
     Tick,
     /// VMs eject and restore endpoints.
@@ -59,33 +59,33 @@
     /// An endpoint starts to fail its calls.
     Crash { endpoint: usize },
     /// The endpoint works as before the failure.
-    Mend { endpoint: usize },
+    Recover { endpoint: usize },
     /// A call that was sent to a failing endpoint fails.
     Fail { endpoint: usize, job: usize },
     /// A VM retries a call.
     Retry { program: usize },
     /// An endpoint becomes slow.
-    Fault { endpoint: usize },
+    SlowDown { endpoint: usize },
 }
 
 /// The progress of a program.
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
+struct Progress {
     turn: usize,
     /// When the turn was first requested; 0 if it hasn't been.
-    asked: u64,
+    requested: u64,
     /// Tokens of the committed history.
     history: u64,
     /// Tokens that some endpoint has computed.
-    known: u64,
+    computed: u64,
     /// Tokens of this turn that were generated before a preemption.
-    made: u64,
+    generated: u64,
     /// Service received, in milliseconds.
     attained: u64,
-    displaced: u32,
+    preemptions: u32,
     /// Number of attempts of this turn's call.
     tries: u32,
-    home: Option<Home>,
+    prefix_location: Option<PrefixLocation>,
     sent: Option<Sent>,
 }
 
@@ -98,7 +98,7 @@
 /// A simulation in progress.
 pub struct Driver<'a> {
     programs: &'a [Program],
-    standings: Vec<Standing>,
+    progress: Vec<Progress>,
     records: Vec<Record>,
     engines: Vec<Engine>,
     vms: Vec<Vm>,
@@ -113,60 +113,68 @@
 }
 
 /// Simulates the programs under one set of rules; counts those that begin after `warm`.
-pub fn play(
-    of: &Deployment,
+pub fn simulate(
+    deployment: &Deployment,
     rules: Rules,
     pattern: Pattern,
     programs: &[Program],
     warm: u64,
     span: u64,
 ) -> Outcome {
-    let mut driver = Driver::new(of, rules, programs);
+    let mut driver = Driver::new(deployment, rules, programs);
     if pattern == Pattern::SlowEndpoint {
-        let endpoint = fastest(of);
-        driver.at(span / 3, Event::Fault { endpoint });
+        let endpoint = fastest(deployment);
+        driver.at(span / 3, Event::SlowDown { endpoint });
     }
     if pattern == Pattern::FailingEndpoint {
-        let endpoint = fastest(of);
+        let endpoint = fastest(deployment);
         driver.at(span / 3, Event::Crash { endpoint });
-        driver.at(span * 2 / 3, Event::Mend { endpoint });
+        driver.at(span * 2 / 3, Event::Recover { endpoint });
     }
-    driver.run(span + 10 * PATIENCE);
-    outcome::sum(programs, &driver.records, warm, span)
+    driver.run(span + 10 * CALLER_TIMEOUT);
+    outcome::summarize(programs, &driver.records, warm, span)
 }
 
-fn fastest(of: &Deployment) -> usize {
-    let endpoints = of.endpoints.iter().enumerate();
+fn fastest(deployment: &Deployment) -> usize {
+    let endpoints = deployment.endpoints.iter().enumerate();
     let best = endpoints.max_by(|a, b| a.1.speed.total_cmp(&b.1.speed));
     best.map_or(0, |(index, _)| index)
 }
 
 impl<'a> Driver<'a> {
-    fn new(of: &Deployment, rules: Rules, programs: &'a [Program]) -> Self {
-        let caller = |n: usize| id::Caller::parse(&format!("caller-{n}")).expect("it is an id");
+    fn new(deployment: &Deployment, rules: Rules, programs: &'a [Program]) -> Self {
+        let caller = |n: usize| {
+            id::Caller::parse(&format!("caller-{n}")).expect("the caller name is a valid id")
+        };
         let mut driver = Self {
             programs,
-            standings: vec![Standing::default(); programs.len()],
+            progress: vec![Progress::default(); programs.len()],
             records: vec![Record::new(); programs.len()],
-            engines: of.endpoints.iter().map(|e| Engine::new(*e)).collect(),
-            vms: (0..of.vms).map(|n| Vm::new(of, rules, n)).collect(),
+            engines: deployment
+                .endpoints
+                .iter()
+                .map(|e| Engine::new(*e))
+                .collect(),
+            vms: (0..deployment.vms)
+                .map(|n| Vm::new(deployment, rules, n))
+                .collect(),
             reports: Vec::new(),
             failing: Vec::new(),
             callers: (0..CALLERS).map(caller).collect(),
             events: BinaryHeap::new(),
             sequence: 0,
             now: 0,
-            lags: of.endpoints.iter().map(|e| e.lag).collect(),
+            lags: deployment.endpoints.iter().map(|e| e.lag).collect(),
         };
-        for (program, of) in programs.iter().enumerate() {
-            driver.at(of.arrival, Event::Ask { program });
+        for (program, spec) in programs.iter().enumerate() {
+            driver.at(spec.arrival, Event::Request { program });
         }
-        for endpoint in 0..of.endpoints.len() {
-            let stagger = endpoint as u64 * REPORT / of.endpoints.len() as u64;
-            driver.at(stagger, Event::Report { endpoint });
+        for endpoint in 0..deployment.endpoints.len() {
+            let offset = endpoint as u64 * REPORT_INTERVAL / deployment.endpoints.len() as u64;
+            driver.at(offset, Event::Report { endpoint });
         }
-        driver.at(TICK, Event::Tick);
-        driver.at(SWEEP, Event::Sweep);
+        driver.at(TICK_INTERVAL, Event::Tick);
+        driver.at(SWEEP_INTERVAL, Event::Sweep);
         driver
     }
 
@@ -187,14 +195,14 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask { program } => self.ask(program),
-            Event::Tire { program, turn } => self.tire(program, turn),
-            Event::Work { endpoint, epoch } if self.engines[endpoint].epoch == epoch => {
-                self.work(endpoint);
+            Event::Request { program } => self.request(program),
+            Event::Timeout { program, turn } => self.time_out(program, turn),
+            Event::PhaseEnd { endpoint, epoch } if self.engines[endpoint].epoch == epoch => {
+                self.advance_engine(endpoint);
             }
-            Event::Work { .. } => {}
+            Event::PhaseEnd { .. } => {}
             Event::Report { endpoint } => self.report(endpoint),
-            Event::Hear { endpoint, report } => self.hear(endpoint, report),
+            Event::ReportArrival { endpoint, report } => self.receive_report(endpoint, report),
             Event::Tick => self.tick(),
             Event::Sweep => self.sweep(),
             Event::Crash { endpoint } => {
@@ -202,14 +210,14 @@
                     self.fail(endpoint, &job);
                 }
             }
-            Event::Mend { endpoint } => self.engines[endpoint].health = Health::Up,
+            Event::Recover { endpoint } => self.engines[endpoint].health = Health::Up,
             Event::Fail { endpoint, job } => {
                 let job = self.failing[job].clone();
                 self.fail(endpoint, &job);
             }
             Event::Retry { program } => self.retry(program),
-            Event::Fault { endpoint } => {
-                self.engines[endpoint].set_fault(SLOWER, self.now);
+            Event::SlowDown { endpoint } => {
+                self.engines[endpoint].set_slowdown(SLOWDOWN, self.now);
                 self.schedule(endpoint);
             }
         }
@@ -219,15 +227,15 @@
         Millis::new(self.now)
     }
 
-    fn ask(&mut self, program: usize) {
-        if self.records[program].fate != Fate::Open {
+    fn request(&mut self, program: usize) {
+        if self.records[program].status != Status::Open {
             return;
         }
-        let standing = &mut self.standings[program];
-        if standing.asked == 0 {
-            standing.asked = self.now.max(1);
-            let turn = standing.turn;
-            self.at(self.now + PATIENCE, Event::Tire { program, turn });
+        let progress = &mut self.progress[program];
+        if progress.requested == 0 {
+            progress.requested = self.now.max(1);
+            let turn = progress.turn;
+            self.at(self.now + CALLER_TIMEOUT, Event::Timeout { program, turn });
         }
         let vm = program % self.vms.len();
         match self.vms[vm].rules {
@@ -238,21 +246,23 @@
             | Rules::Unlimited => self.admit(vm, program),
             Rules::FifoLeast => {
                 self.vms[vm].fifo.push_back(program);
-                self.pump(vm);
+                self.dispatch(vm);
             }
             Rules::RoundRobin | Rules::LeastOutstanding | Rules::Sticky => {
-                let home = self.standings[program].home.map(|home| home.endpoint);
-                let endpoint = self.vms[vm].direct(home);
+                let prefix_endpoint = self.progress[program]
+                    .prefix_location
+                    .map(|location| location.endpoint);
+                let endpoint = self.vms[vm].choose_without_queue(prefix_endpoint);
                 self.send(vm, program, endpoint);
             }
         }
     }
 
-    fn tire(&mut self, program: usize, turn: usize) {
-        if self.records[program].fate != Fate::Open || self.standings[program].turn != turn {
+    fn time_out(&mut self, program: usize, turn: usize) {
+        if self.records[program].status != Status::Open || self.progress[program].turn != turn {
             return;
         }
-        self.lose(program);
+        self.mark_lost(program);
         let vm = program % self.vms.len();
         self.vms[vm].queue.remove(|item| *item == program);
         self.vms[vm].fifo.retain(|item| *item != program);
@@ -261,12 +271,12 @@
     fn schedule(&mut self, endpoint: usize) {
         let engine = &self.engines[endpoint];
         let epoch = engine.epoch;
-        if let Some(time) = engine.next() {
-            self.at(time, Event::Work { endpoint, epoch });
+        if let Some(time) = engine.next_event() {
+            self.at(time, Event::PhaseEnd { endpoint, epoch });
         }
     }
 
-    fn work(&mut self, endpoint: usize) {
+    fn advance_engine(&mut self, endpoint: usize) {
         let ended = self.engines[endpoint].step(self.now);
         self.schedule(endpoint);
         for job in ended {
@@ -276,78 +286,78 @@
 
     fn finish(&mut self, endpoint: usize, job: &Job) {
         let now = self.millis();
-        let service = self.now - job.begun;
+        let service = self.now - job.started;
         let vm = &mut self.vms[job.vm];
         vm.views[endpoint]
-            .ledger
+            .own_calls
             .record_ended(Millis::new(job.sent), now);
-        vm.under_way.retain(|sent| *sent != job.program);
-        vm.learn(job.output, service);
+        vm.in_flight.retain(|sent| *sent != job.program);
+        vm.update_means(job.output, service);
         let pace = service as f64 / job.output as f64;
         vm.detectors[endpoint].note(eject::Sample::Done { pace });
         vm.retries.succeed();
         let record = &mut self.records[job.program];
-        let standing = &mut self.standings[job.program];
-        let had = job.prompt - job.missed;
-        record.again += standing.known.min(job.prompt).saturating_sub(had);
-        record.made += job.output;
-        standing.sent = None;
-        standing.history = job.prompt + job.output;
-        standing.known = standing.history;
-        standing.attained += service;
-        standing.made = 0;
-        standing.home = Some(Home {
+        let progress = &mut self.progress[job.program];
+        let cached = job.prompt - job.cache_miss;
+        record.recomputed += progress.computed.min(job.prompt).saturating_sub(cached);
+        record.generated += job.output;
+        progress.sent = None;
+        progress.history = job.prompt + job.output;
+        progress.computed = progress.history;
+        progress.attained += service;
+        progress.generated = 0;
+        progress.prefix_location = Some(PrefixLocation {
             endpoint,
-            tokens: standing.history,
+            tokens: progress.history,
             at: self.now,
         });
-        if record.fate == Fate::Open {
+        if record.status == Status::Open {
             self.answer(job.program);
         }
-        self.pump(job.vm);
+        self.dispatch(job.vm);
     }
 
     fn answer(&mut self, program: usize) {
-        let of = &self.programs[program];
-        let standing = &mut self.standings[program];
+        let spec = &self.programs[program];
+        let progress = &mut self.progress[program];
         let record = &mut self.records[program];
-        record.latency += self.now - standing.asked;
-        let pause = of.turns[standing.turn].pause;
-        standing.asked = 0;
-        standing.tries = 0;
-        standing.turn += 1;
-        if standing.turn == of.turns.len() {
-            record.fate = Fate::Whole;
+        record.latency += self.now - progress.requested;
+        let pause = spec.turns[progress.turn].pause;
+        progress.requested = 0;
+        progress.tries = 0;
+        progress.turn += 1;
+        if progress.turn == spec.turns.len() {
+            record.status = Status::Finished;
             record.ended = self.now;
             return;
         }
-        self.at(self.now + pause, Event::Ask { program });
+        self.at(self.now + pause, Event::Request { program });
     }
 
     fn report(&mut self, endpoint: usize) {
         let engine = &self.engines[endpoint];
-        let mut held = engine.cache.clone();
-        held.sort_unstable();
+        let mut cached = engine.cache.clone();
+        cached.sort_unstable();
         let report = Report {
             at: self.now,
             calls: (engine.running.len() + engine.waiting.len()) as u32,
-            speed: engine.pace(),
-            held,
+            speed: engine.speed(),
+            cached,
         };
         self.reports.push(report);
         let report = self.reports.len() - 1;
         self.at(
             self.now + self.lags[endpoint],
-            Event::Hear { endpoint, report },
+            Event::ReportArrival { endpoint, report },
         );
-        self.at(self.now + REPORT, Event::Report { endpoint });
+        self.at(self.now + REPORT_INTERVAL, Event::Report { endpoint });
     }
 
-    fn hear(&mut self, endpoint: usize, report: usize) {
+    fn receive_report(&mut self, endpoint: usize, report: usize) {
         let report = std::mem::take(&mut self.reports[report]);
         for at in 0..self.vms.len() {
-            self.vms[at].hear(endpoint, &report);
-            self.pump(at);
+            self.vms[at].receive_report(endpoint, &report);
+            self.dispatch(at);
         }
     }
 
@@ -362,9 +372,9 @@
                 let refusal = admit::refuse_expired(&load, &mut vm.rng);
                 self.refuse(entry.item, refusal.retry_after);
             }
-            self.pump(at);
+            self.dispatch(at);
         }
-        self.at(self.now + TICK, Event::Tick);
+        self.at(self.now + TICK_INTERVAL, Event::Tick);
     }
 
     fn sweep(&mut self) {
@@ -372,6 +382,6 @@
         for vm in &mut self.vms {
             vm.sweep(now);
         }
-        self.at(self.now + SWEEP, Event::Sweep);
+        self.at(self.now + SWEEP_INTERVAL, Event::Sweep);
     }
 }
--- a/crates/policy/tests/support/driver/failure.rs
+++ b/crates/policy/tests/support/driver/failure.rs
@@ -9,7 +9,7 @@
 use super::Driver;
 use super::Event;
 use crate::support::engine::Job;
-use crate::support::outcome::Fate;
+use crate::support::outcome::Status;
 use crate::support::rules::Rules;
 
 impl Driver<'_> {
@@ -19,14 +19,14 @@
         let now = self.millis();
         let program = job.program;
         let vm = &mut self.vms[job.vm];
-        vm.under_way.retain(|sent| *sent != program);
+        vm.in_flight.retain(|sent| *sent != program);
         vm.views[endpoint]
-            .ledger
+            .own_calls
             .record_ended(Millis::new(job.sent), now);
         vm.detectors[endpoint].note(eject::Sample::Failed);
-        let standing = &mut self.standings[program];
-        standing.sent = None;
-        if self.records[program].fate != Fate::Open {
+        let progress = &mut self.progress[program];
+        progress.sent = None;
+        if self.records[program].status != Status::Open {
             return;
         }
         if self.vms[job.vm].rules != Rules::Ours {
@@ -38,7 +38,7 @@
             class: job.class,
             repeat: retry::Repeat::Safe,
             ran: Ran::Unknown,
-            tries: standing.tries,
+            tries: progress.tries,
         };
         let vm = &mut self.vms[job.vm];
         match vm.retries.decide(&failure, now, &mut vm.rng) {
@@ -46,7 +46,7 @@
                 self.at(self.now + after.as_u64(), Event::Retry { program });
             }
             retry::Verdict::Final | retry::Verdict::Spent => {
-                self.standings[program].tries = 0;
+                self.progress[program].tries = 0;
                 self.refuse(program, Some(admit::MIN_RETRY_AFTER));
             }
         }
@@ -54,12 +54,12 @@
 
     /// Puts a call back into the queue with the time of its first arrival.
     pub(super) fn retry(&mut self, program: usize) {
-        if self.records[program].fate != Fate::Open {
+        if self.records[program].status != Status::Open {
             return;
         }
         let at = program % self.vms.len();
-        let arrived = Millis::new(self.standings[program].asked);
+        let arrived = Millis::new(self.progress[program].requested);
         self.enqueue(at, program, arrived);
-        self.pump(at);
+        self.dispatch(at);
     }
 }
--- a/crates/policy/tests/support/engine.rs
+++ b/crates/policy/tests/support/engine.rs
@@ -7,11 +7,11 @@
 use super::deployment::Endpoint;
 
 /// How much slower each call generates in a full batch than alone.
-const BATCH: f64 = 0.5;
+const BATCH_SLOWDOWN: f64 = 0.5;
 /// Factor on the generation rate of calls while a prompt is prefilled beside them.
-const BESIDE_PREFILL: f64 = 0.7;
+const BESIDE_PREFILL_FACTOR: f64 = 0.7;
 /// A phase with fewer tokens left than this is complete.
-const DONE: f64 = 1e-6;
+const EPSILON: f64 = 1e-6;
 
 /// A call at an endpoint.
 #[derive(Clone, Debug)]
@@ -29,13 +29,13 @@
     /// When it was sent.
     pub sent: u64,
     /// When it got its slot.
-    pub begun: u64,
+    pub started: u64,
     /// Prompt tokens that remain to be prefilled.
-    pub miss: f64,
+    pub prefill_left: f64,
     /// Prompt tokens that the cache lacked when it got its slot.
-    pub missed: u64,
+    pub cache_miss: u64,
     /// Tokens that remain to be generated.
-    pub left: f64,
+    pub output_left: f64,
 }
 
 /// Whether an endpoint works.
@@ -59,7 +59,7 @@
     /// Programs and their cached tokens, least recently used first.
     pub cache: Vec<(usize, u64)>,
     /// How many times slower it is than its properties say.
-    pub fault: f64,
+    pub slowdown: f64,
     /// Whether it works.
     pub health: Health,
     /// Grows with each change; an event of an earlier epoch is void.
@@ -75,7 +75,7 @@
             running: Vec::new(),
             waiting: Vec::new(),
             cache: Vec::new(),
-            fault: 1.0,
+            slowdown: 1.0,
             health: Health::Up,
             epoch: 0,
             updated: 0,
@@ -83,7 +83,7 @@
     }
 
     /// Accepts a call.
-    pub fn take(&mut self, job: Job, now: u64) {
+    pub fn add(&mut self, job: Job, now: u64) {
         self.advance(now);
         let at = match job.class {
             Class::Urgent => self.waiting.iter().position(|j| j.class == Class::Routine),
@@ -98,10 +98,12 @@
         self.advance(now);
         let ended: Vec<Job> = self
             .running
-            .extract_if(.., |job| job.miss <= DONE && job.left <= DONE)
+            .extract_if(.., |job| {
+                job.prefill_left <= EPSILON && job.output_left <= EPSILON
+            })
             .collect();
         for job in &ended {
-            self.hold(job.program, job.prompt + job.output);
+            self.cache_program(job.program, job.prompt + job.output);
         }
         self.start(now);
         ended
@@ -115,22 +117,22 @@
         }
         let at = self.running.iter().position(|j| j.program == program)?;
         let job = self.running.remove(at);
-        let made = (job.output as f64 - job.left).max(0.0) as u64;
-        if job.miss <= DONE {
-            self.hold(program, job.prompt + made);
+        let generated = (job.output as f64 - job.output_left).max(0.0) as u64;
+        if job.prefill_left <= EPSILON {
+            self.cache_program(program, job.prompt + generated);
         }
         self.start(now);
         Some(job)
     }
 
     /// Returns when the next call completes a phase.
-    pub fn next(&self) -> Option<u64> {
+    pub fn next_event(&self) -> Option<u64> {
         let (prefill, generate) = self.rates();
         let spans = self.running.iter().map(|job| {
-            if job.miss > DONE {
-                job.miss / prefill
+            if job.prefill_left > EPSILON {
+                job.prefill_left / prefill
             } else {
-                job.left / generate
+                job.output_left / generate
             }
         });
         let least = spans.min_by(f64::total_cmp)?;
@@ -138,13 +140,13 @@
     }
 
     /// Returns the current generation rate of one call, in tokens per second.
-    pub fn pace(&self) -> f64 {
+    pub fn speed(&self) -> f64 {
         self.rates().1
     }
 
     /// Returns the cached tokens of a program.
-    pub fn held(&self, program: usize) -> u64 {
-        let found = self.cache.iter().find(|(held, _)| *held == program);
+    pub fn cached_tokens(&self, program: usize) -> u64 {
+        let found = self.cache.iter().find(|(cached, _)| *cached == program);
         found.map_or(0, |(_, tokens)| *tokens)
     }
 
@@ -160,18 +162,18 @@
     }
 
     /// Changes how many times slower the endpoint is.
-    pub fn set_fault(&mut self, times: f64, now: u64) {
+    pub fn set_slowdown(&mut self, times: f64, now: u64) {
         self.advance(now);
-        self.fault = times;
+        self.slowdown = times;
         self.epoch += 1;
     }
 
     fn start(&mut self, now: u64) {
         while self.running.len() < self.spec.slots as usize && !self.waiting.is_empty() {
             let mut job = self.waiting.remove(0);
-            job.begun = now;
-            job.missed = job.prompt.saturating_sub(self.held(job.program));
-            job.miss = job.missed as f64;
+            job.started = now;
+            job.cache_miss = job.prompt.saturating_sub(self.cached_tokens(job.program));
+            job.prefill_left = job.cache_miss as f64;
             self.running.push(job);
         }
         self.epoch += 1;
@@ -181,10 +183,10 @@
         let seconds = now.saturating_sub(self.updated) as f64 / 1000.0;
         let (prefill, generate) = self.rates();
         for job in &mut self.running {
-            if job.miss > DONE {
-                job.miss = (job.miss - prefill * seconds).max(0.0);
+            if job.prefill_left > EPSILON {
+                job.prefill_left = (job.prefill_left - prefill * seconds).max(0.0);
             } else {
-                job.left = (job.left - generate * seconds).max(0.0);
+                job.output_left = (job.output_left - generate * seconds).max(0.0);
             }
         }
         self.updated = now;
@@ -192,17 +194,25 @@
 
     /// Returns the rates of one prefill and of one generating call.
     fn rates(&self) -> (f64, f64) {
-        let prefills = self.running.iter().filter(|job| job.miss > DONE).count();
-        let prefill = self.spec.prefill / self.fault / (prefills as f64).max(1.0);
+        let prefills = self
+            .running
+            .iter()
+            .filter(|job| job.prefill_left > EPSILON)
+            .count();
+        let prefill = self.spec.prefill / self.slowdown / (prefills as f64).max(1.0);
         let full = (f64::from(self.spec.slots) - 1.0).max(1.0);
         let batch = (self.running.len() as f64 - 1.0).max(0.0) / full;
-        let beside = if prefills > 0 { BESIDE_PREFILL } else { 1.0 };
-        let generate = self.spec.speed / self.fault / (1.0 + BATCH * batch) * beside;
+        let beside = if prefills > 0 {
+            BESIDE_PREFILL_FACTOR
+        } else {
+            1.0
+        };
+        let generate = self.spec.speed / self.slowdown / (1.0 + BATCH_SLOWDOWN * batch) * beside;
         (prefill, generate)
     }
 
-    fn hold(&mut self, program: usize, tokens: u64) {
-        self.cache.retain(|(held, _)| *held != program);
+    fn cache_program(&mut self, program: usize, tokens: u64) {
+        self.cache.retain(|(cached, _)| *cached != program);
         self.cache.push((program, tokens));
         let mut sum: u64 = self.cache.iter().map(|(_, tokens)| tokens).sum();
         while sum > self.spec.cache && self.cache.len() > 1 {
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -10,7 +10,7 @@
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the driver reckons in tokens and milliseconds far below 2^52"
+    reason = "token and millisecond counts stay far below 2^52"
 )]
 
 pub mod dcaf;
--- a/crates/policy/tests/support/outcome.rs
+++ b/crates/policy/tests/support/outcome.rs
@@ -4,7 +4,7 @@
 use policy::class::Class;
 
 use super::work::CALLERS;
-use super::work::FLOODER;
+use super::work::FLOODING_CALLER;
 use super::work::Program;
 
 /// Longest program latency that the histogram distinguishes, in milliseconds.
@@ -12,11 +12,11 @@
 
 /// The state of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Status {
     /// It is in progress.
     Open,
     /// All its turns were answered.
-    Whole,
+    Finished,
     /// Its caller gave up on it, after refusals or for lack of an answer.
     Lost,
 }
@@ -25,29 +25,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Record {
     /// Its state.
-    pub fate: Fate,
+    pub status: Status,
     /// When it ended.
     pub ended: u64,
     /// Time between its requests and their answers, summed over its turns.
     pub latency: u64,
     /// Tokens of history that were prefilled repeatedly.
-    pub again: u64,
+    pub recomputed: u64,
     /// Number of its calls that were refused.
     pub refusals: u32,
     /// Tokens generated for it, in calls that ended.
-    pub made: u64,
+    pub generated: u64,
 }
 
 impl Record {
     /// Creates the record of a program that hasn't begun.
     pub const fn new() -> Self {
         Self {
-            fate: Fate::Open,
+            status: Status::Open,
             ended: 0,
             latency: 0,
-            again: 0,
+            recomputed: 0,
             refusals: 0,
-            made: 0,
+            generated: 0,
         }
     }
 }
@@ -70,20 +70,20 @@
 pub struct Outcome {
     /// Latency of finished urgent programs.
     pub urgent: Latency,
-    /// Latency of finished urgent programs, without those of [`FLOODER`].
-    pub others: Latency,
+    /// Latency of finished urgent programs, without those of [`FLOODING_CALLER`].
+    pub other_urgent: Latency,
     /// Latency of finished routine programs.
     pub routine: Latency,
     /// Share of urgent programs that didn't finish.
     pub urgent_lost: f64,
-    /// Share of urgent programs that didn't finish, without those of [`FLOODER`].
-    pub others_lost: f64,
+    /// Share of urgent programs that didn't finish, without those of [`FLOODING_CALLER`].
+    pub other_urgent_lost: f64,
     /// Share of routine programs that didn't finish.
     pub routine_lost: f64,
     /// Thousands of history tokens prefilled repeatedly, per hundred programs begun.
-    pub again: f64,
+    pub recomputed: f64,
     /// Smallest ratio of a caller's share to its max-min fair share.
-    pub worst: f64,
+    pub min_fairness: f64,
     /// Tokens per second of finished programs.
     pub goodput: f64,
     /// Tokens generated per second, useful or not.
@@ -91,33 +91,42 @@
 }
 
 /// Summarizes the records of the programs that began within a window.
-pub fn sum(programs: &[Program], records: &[Record], from: u64, until: u64) -> Outcome {
+pub fn summarize(programs: &[Program], records: &[Record], from: u64, until: u64) -> Outcome {
     let all = || programs.iter().zip(records);
     let within = || all().filter(|(p, _)| p.arrival >= from && p.arrival < until);
-    let again: u64 = within().map(|(_, r)| r.again).sum();
+    let recomputed: u64 = within().map(|(_, r)| r.recomputed).sum();
     let seconds = (until - from) as f64 / 1000.0;
     let ended = |r: &Record| r.ended >= from && r.ended < until;
-    let whole = all().filter(|(_, r)| r.fate == Fate::Whole && ended(r));
-    let goodput: u64 = whole.map(|(p, _)| p.output()).sum();
-    let generated: u64 = all().filter(|(_, r)| ended(r)).map(|(_, r)| r.made).sum();
+    let finished = all().filter(|(_, r)| r.status == Status::Finished && ended(r));
+    let goodput: u64 = finished.map(|(p, _)| p.output()).sum();
+    let generated: u64 = all()
+        .filter(|(_, r)| ended(r))
+        .map(|(_, r)| r.generated)
+        .sum();
     Outcome {
         urgent: latency(within(), Class::Urgent),
-        others: latency(within().filter(|(p, _)| p.caller != FLOODER), Class::Urgent),
+        other_urgent: latency(
+            within().filter(|(p, _)| p.caller != FLOODING_CALLER),
+            Class::Urgent,
+        ),
         routine: latency(within(), Class::Routine),
         urgent_lost: lost(within(), Class::Urgent),
-        others_lost: lost(within().filter(|(p, _)| p.caller != FLOODER), Class::Urgent),
+        other_urgent_lost: lost(
+            within().filter(|(p, _)| p.caller != FLOODING_CALLER),
+            Class::Urgent,
+        ),
         routine_lost: lost(within(), Class::Routine),
-        again: again as f64 / 10.0 / (within().count() as f64).max(1.0),
-        worst: worst(within()),
+        recomputed: recomputed as f64 / 10.0 / (within().count() as f64).max(1.0),
+        min_fairness: min_fairness(within()),
         goodput: goodput as f64 / seconds,
         generated: generated as f64 / seconds,
     }
 }
 
-fn latency<'a>(of: impl Iterator<Item = (&'a Program, &'a Record)>, class: Class) -> Latency {
+fn latency<'a>(records: impl Iterator<Item = (&'a Program, &'a Record)>, class: Class) -> Latency {
     let mut histogram = Histogram::<u64>::new_with_max(LONGEST, 3).expect("the bounds are allowed");
-    for (program, record) in of {
-        if program.class == class && record.fate == Fate::Whole {
+    for (program, record) in records {
+        if program.class == class && record.status == Status::Finished {
             histogram.saturating_record(record.latency);
         }
     }
@@ -129,12 +138,12 @@
     }
 }
 
-fn lost<'a>(of: impl Iterator<Item = (&'a Program, &'a Record)>, class: Class) -> f64 {
+fn lost<'a>(records: impl Iterator<Item = (&'a Program, &'a Record)>, class: Class) -> f64 {
     let mut count = 0.0;
     let mut lost = 0.0;
-    for (_, record) in of.filter(|(program, _)| program.class == class) {
+    for (_, record) in records.filter(|(program, _)| program.class == class) {
         count += 1.0;
-        if record.fate != Fate::Whole {
+        if record.status != Status::Finished {
             lost += 1.0;
         }
     }
@@ -142,33 +151,36 @@
 }
 
 /// Returns the smallest ratio of what a caller received to its max-min fair share of the total.
-fn worst<'a>(of: impl Iterator<Item = (&'a Program, &'a Record)>) -> f64 {
-    let mut asked = [0.0; CALLERS];
-    let mut got = [0.0; CALLERS];
-    for (program, record) in of {
-        asked[program.caller] += program.output() as f64;
-        if record.fate == Fate::Whole {
-            got[program.caller] += program.output() as f64;
+fn min_fairness<'a>(records: impl Iterator<Item = (&'a Program, &'a Record)>) -> f64 {
+    let mut requested = [0.0; CALLERS];
+    let mut received = [0.0; CALLERS];
+    for (program, record) in records {
+        requested[program.caller] += program.output() as f64;
+        if record.status == Status::Finished {
+            received[program.caller] += program.output() as f64;
         }
     }
-    let level = water_level(&asked, got.iter().sum());
-    let ratios = asked.iter().zip(&got).filter(|(asked, _)| **asked > 0.0);
-    let ratios = ratios.map(|(asked, got)| got / asked.min(level));
+    let level = water_level(&requested, received.iter().sum());
+    let ratios = requested
+        .iter()
+        .zip(&received)
+        .filter(|(requested, _)| **requested > 0.0);
+    let ratios = ratios.map(|(requested, received)| received / requested.min(level));
     ratios.fold(1.0, f64::min)
 }
 
 /// Returns the share of each caller that wants more than its share, if `total` is split max-min
 /// fairly.
-fn water_level(asked: &[f64], total: f64) -> f64 {
-    let mut sorted = asked.to_vec();
+fn water_level(requested: &[f64], total: f64) -> f64 {
+    let mut sorted = requested.to_vec();
     sorted.sort_by(f64::total_cmp);
     let mut left = total;
-    for (index, ask) in sorted.iter().enumerate() {
+    for (index, amount) in sorted.iter().enumerate() {
         let level = left / (sorted.len() - index) as f64;
-        if *ask >= level {
+        if *amount >= level {
             return level.max(1.0);
         }
-        left -= ask;
+        left -= amount;
     }
     f64::INFINITY
 }
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -19,7 +19,7 @@
 use super::rules::Rules;
 
 /// Weight of the latest call in a VM's means of output and service.
-const FRESH: f64 = 0.05;
+const LATEST_WEIGHT: f64 = 0.05;
 
 /// A load report of an endpoint.
 #[derive(Clone, Debug, Default)]
@@ -31,7 +31,7 @@
     /// Tokens per second of one call.
     pub speed: f64,
     /// Programs and tokens in its cache, sorted by program.
-    pub held: Vec<(usize, u64)>,
+    pub cached: Vec<(usize, u64)>,
 }
 
 /// What a VM knows of an endpoint.
@@ -44,7 +44,7 @@
     /// Its last report.
     pub report: Report,
     /// The VM's own calls there.
-    pub ledger: Calls,
+    pub own_calls: Calls,
 }
 
 /// What a VM knows of a waiting call.
@@ -55,12 +55,12 @@
     /// The properties that its placement depends on.
     pub placed: place::Call,
     /// Where the program's last call ended.
-    pub home: Option<Home>,
+    pub prefix_location: Option<PrefixLocation>,
 }
 
 /// The endpoint that has a program's prefix.
 #[derive(Clone, Copy, Debug)]
-pub struct Home {
+pub struct PrefixLocation {
     /// The endpoint.
     pub endpoint: usize,
     /// Length of the prefix in tokens.
@@ -80,7 +80,7 @@
     /// The waiting calls under first-in, first-out rules.
     pub fifo: VecDeque<usize>,
     /// Programs whose calls are at endpoints.
-    pub under_way: Vec<usize>,
+    pub in_flight: Vec<usize>,
     /// The rate at which the queue drains.
     pub drain: admit::DrainRate,
     /// The endpoints.
@@ -102,12 +102,12 @@
     /// Mean service time of a call, in milliseconds.
     pub service: f64,
     /// The endpoint that the last call in turn went to.
-    turn: usize,
+    last_in_turn: usize,
 }
 
 impl Vm {
     /// Creates a VM that knows the endpoints but not their load.
-    pub fn new(of: &Deployment, rules: Rules, number: usize) -> Self {
+    pub fn new(deployment: &Deployment, rules: Rules, number: usize) -> Self {
         let view = |spec: &super::deployment::Endpoint| View {
             slots: spec.slots,
             prefill: spec.prefill,
@@ -115,33 +115,43 @@
                 speed: spec.speed,
                 ..Report::default()
             },
-            ledger: Calls::default(),
+            own_calls: Calls::default(),
         };
-        let slots: f64 = of.endpoints.iter().map(|spec| f64::from(spec.slots)).sum();
+        let slots: f64 = deployment
+            .endpoints
+            .iter()
+            .map(|spec| f64::from(spec.slots))
+            .sum();
         Self {
             rules,
-            weights: of.weights,
+            weights: deployment.weights,
             queue: Queue::new(Limits::default()),
             fifo: VecDeque::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             drain: admit::DrainRate::default(),
-            views: of.endpoints.iter().map(view).collect(),
-            lanes: place::lanes(&of.endpoints.iter().map(|e| e.speed).collect::<Vec<_>>()),
-            detectors: vec![eject::Detector::new(Millis::ZERO); of.endpoints.len()],
-            price: Price::new(slots / of.vms as f64),
+            views: deployment.endpoints.iter().map(view).collect(),
+            lanes: place::lanes(
+                &deployment
+                    .endpoints
+                    .iter()
+                    .map(|e| e.speed)
+                    .collect::<Vec<_>>(),
+            ),
+            detectors: vec![eject::Detector::new(Millis::ZERO); deployment.endpoints.len()],
+            price: Price::new(slots / deployment.vms as f64),
             power: MaxPower::new(),
             retries: retry::Budget::new(Millis::ZERO),
             rng: ChaCha8Rng::seed_from_u64(number as u64),
-            output: of.output,
+            output: deployment.output,
             service: 5_000.0,
-            turn: number * of.endpoints.len() / of.vms,
+            last_in_turn: number * deployment.endpoints.len() / deployment.vms,
         }
     }
 
     /// Processes a load report.
-    pub fn hear(&mut self, endpoint: usize, report: &Report) {
+    pub fn receive_report(&mut self, endpoint: usize, report: &Report) {
         let view = &mut self.views[endpoint];
-        view.ledger.record_report(Millis::new(report.at));
+        view.own_calls.record_report(Millis::new(report.at));
         let speed = view.report.speed;
         view.report = report.clone();
         view.report.speed = place::smoothed(speed, report.speed);
@@ -164,19 +174,19 @@
             room: 1,
             drain: self.drain.rate(),
         };
-        self.power.renew(wait.wait().as_u64());
+        self.power.update(wait.wait().as_u64());
     }
 
     /// Updates the means with a completed call.
-    pub fn learn(&mut self, output: u64, service: u64) {
-        self.output += FRESH * (output as f64 - self.output);
-        self.service += FRESH * (service as f64 - self.service);
+    pub fn update_means(&mut self, output: u64, service: u64) {
+        self.output += LATEST_WEIGHT * (output as f64 - self.output);
+        self.service += LATEST_WEIGHT * (service as f64 - self.service);
     }
 
     /// Chooses an endpoint for a call that is sent at once, under rules without a queue.
-    pub fn direct(&mut self, home: Option<usize>) -> usize {
+    pub fn choose_without_queue(&mut self, prefix_endpoint: Option<usize>) -> usize {
         match self.rules {
-            Rules::Sticky => home.unwrap_or_else(|| self.next_in_turn()),
+            Rules::Sticky => prefix_endpoint.unwrap_or_else(|| self.next_in_turn()),
             Rules::RoundRobin => self.next_in_turn(),
             _ => self.least_outstanding(),
         }
@@ -198,8 +208,8 @@
     }
 
     fn next_in_turn(&mut self) -> usize {
-        self.turn = (self.turn + 1) % self.views.len();
-        self.turn
+        self.last_in_turn = (self.last_in_turn + 1) % self.views.len();
+        self.last_in_turn
     }
 }
 
@@ -223,8 +233,8 @@
             place::Candidate {
                 slots: view.slots,
                 reported: view.report.calls,
-                sent: view.ledger.sent_since_report() as u32,
-                ended: view.ledger.ended_since_report() as u32,
+                sent: view.own_calls.sent_since_report() as u32,
+                ended: view.own_calls.ended_since_report() as u32,
                 claimed: 0,
                 speed: view.report.speed,
                 prefill: view.prefill,
@@ -253,15 +263,15 @@
 /// Returns how many of the call's tokens the endpoint is expected to have cached: what the VM
 /// itself left there since the report, otherwise what the report says.
 fn cached(index: usize, view: &View, call: &Call) -> u64 {
-    if let Some(home) = call.home
-        && home.endpoint == index
-        && home.at >= view.report.at
+    if let Some(prefix_location) = call.prefix_location
+        && prefix_location.endpoint == index
+        && prefix_location.at >= view.report.at
     {
-        return home.tokens;
+        return prefix_location.tokens;
     }
-    let held = &view.report.held;
-    match held.binary_search_by_key(&call.program, |(program, _)| *program) {
-        Ok(at) => held[at].1,
+    let cached = &view.report.cached;
+    match cached.binary_search_by_key(&call.program, |(program, _)| *program) {
+        Ok(at) => cached[at].1,
         Err(_) => 0,
     }
 }
@@ -270,6 +280,6 @@
     let reported = view
         .report
         .calls
-        .saturating_sub(view.ledger.ended_since_report() as u32);
-    reported + view.ledger.sent_since_report() as u32
+        .saturating_sub(view.own_calls.ended_since_report() as u32);
+    reported + view.own_calls.sent_since_report() as u32
 }
--- a/crates/policy/tests/support/work.rs
+++ b/crates/policy/tests/support/work.rs
@@ -66,19 +66,19 @@
 /// Number of callers.
 pub const CALLERS: usize = 40;
 /// The caller that floods in [`Pattern::UrgentFlood`].
-pub const FLOODER: usize = 0;
+pub const FLOODING_CALLER: usize = 0;
 /// Share of programs that are urgent.
-const URGENT: f64 = 0.03;
+const URGENT_SHARE: f64 = 0.03;
 /// Mean number of turns of an urgent program.
-const URGENT_TURNS: f64 = 2.0;
+const MEAN_URGENT_TURNS: f64 = 2.0;
 /// Most turns of a program, as in the largest program of the modelled workload.
-const MOST_TURNS: usize = 77;
+const MAX_TURNS: usize = 77;
 
 /// A turn of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Turn {
     /// Prompt tokens that it adds.
-    pub add: u64,
+    pub added_prompt: u64,
     /// Tokens that it generates.
     pub output: u64,
     /// Pause for a tool call after it, in milliseconds.
@@ -107,50 +107,62 @@
 
 /// Generates the programs of a pattern; `rate` is the saturating load in programs per second.
 pub fn programs(
-    of: &Deployment,
+    deployment: &Deployment,
     pattern: Pattern,
     rate: f64,
     span: u64,
     seed: u64,
 ) -> Vec<Program> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut made = Vec::new();
+    let mut programs = Vec::new();
     let mut at = 0.0;
     loop {
         let load = pattern.load(at as u64);
         at += exponential(&mut rng, 1000.0 / (rate * load));
         if at >= span as f64 {
-            return made;
+            return programs;
         }
-        let program = program(of, pattern, at as u64, &mut rng);
+        let program = program(deployment, pattern, at as u64, &mut rng);
         if pattern != Pattern::UrgentAlone || program.class == Class::Urgent {
-            made.push(program);
+            programs.push(program);
         }
     }
 }
 
-fn program(of: &Deployment, pattern: Pattern, arrival: u64, rng: &mut ChaCha8Rng) -> Program {
+fn program(
+    deployment: &Deployment,
+    pattern: Pattern,
+    arrival: u64,
+    rng: &mut ChaCha8Rng,
+) -> Program {
     let caller = caller(pattern, rng);
-    let flood = pattern == Pattern::UrgentFlood && caller == FLOODER;
-    let urgent = rng.random::<f64>() < URGENT || flood;
-    let kind: f64 = rng.random();
+    let flood = pattern == Pattern::UrgentFlood && caller == FLOODING_CALLER;
+    let urgent = rng.random::<f64>() < URGENT_SHARE || flood;
+    let draw: f64 = rng.random();
     let special = match pattern {
-        Pattern::HotPrograms | Pattern::LongAmongShort => kind < 0.05 && !urgent,
+        Pattern::HotPrograms | Pattern::LongAmongShort => draw < 0.05 && !urgent,
         _ => false,
     };
     let mean = match (urgent, special) {
-        (true, _) => URGENT_TURNS,
-        (_, true) => of.turns * 10.0,
-        _ => of.turns,
+        (true, _) => MEAN_URGENT_TURNS,
+        (_, true) => deployment.turns * 10.0,
+        _ => deployment.turns,
     };
     let pause = match (pattern, special) {
         (Pattern::HotPrograms, true) => 50.0,
-        _ => of.pause,
+        _ => deployment.pause,
     };
-    let count = (exponential(rng, mean).ceil() as usize).clamp(1, MOST_TURNS);
+    let count = (exponential(rng, mean).ceil() as usize).clamp(1, MAX_TURNS);
     let turns = (0..count).map(|n| Turn {
-        add: around(rng, if n == 0 { of.first } else { of.add }),
-        output: around(rng, of.output),
+        added_prompt: around_mean(
+            rng,
+            if n == 0 {
+                deployment.first_prompt
+            } else {
+                deployment.added_prompt
+            },
+        ),
+        output: around_mean(rng, deployment.output),
         pause: exponential(rng, pause) as u64,
     });
     Program {
@@ -166,15 +178,15 @@
 }
 
 fn caller(pattern: Pattern, rng: &mut ChaCha8Rng) -> usize {
-    let heavy = match pattern {
+    let heavy_callers = match pattern {
         Pattern::FewCallers => 2,
         Pattern::UrgentFlood => 1,
         _ => 0,
     };
-    if heavy > 0 && rng.random::<f64>() < 0.7 {
-        return rng.random_range(0..heavy);
+    if heavy_callers > 0 && rng.random::<f64>() < 0.7 {
+        return rng.random_range(0..heavy_callers);
     }
-    rng.random_range(heavy..CALLERS)
+    rng.random_range(heavy_callers..CALLERS)
 }
 
 /// Returns a sample of the exponential distribution.
@@ -183,6 +195,6 @@
 }
 
 /// Returns a positive random number with the given mean: half of the mean plus an exponential half.
-fn around(rng: &mut ChaCha8Rng, mean: f64) -> u64 {
+fn around_mean(rng: &mut ChaCha8Rng, mean: f64) -> u64 {
     (mean / 2.0 + exponential(rng, mean / 2.0)).ceil() as u64
 }
