--- a/crates/policy/src/stop/tests.rs
+++ b/crates/policy/src/stop/tests.rs
@@ -58,9 +58,9 @@
         assert_eq!((stop.begun(), stop.killed()), (BEGUN, killed));
         assert!(stop.deadline() <= killed);
         assert!(grace_ms < 4 || stop.deadline() < killed, "{grace_ms}");
-        let step = usize::try_from(grace_ms / 200 + 1).unwrap();
-        for arrived in (0..grace_ms + 500).step_by(step).map(after) {
-            for limit_ms in (0..grace_ms + 500).step_by(step).chain([u64::MAX]) {
+        let stride = usize::try_from(grace_ms / 200 + 1).unwrap();
+        for arrived in (0..grace_ms + 500).step_by(stride).map(after) {
+            for limit_ms in (0..grace_ms + 500).step_by(stride).chain([u64::MAX]) {
                 let until = arrived.plus(Millis::new(limit_ms));
                 let fits = until <= stop.deadline();
                 assert_eq!(stop.takes(Some(until)), fits);
