--- a/crates/policy/src/retry/tests.rs
+++ b/crates/policy/src/retry/tests.rs
@@ -5,12 +5,12 @@
 use wire::code::Ran;
 
 use super::Budget;
-use super::EARN;
-use super::FULL;
 use super::Failure;
+use super::MAX_TOKENS;
 use super::MAX_TRIES;
-use super::RESERVED;
 use super::Repeat;
+use super::TOKENS_PER_SUCCESS;
+use super::URGENT_RESERVE;
 use super::Verdict;
 use crate::class::Class;
 
@@ -37,28 +37,28 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_the_successes() {
+fn retries_stay_a_share_of_successes() {
     let mut budget = Budget::new(NOW);
     retries(&mut budget, FAILURE, 100);
     for _ in 0..100 {
         budget.succeed();
     }
-    let expected = 100.0 * EARN;
+    let expected = 100.0 * TOKENS_PER_SUCCESS;
     let granted = retries(&mut budget, FAILURE, 100);
     assert!((granted - expected).abs() <= 1.0, "{granted}");
 }
 
 #[test]
-fn urgent_calls_find_tokens_that_routine_calls_left() {
+fn urgent_calls_use_tokens_reserved_from_routine_calls() {
     let mut budget = Budget::new(NOW);
     let urgent = Failure {
         class: Class::Urgent,
         ..FAILURE
     };
     let routine = retries(&mut budget, FAILURE, 100);
-    assert!((routine - (FULL - RESERVED)).abs() < 1e-9);
+    assert!((routine - (MAX_TOKENS - URGENT_RESERVE)).abs() < 1e-9);
     let rest = retries(&mut budget, urgent, 100);
-    assert!((rest - RESERVED).abs() < 1e-9);
+    assert!((rest - URGENT_RESERVE).abs() < 1e-9);
 }
 
 #[rstest]
@@ -67,7 +67,7 @@
 #[case(Repeat::Once, Ran::No, 1, 1.0)]
 #[case(Repeat::Safe, Ran::Unknown, MAX_TRIES - 1, 1.0)]
 #[case(Repeat::Safe, Ran::Unknown, MAX_TRIES, 0.0)]
-fn only_what_may_be_repeated_is(
+fn only_repeatable_calls_are_retried(
     #[case] repeat: Repeat,
     #[case] ran: Ran,
     #[case] tries: u32,
--- a/crates/policy/tests/support/driver/failure.rs
+++ b/crates/policy/tests/support/driver/failure.rs
@@ -1,4 +1,4 @@
-//! What happens to a call that an endpoint fails.
+//! Handling of calls that an endpoint fails.
 
 use policy::admit;
 use policy::eject;
@@ -9,34 +9,36 @@
 use super::Driver;
 use super::Event;
 use crate::support::engine::Job;
-use crate::support::outcome::Fate;
+use crate::support::outcome::Status;
 use crate::support::rules::Rules;
 
 impl Driver<'_> {
-    /// Takes in that a call failed: by our rules the VM tries again while its budget lasts, by the
-    /// others the caller comes back.
+    /// Handles a failed call. Under this crate's rules the VM retries while its budget lasts; under
+    /// the others the caller sends the request anew.
     pub(super) fn fail(&mut self, endpoint: usize, job: &Job) {
         let now = self.millis();
         let program = job.program;
         let vm = &mut self.vms[job.vm];
-        vm.under_way.retain(|sent| *sent != program);
-        vm.views[endpoint].ledger.end(Millis::new(job.sent), now);
+        vm.in_flight.retain(|sent| *sent != program);
+        vm.views[endpoint]
+            .own_calls
+            .record_ended(Millis::new(job.sent), now);
         vm.detectors[endpoint].note(eject::Sample::Failed);
-        let standing = &mut self.standings[program];
-        standing.sent = None;
-        if self.records[program].fate != Fate::Open {
+        let progress = &mut self.progress[program];
+        progress.sent = None;
+        if self.records[program].status != Status::Open {
             return;
         }
         if self.vms[job.vm].rules != Rules::Ours {
-            // A sticky program keeps its endpoint, failing or not.
-            self.refuse(program, Some(admit::MIN_RETRY));
+            // A sticky program keeps its endpoint even if the endpoint fails.
+            self.refuse(program, Some(admit::MIN_RETRY_AFTER));
             return;
         }
         let failure = retry::Failure {
             class: job.class,
             repeat: retry::Repeat::Safe,
             ran: Ran::Unknown,
-            tries: standing.tries,
+            tries: progress.tries,
         };
         let vm = &mut self.vms[job.vm];
         match vm.retries.decide(&failure, now, &mut vm.rng) {
@@ -44,20 +46,20 @@
                 self.at(self.now + after.as_u64(), Event::Retry { program });
             }
             retry::Verdict::Final | retry::Verdict::Spent => {
-                self.standings[program].tries = 0;
-                self.refuse(program, Some(admit::MIN_RETRY));
+                self.progress[program].tries = 0;
+                self.refuse(program, Some(admit::MIN_RETRY_AFTER));
             }
         }
     }
 
-    /// Puts a call back into the queue, at the time at which it came first.
+    /// Puts a call back into the queue with the time of its first arrival.
     pub(super) fn retry(&mut self, program: usize) {
-        if self.records[program].fate != Fate::Open {
+        if self.records[program].status != Status::Open {
             return;
         }
         let at = program % self.vms.len();
-        let since = Millis::new(self.standings[program].asked);
-        self.enqueue(at, program, since);
-        self.pump(at);
+        let arrived = Millis::new(self.progress[program].requested);
+        self.enqueue(at, program, arrived);
+        self.dispatch(at);
     }
 }
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -5,7 +5,7 @@
 use adapter::runner::Entry;
 use adapter::runner::Load;
 use adapter::runner::State;
-use policy::pace::Mean;
+use policy::decaying_mean::Mean;
 use policy::place::Candidate;
 use policy::place::Lane;
 use policy::prefix;
@@ -123,7 +123,7 @@
         } else {
             known.max(told)
         };
-        let speed = 1_000.0 / self.pace.at(want.now).drawn_to(middle_pace);
+        let speed = 1_000.0 / self.pace.decayed_to(want.now).shrunk_towards(middle_pace);
         Candidate {
             slots: self.entry.slots,
             reported: busy,
@@ -135,7 +135,7 @@
             cached: self.cache.cached(want.prompt),
             share: WHOLE,
             lane: Lane::Open,
-            away: if self.entry.centre == want.centre {
+            network_cost: if self.entry.centre == want.centre {
                 0.0
             } else {
                 want.away
@@ -219,7 +219,7 @@
     pub fn note_done(&mut self, tokens: u64, span: Millis, now: Millis) {
         let span = span.as_u64().max(1) as f64;
         let pace = span / tokens.max(1) as f64;
-        self.pace.note(pace, now);
+        self.pace.add(pace, now);
         self.failed = 0;
     }
 }
--- a/crates/relay/src/member_health.rs
+++ b/crates/relay/src/member_health.rs
@@ -216,7 +216,7 @@
         if self.service == TurnService::Starting || self.is_ready() {
             return RETRY_DELAY;
         }
-        balancer::NOTICES
+        balancer::DETECTION_TIME
             .since(now.since(self.failing_since))
             .max(RETRY_DELAY_NOTICED)
     }
