--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -5,8 +5,8 @@
 //! A runner's own figures come with its answers, some hundred milliseconds late at each VM. Without
 //! the others' counts all VMs pick the same runner that looked idle, and it turns them away.
 
-pub mod hear;
-pub mod tell;
+pub mod incoming;
+pub mod outgoing;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,18 +28,18 @@
 use tokio::time::timeout;
 
 use crate::answer;
-use crate::exchange::tell::Message;
+use crate::exchange::outgoing::Message;
 use crate::node::Node;
 use crate::peers::Peer;
 
 /// The path of the exchange.
 const PATH: &str = "/exchange";
 /// How often two VMs exchange: a fraction of the time that a request takes at a runner.
-const EVERY: Duration = Duration::from_millis(60);
+const INTERVAL: Duration = Duration::from_millis(60);
 /// How long an exchange may take.
-pub const PATIENCE: Duration = Duration::from_millis(250);
+pub const TIMEOUT: Duration = Duration::from_millis(250);
 /// The longest message in bytes: all entries of some thousand runners.
-const MAX_MESSAGE: usize = 4 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why an exchange failed.
 #[derive(Debug, Display, Error, From)]
@@ -58,7 +58,7 @@
 pub async fn run(node: Arc<Node>) {
     loop {
         sleep(pause(&node)).await;
-        for peer in to_ask(&node) {
+        for peer in targets(&node) {
             tokio::spawn(exchange(node.clone(), peer));
         }
     }
@@ -67,37 +67,37 @@
 /// Yields how long a VM waits before it exchanges again.
 #[must_use]
 pub fn pause(node: &Node) -> Duration {
-    EVERY * node.peers().spread()
+    INTERVAL * node.peers().pause_factor()
 }
 
 /// Yields the VMs that this one starts an exchange with now; those that have been gone for long are
 /// forgotten.
 #[must_use]
-pub fn to_ask(node: &Node) -> Vec<Peer> {
+pub fn targets(node: &Node) -> Vec<Peer> {
     let now = node.clock.now();
     let mut peers = node.peers();
-    peers.sweep(now);
-    peers.to_ask(&node.settings.vm, &node.settings.centre, now)
+    peers.forget_lapsed(now);
+    peers.exchange_targets(&node.settings.vm, &node.settings.centre, now)
 }
 
 /// Takes in what another VM tells, and yields what it is told.
 #[must_use]
 pub fn respond(node: &Arc<Node>, theirs: Message) -> Message {
-    let own = tell::message(node, &theirs.vm, theirs.roster, theirs.config);
-    hear::message(node, theirs);
+    let own = outgoing::message(node, &theirs.vm, theirs.roster, theirs.config);
+    incoming::apply(node, theirs);
     own
 }
 
 async fn exchange(node: Arc<Node>, peer: Peer) {
-    match timeout(PATIENCE, ask(&node, &peer)).await {
-        Ok(Ok(message)) => hear::message(&node, message),
+    match timeout(TIMEOUT, ask(&node, &peer)).await {
+        Ok(Ok(message)) => incoming::apply(&node, message),
         Ok(Err(fault)) => log::debug!("peer {}: {fault}", peer.vm),
         Err(_) => log::debug!("peer {}: no answer in time", peer.vm),
     }
 }
 
 async fn ask(node: &Arc<Node>, peer: &Peer) -> Result<Message, Fault> {
-    let own = tell::message(node, &peer.vm, peer.roster, peer.config);
+    let own = outgoing::message(node, &peer.vm, peer.roster, peer.config);
     let body = rmp_serde::to_vec(&own)?;
     let request = Request::builder()
         .method(Method::POST)
@@ -105,13 +105,13 @@
         .header("host", peer.address.to_string())
         .body(Payload::from(Bytes::from(body)))?;
     let reply = node.vms.send(peer.address, request).await?;
-    let bytes = reply.body.whole(MAX_MESSAGE).await?;
+    let bytes = reply.body.whole(MAX_MESSAGE_BYTES).await?;
     Ok(rmp_serde::from_slice(&bytes)?)
 }
 
 /// Serves another VM's exchange.
 pub async fn serve(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
-    let bytes = match body::read(request.into_body(), MAX_MESSAGE).await {
+    let bytes = match body::read(request.into_body(), MAX_MESSAGE_BYTES).await {
         Ok(bytes) => bytes,
         Err(fault) => return answer::text(StatusCode::BAD_REQUEST, fault.to_string()),
     };
--- a/crates/relay/src/exchange/hear.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -5,37 +5,37 @@
 use adapter::runner;
 use wire::clock::Millis;
 
-use crate::exchange::tell::Message;
+use crate::exchange::outgoing::Message;
 use crate::fleet;
 use crate::node::Node;
-use crate::peers::Told;
+use crate::peers::PeerStatus;
 use crate::roster::Roster;
 use crate::take;
 
 /// Takes a message in.
-pub fn message(node: &Arc<Node>, told: Message) {
+pub fn apply(node: &Arc<Node>, received: Message) {
     let now = node.clock.now();
-    let of_itself = Told {
-        roster: told.roster,
-        config: told.config,
-        course: told.course,
+    let status = PeerStatus {
+        roster: received.roster,
+        config: received.config,
+        lifecycle: received.course,
     };
-    node.peers().hear(&told.vm, of_itself, now);
-    node.fleet().hear(&told.origin, &told.tallies, now);
-    if let Some(document) = &told.document {
+    node.peers().note_status(&received.vm, status, now);
+    node.fleet().hear(&received.origin, &received.tallies, now);
+    if let Some(document) = &received.document {
         take::document(node, document);
     }
-    if let Some(entries) = told.entries {
-        take_over(node, &told.vm, entries);
+    if let Some(entries) = received.entries {
+        replace_entries(node, &received.vm, entries);
     }
-    if told.roster >= node.roster().revision {
-        let at = now.since(Millis::new(told.roster_age));
+    if received.roster >= node.roster().revision {
+        let at = now.since(Millis::new(received.roster_age));
         node.set_runners_at(at);
     }
 }
 
 /// Takes newer entries over: all of them, and nothing else.
-fn take_over(node: &Arc<Node>, vm: &str, entries: Roster) {
+fn replace_entries(node: &Arc<Node>, vm: &str, entries: Roster) {
     if entries.revision <= node.roster().revision {
         return;
     }
--- a/crates/relay/src/exchange/tell.rs
+++ b/crates/relay/src/exchange/outgoing.rs
@@ -5,12 +5,12 @@
 use wire::clock::Millis;
 
 use crate::node::Node;
-use crate::peers::Course;
-use crate::peers::Place;
+use crate::peers::ExchangeRole;
+use crate::peers::Lifecycle;
 use crate::roster::Roster;
 use crate::tally;
-use crate::tally::Audience;
 use crate::tally::Origin;
+use crate::tally::Recipient;
 use crate::tally::Tally;
 
 /// One side of an exchange.
@@ -34,14 +34,14 @@
     pub document: Option<Vec<u8>>,
     /// Whether the VM goes on.
     #[serde(default)]
-    pub course: Course,
+    pub course: Lifecycle,
 }
 
 /// Builds the message for a VM that has these revisions.
 pub fn message(node: &Node, to: &str, roster: u64, config: u64) -> Message {
     let now = node.clock.now();
     let settings = &node.settings;
-    let (origin, tallies) = tell(node, to, now);
+    let (origin, tallies) = tallies_for(node, to, now);
     let table = node.table();
     let known = node.roster();
     Message {
@@ -53,32 +53,33 @@
         config: table.version,
         entries: (known.revision > roster).then(|| known.clone()),
         document: (table.version > config).then(|| table.document.clone()),
-        course: node.stop().map_or(Course::Stays, |_| Course::Stops),
+        course: node.stop().map_or(Lifecycle::Stays, |_| Lifecycle::Stops),
     }
 }
 
 /// Yields what a VM is told of the runners, and whose figures these are: a hub tells its own VMs
 /// all that it knows of the others, and other hubs the sum of its data centre.
-fn tell(node: &Node, to: &str, now: Millis) -> (Origin, Vec<Tally>) {
+fn tallies_for(node: &Node, to: &str, now: Millis) -> (Origin, Vec<Tally>) {
     let settings = &node.settings;
     let peers = node.peers();
-    let near = |vm: &str| {
+    let in_own_centre = |vm: &str| {
         let peer = peers.peer(vm);
         peer.is_some_and(|peer| peer.centre == settings.centre)
     };
-    match peers.place(&settings.vm, &settings.centre, now) {
-        Place::Direct | Place::Leaf => {
+    match peers.exchange_role(&settings.vm, &settings.centre, now) {
+        ExchangeRole::Direct | ExchangeRole::Leaf => {
             let tallies = node.fleet().tallies(now, |_| false);
             (Origin::Vm(settings.vm.clone()), tallies)
         }
-        Place::Hub => {
-            let (audience, origin) = if near(to) {
-                (Audience::Near(to), Origin::Others)
+        ExchangeRole::Hub => {
+            let (recipient, origin) = if in_own_centre(to) {
+                (Recipient::SameCentre(to), Origin::Others)
             } else {
-                (Audience::Far, Origin::Centre(settings.centre.clone()))
+                (Recipient::OtherHub, Origin::Centre(settings.centre.clone()))
             };
-            let told_on = |of: &Origin| tally::is_told_on(of, audience, &settings.centre, near);
-            (origin, node.fleet().tallies(now, told_on))
+            let is_forwarded =
+                |of: &Origin| tally::is_forwarded(of, recipient, &settings.centre, in_own_centre);
+            (origin, node.fleet().tallies(now, is_forwarded))
         }
     }
 }
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -15,7 +15,7 @@
 
 use crate::fleet::Want;
 use crate::fleet::health;
-use crate::tally::Told;
+use crate::tally::PeerReports;
 
 /// Prompt tokens that an engine reads in the time in which it generates one: about the same at fast
 /// and slow engines, as both times are made of the same arithmetic.
@@ -41,7 +41,7 @@
     /// Requests of this VM under way at it.
     pub own: u32,
     /// What other VMs told of it.
-    pub(super) told: Told,
+    pub(super) told: PeerReports,
     /// What it said of its load last.
     pub(super) load: Option<(Load, Millis)>,
     /// Stands for its id where runners are ranked.
@@ -86,7 +86,7 @@
             id: id.to_owned(),
             entry,
             own: 0,
-            told: Told::default(),
+            told: PeerReports::default(),
             load: None,
             cache: Cache::new(memory),
             pace: Mean::default(),
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -2,7 +2,7 @@
 //!
 //! What to call next and how long to wait is decided in [`step`]; here are the calls.
 
-mod away;
+mod outage;
 pub mod step;
 
 use std::sync::Arc;
@@ -33,7 +33,9 @@
                 follower.listed(&node, listed)
             }
             Step::Watch(revision) => {
-                let news = node.kv.changes(subject.prefix(), revision, subject.wait());
+                let news = node
+                    .kv
+                    .changes(subject.prefix(), revision, subject.watch_timeout());
                 let news = news.await;
                 node.metrics.count(Counter::StoreCalls);
                 follower.watched(&node, news)
--- a/crates/relay/src/follow/away.rs
+++ b/crates/relay/src/follow/outage.rs
@@ -11,21 +11,21 @@
 /// The longest pause after failed calls for the system's own keys, and for VMs that read the runners
 /// only as the one that does it for them doesn't; so many at once would keep the service busy with
 /// refusals.
-const AGAIN_MOST: Duration = Duration::from_millis(1_200);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
 /// The longest pause after failed calls for the configuration: under a third of the time in which
 /// one has to be in force, and long enough that VMs which the service turns away don't keep it busy.
-const AGAIN_CONFIG: Duration = Duration::from_millis(600);
+const MAX_CONFIG_RETRY_PAUSE: Duration = Duration::from_millis(600);
 /// The pause after a failed call, below a tenth of the time in which a configuration has to be in
 /// force.
-const AGAIN: Duration = Duration::from_millis(150);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// The calls that have failed since one was answered.
 #[derive(Debug, Default)]
-pub(super) struct Away {
+pub(super) struct Outage {
     failures: u32,
 }
 
-impl Away {
+impl Outage {
     pub(super) fn answered(&mut self, subject: Subject) {
         if self.failures > 0 {
             log::info!(
@@ -52,17 +52,17 @@
     /// Yields how long to wait before the next call.
     pub(super) fn pause(&self, subject: Subject, node: &Node) -> Duration {
         let now = node.clock.now();
-        let reads = node.peers().is_reader(&node.settings.vm, now);
-        let most = match subject {
-            Subject::Config => AGAIN_CONFIG,
-            Subject::Runners if reads => AGAIN,
-            Subject::Runners | Subject::Own => AGAIN_MOST,
+        let is_reader = node.peers().is_reader(&node.settings.vm, now);
+        let max_pause = match subject {
+            Subject::Config => MAX_CONFIG_RETRY_PAUSE,
+            Subject::Runners if is_reader => FIRST_RETRY_PAUSE,
+            Subject::Runners | Subject::Own => MAX_RETRY_PAUSE,
         };
         let doublings = self.failures.saturating_sub(1).min(4);
-        (AGAIN * 2_u32.pow(doublings)).min(most)
+        (FIRST_RETRY_PAUSE * 2_u32.pow(doublings)).min(max_pause)
     }
 
-    pub(super) const fn since_failures(&self) -> bool {
+    pub(super) const fn has_failed_repeatedly(&self) -> bool {
         self.failures > 2
     }
 }
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -8,7 +8,7 @@
 use adapter::kv::News;
 use platform::edge;
 
-use crate::follow::away::Away;
+use crate::follow::outage::Outage;
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::subject::Source;
@@ -18,18 +18,18 @@
 /// The pause between two watches of the runners. Their entries change at each heartbeat, so that a
 /// watch returns at once; the pause gathers changes, and keeps a leaving runner from being used
 /// for longer than a fifth of the time that is allowed.
-const PAUSE: Duration = Duration::from_millis(400);
-/// By how many VMs the pause between two watches of the system's own keys grows by [`PAUSE`]. Each
+const WATCH_PAUSE: Duration = Duration::from_millis(400);
+/// By how many VMs the pause between two watches of the system's own keys grows by [`WATCH_PAUSE`]. Each
 /// VM that starts writes a key, which every other VM's watch returns for, so that a restart of all
 /// costs calls by the square of their number. What these keys tell isn't urgent, as members with a
 /// disk tell a new list themselves.
-const OWN_SPREAD: u32 = 8;
+const VMS_PER_OWN_PAUSE: u32 = 8;
 
 /// How far the knowledge of a subject is.
 #[derive(Debug)]
 pub struct Follower {
     subject: Subject,
-    away: Away,
+    outage: Outage,
     phase: Phase,
 }
 
@@ -64,7 +64,7 @@
     pub fn new(subject: Subject) -> Self {
         Self {
             subject,
-            away: Away::default(),
+            outage: Outage::default(),
             phase: Phase::Decide,
         }
     }
@@ -87,7 +87,7 @@
             }
             Phase::Watched(_) | Phase::Broken => {
                 self.phase = Phase::Decide;
-                Step::Pause(self.away.pause(self.subject, node))
+                Step::Pause(self.outage.pause(self.subject, node))
             }
         }
     }
@@ -95,7 +95,7 @@
     fn decide(&mut self, node: &Node) -> Step {
         let source = node.source(self.subject);
         if source == Source::Peers {
-            return Step::Pause(PAUSE);
+            return Step::Pause(WATCH_PAUSE);
         }
         self.phase = Phase::List(source);
         Step::List(source.freshness())
@@ -113,7 +113,7 @@
                 let revision = listing.revision;
                 take::listing(node, self.subject, listing);
                 match source {
-                    Source::Copy => own_pause(node) + self.away.pause(self.subject, node),
+                    Source::Copy => own_pause(node) + self.outage.pause(self.subject, node),
                     Source::Store | Source::Peers => {
                         self.phase = Phase::Watch(revision);
                         Duration::ZERO
@@ -139,7 +139,7 @@
                 for change in changes {
                     take::change(node, self.subject, change);
                 }
-                self.pause_between(node)
+                self.watch_pause(node)
             }
             Ok(News::Dropped) => {
                 self.phase = Phase::Broken;
@@ -148,7 +148,7 @@
             Err(fault) => {
                 let pause = self.failed(node, &fault);
                 // What is listed tells more than a watch that may have been cut for long.
-                if self.away.since_failures() {
+                if self.outage.has_failed_repeatedly() {
                     self.phase = Phase::Broken;
                 }
                 pause
@@ -157,11 +157,11 @@
     }
 
     /// Yields the pause between two watches, of which the first has been answered.
-    fn pause_between(&self, node: &Node) -> Duration {
+    fn watch_pause(&self, node: &Node) -> Duration {
         match self.subject {
             Subject::Runners => {
                 node.set_runners_at(node.clock.now());
-                PAUSE
+                WATCH_PAUSE
             }
             Subject::Own => own_pause(node),
             Subject::Config => Duration::ZERO,
@@ -170,7 +170,7 @@
 
     /// Notes that the service has answered, and that what is known is current.
     fn answered(&mut self, node: &Node) {
-        self.away.answered(self.subject);
+        self.outage.answered(self.subject);
         match self.subject {
             Subject::Config => node.set_config_at(node.clock.now()),
             // A list of the runners may be older than what others told.
@@ -180,13 +180,13 @@
 
     fn failed(&mut self, node: &Node, fault: &edge::Fault) -> Duration {
         node.metrics.count(Counter::StoreFailures);
-        self.away.failed(self.subject, fault);
-        self.away.pause(self.subject, node)
+        self.outage.failed(self.subject, fault);
+        self.outage.pause(self.subject, node)
     }
 }
 
 /// Yields the pause between two reads of the system's own keys.
 fn own_pause(node: &Node) -> Duration {
     let vms = u32::try_from(node.peers().count()).unwrap_or(u32::MAX);
-    PAUSE * (1 + vms / OWN_SPREAD)
+    WATCH_PAUSE * (1 + vms / VMS_PER_OWN_PAUSE)
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -286,12 +286,12 @@
     pub fn source(&self, subject: Subject) -> Source {
         let now = self.clock.now();
         let settings = &self.settings;
-        let (place, reads) = {
+        let (role, is_reader) = {
             let peers = self.peers();
-            let place = peers.place(&settings.vm, &settings.centre, now);
-            (place, peers.is_reader(&settings.vm, now))
+            let role = peers.exchange_role(&settings.vm, &settings.centre, now);
+            (role, peers.is_reader(&settings.vm, now))
         };
-        subject::source(subject, place, reads, self.is_runners_list_stale())
+        subject::source(subject, role, is_reader, self.is_runners_list_stale())
     }
 
     /// Tells whether the process can serve what clients ask.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -14,17 +14,17 @@
 
 /// Up to this many VMs exchange with each other directly: at 16 exchanges a second with each that
 /// is under 200 messages a second and VM, some per cent of a small VM's processor.
-pub const DIRECT: usize = 12;
+pub const MAX_DIRECT_PEERS: usize = 12;
 /// VMs of a data centre that its hub hears at the full rate, 16 times a second each.
-const LEAVES: usize = 24;
+const LEAVES_AT_FULL_RATE: usize = 24;
 /// Of the silent VMs before a data centre's hub, so many are asked each time, the first ones by name,
 /// as one of them is the hub as soon as it answers; and one of the others in turn. To ask all would be
 /// messages by the square of the VMs when a hub dies, as no leaf has heard another one.
-const TRIED: usize = 2;
+const PROBED_SILENT: usize = 2;
 /// A VM whose entry has lapsed is still told for this long: the service may have been away.
-const LAPSED: Millis = Millis::new(10_000);
+const LAPSED_RETENTION: Millis = Millis::new(10_000);
 /// A VM that hasn't answered for this long is no hub: several exchanges, and a short freeze.
-const SILENT: Millis = Millis::new(1_000);
+const ANSWER_TIMEOUT: Millis = Millis::new(1_000);
 
 /// The other VMs, in the order of their names.
 #[derive(Debug, Default)]
@@ -45,14 +45,14 @@
     pub roster: u64,
     /// The configuration's revision that it had then.
     pub config: u64,
-    heard: Millis,
-    course: Course,
-    lapsed: Option<Millis>,
+    last_heard: Millis,
+    lifecycle: Lifecycle,
+    lapsed_at: Option<Millis>,
 }
 
 /// Whether a VM goes on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Course {
+pub enum Lifecycle {
     /// It does.
     #[default]
     Stays,
@@ -62,24 +62,24 @@
 
 impl Peer {
     fn answers(&self, now: Millis) -> bool {
-        self.lapsed.is_none() && now.since(self.heard) < SILENT
+        self.lapsed_at.is_none() && now.since(self.last_heard) < ANSWER_TIMEOUT
     }
 }
 
 /// What a VM tells of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct PeerStatus {
     /// The roster's revision that it has.
     pub roster: u64,
     /// The configuration's revision that it has.
     pub config: u64,
     /// Whether it goes on.
-    pub course: Course,
+    pub lifecycle: Lifecycle,
 }
 
 /// Whom a VM exchanges with, as it sees the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum ExchangeRole {
     /// Every two VMs exchange.
     Direct,
     /// The first of its data centre.
@@ -96,7 +96,7 @@
                 let peer = &mut self.known[at];
                 peer.address = address;
                 centre.clone_into(&mut peer.centre);
-                peer.lapsed = None;
+                peer.lapsed_at = None;
             }
             Err(at) => self.known.insert(
                 at,
@@ -106,9 +106,9 @@
                     address,
                     roster: 0,
                     config: 0,
-                    heard: now,
-                    course: Course::Stays,
-                    lapsed: None,
+                    last_heard: now,
+                    lifecycle: Lifecycle::Stays,
+                    lapsed_at: None,
                 },
             ),
         }
@@ -131,36 +131,36 @@
     }
 
     /// Notes what a VM had when it was heard.
-    pub fn hear(&mut self, vm: &str, told: Told, now: Millis) {
+    pub fn note_status(&mut self, vm: &str, status: PeerStatus, now: Millis) {
         if let Ok(at) = self.find(vm) {
             let peer = &mut self.known[at];
-            peer.heard = now;
-            peer.course = told.course;
-            peer.roster = told.roster;
-            peer.config = told.config;
+            peer.last_heard = now;
+            peer.lifecycle = status.lifecycle;
+            peer.roster = status.roster;
+            peer.config = status.config;
         }
     }
 
     /// Notes that a VM's entry has lapsed.
-    pub fn lapse(&mut self, vm: &str, now: Millis) {
+    pub fn mark_lapsed(&mut self, vm: &str, now: Millis) {
         if let Ok(at) = self.find(vm) {
-            self.known[at].lapsed.get_or_insert(now);
+            self.known[at].lapsed_at.get_or_insert(now);
         }
     }
 
     /// Notes which VMs are listed; the others have lapsed.
-    pub fn keep(&mut self, vms: &[String], now: Millis) {
+    pub fn mark_unlisted(&mut self, vms: &[String], now: Millis) {
         for peer in &mut self.known {
             if !vms.contains(&peer.vm) {
-                peer.lapsed.get_or_insert(now);
+                peer.lapsed_at.get_or_insert(now);
             }
         }
     }
 
     /// Forgets VMs whose entries lapsed long ago.
-    pub fn sweep(&mut self, now: Millis) {
-        let recent = |since: Millis| now.since(since) < LAPSED;
-        self.known.retain(|peer| peer.lapsed.is_none_or(recent));
+    pub fn forget_lapsed(&mut self, now: Millis) {
+        let recent = |since: Millis| now.since(since) < LAPSED_RETENTION;
+        self.known.retain(|peer| peer.lapsed_at.is_none_or(recent));
     }
 
     /// Tells whether no VM that answers comes before `own`: it reads the runners' entries for the
@@ -172,13 +172,13 @@
     /// it is, as leaves that hear only their hub would all read at once.
     #[must_use]
     pub fn is_reader(&self, own: &str, now: Millis) -> bool {
-        let goes_on = |peer: &Peer| !self.is_direct() || peer.course == Course::Stays;
+        let goes_on = |peer: &Peer| !self.is_direct() || peer.lifecycle == Lifecycle::Stays;
         let mut before = self.known.iter().take_while(|peer| peer.vm.as_str() < own);
         !before.any(|peer| peer.answers(now) && goes_on(peer))
     }
 
     fn is_direct(&self) -> bool {
-        self.known.len() <= DIRECT
+        self.known.len() <= MAX_DIRECT_PEERS
     }
 
     /// Tells whether no VM of the data centre that answers comes before `own`: it is their hub where
@@ -195,25 +195,25 @@
     }
 
     /// Yields by how much the pause between two exchanges grows, so that a hub has at most some
-    /// hundred messages a second: once more for each [`LEAVES`] VMs of a data centre.
+    /// hundred messages a second: once more for each [`LEAVES_AT_FULL_RATE`] VMs of a data centre.
     #[must_use]
-    pub fn spread(&self) -> u32 {
+    pub fn pause_factor(&self) -> u32 {
         let mut centres: Vec<&str> = self.known.iter().map(|peer| peer.centre.as_str()).collect();
         centres.sort_unstable();
         let largest = centres.chunk_by(|a, b| a == b).map(<[&str]>::len).max();
-        u32::try_from(largest.unwrap_or(0) / LEAVES).unwrap_or(u32::MAX) + 1
+        u32::try_from(largest.unwrap_or(0) / LEAVES_AT_FULL_RATE).unwrap_or(u32::MAX) + 1
     }
 
     /// Tells whom the VM named exchanges with.
     #[must_use]
-    pub fn place(&self, own: &str, centre: &str, now: Millis) -> Place {
+    pub fn exchange_role(&self, own: &str, centre: &str, now: Millis) -> ExchangeRole {
         if self.is_direct() {
-            return Place::Direct;
+            return ExchangeRole::Direct;
         }
         if self.is_first(own, centre, now) {
-            return Place::Hub;
+            return ExchangeRole::Hub;
         }
-        Place::Leaf
+        ExchangeRole::Leaf
     }
 
     /// Yields the VMs that the VM named starts an exchange with. Of two that both would, the one
@@ -223,20 +223,20 @@
     /// which VM has become another data centre's hub, and the leaves of a hub that was silent for a
     /// moment would stay with its deputy, which has stepped back and tells them nothing of others.
     #[must_use]
-    pub fn to_ask(&self, own: &str, centre: &str, now: Millis) -> Vec<Peer> {
-        let place = self.place(own, centre, now);
+    pub fn exchange_targets(&self, own: &str, centre: &str, now: Millis) -> Vec<Peer> {
+        let role = self.exchange_role(own, centre, now);
         let mut asked = Vec::new();
-        if place == Place::Direct {
+        if role == ExchangeRole::Direct {
             asked.extend(self.known.iter().filter(|peer| peer.vm.as_str() > own));
         } else {
-            let before = self.until_hub(centre, |vm| vm < own, now);
-            asked.extend(before.tried(now));
+            let before = self.find_hub(centre, |vm| vm < own, now);
+            asked.extend(before.probed(now));
             asked.extend(before.hub);
-            if place == Place::Hub {
+            if role == ExchangeRole::Hub {
                 let others = self.centres().into_iter().filter(|of| *of != centre);
-                for other in others.map(|of| self.until_hub(of, |_| true, now)) {
-                    if before.is_own_turn(now) {
-                        asked.extend(other.tried(now));
+                for other in others.map(|of| self.find_hub(of, |_| true, now)) {
+                    if before.probes_other_centres(now) {
+                        asked.extend(other.probed(now));
                     }
                     asked.extend(other.hub);
                 }
@@ -254,7 +254,7 @@
     }
 
     /// Yields a data centre's hub among the VMs that `counts` names, and the silent VMs before it.
-    fn until_hub(&self, centre: &str, counts: impl Fn(&str) -> bool, now: Millis) -> UntilHub<'_> {
+    fn find_hub(&self, centre: &str, counts: impl Fn(&str) -> bool, now: Millis) -> HubSearch<'_> {
         let known = self.known.iter();
         let mut counted = known.filter(|peer| peer.centre == centre && counts(&peer.vm));
         let mut silent = Vec::new();
@@ -265,36 +265,36 @@
             }
             answers
         });
-        UntilHub { silent, hub }
+        HubSearch { silent, hub }
     }
 }
 
 /// A data centre's VMs in the order of their names, up to its hub.
-struct UntilHub<'a> {
+struct HubSearch<'a> {
     silent: Vec<&'a Peer>,
     hub: Option<&'a Peer>,
 }
 
-impl<'a> UntilHub<'a> {
-    /// Yields the silent VMs that are asked now: the first [`TRIED`], and one in turn.
-    fn tried(&self, now: Millis) -> impl Iterator<Item = &'a Peer> {
-        let turn = drawn(now, self.silent.len());
+impl<'a> HubSearch<'a> {
+    /// Yields the silent VMs that are asked now: the first [`PROBED_SILENT`], and one in turn.
+    fn probed(&self, now: Millis) -> impl Iterator<Item = &'a Peer> {
+        let turn = pseudo_random_index(now, self.silent.len());
         let silent = self.silent.iter().copied().enumerate();
-        let tried = silent.filter(move |(at, _)| *at < TRIED || *at == turn);
+        let tried = silent.filter(move |(at, _)| *at < PROBED_SILENT || *at == turn);
         tried.map(|(_, peer)| peer)
     }
 
     /// Tells whether a VM that has these before it, all silent, tries those of other data centres now:
     /// the more there are, the more seldom. When a hub dies, for a moment all its leaves take
     /// themselves for hubs, and all at once would ask the same VMs of each other data centre.
-    fn is_own_turn(&self, now: Millis) -> bool {
-        drawn(now, self.silent.len()) < TRIED
+    fn probes_other_centres(&self, now: Millis) -> bool {
+        pseudo_random_index(now, self.silent.len()) < PROBED_SILENT
     }
 }
 
 /// Draws a number below `count`. Drawn by the time, as a count of rounds could skip the same VMs again
 /// and again.
-fn drawn(now: Millis, count: usize) -> usize {
+fn pseudo_random_index(now: Millis, count: usize) -> usize {
     let number = xxh3_64(&now.as_u64().to_le_bytes());
     usize::try_from(number % count.max(1) as u64).unwrap_or(0)
 }
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -1,10 +1,10 @@
 use wire::clock::Millis;
 
-use super::Course;
-use super::DIRECT;
+use super::ExchangeRole;
+use super::Lifecycle;
+use super::MAX_DIRECT_PEERS;
+use super::PeerStatus;
 use super::Peers;
-use super::Place;
-use super::Told;
 
 const NOW: Millis = Millis::new(10_000);
 
@@ -19,40 +19,46 @@
 }
 
 fn asked(peers: &Peers, own: &str, centre: &str, now: Millis) -> Vec<String> {
-    let asked = peers.to_ask(own, centre, now).into_iter();
+    let asked = peers.exchange_targets(own, centre, now).into_iter();
     asked.map(|peer| peer.vm).collect()
 }
 
 #[test]
 fn few_vms_exchange_with_each_other_once_a_pair() {
     let peers = peers(6);
-    assert_eq!(peers.place("vm-000", "a", NOW), Place::Direct);
+    assert_eq!(
+        peers.exchange_role("vm-000", "a", NOW),
+        ExchangeRole::Direct
+    );
     assert_eq!(asked(&peers, "vm-003", "a", NOW), ["vm-004", "vm-005"]);
     assert!(asked(&peers, "vm-005", "c", NOW).is_empty());
 }
 
 #[test]
 fn many_vms_exchange_over_their_hubs() {
-    let peers = peers(DIRECT + 60);
+    let peers = peers(MAX_DIRECT_PEERS + 60);
     assert_eq!(asked(&peers, "vm-030", "a", NOW), ["vm-000"]);
     assert_eq!(asked(&peers, "vm-000", "a", NOW), ["vm-001", "vm-002"]);
-    assert_eq!(peers.place("vm-000", "a", NOW), Place::Hub);
+    assert_eq!(peers.exchange_role("vm-000", "a", NOW), ExchangeRole::Hub);
 }
 
 /// A hub freezes. Its data centre's VMs no longer hear of others' requests and would all pick the
 /// same idle runner; the next VM takes over within a second, and steps back when it is heard again.
 #[test]
 fn a_silent_hub_is_passed_over() {
-    let mut peers = peers(DIRECT + 60);
+    let mut peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
-    for at in 1..DIRECT + 60 {
-        peers.hear(&format!("vm-{at:03}"), Told::default(), later);
+    for at in 1..MAX_DIRECT_PEERS + 60 {
+        peers.note_status(&format!("vm-{at:03}"), PeerStatus::default(), later);
     }
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000", "vm-003"]);
-    assert_eq!(peers.place("vm-003", "a", later), Place::Hub);
+    assert_eq!(peers.exchange_role("vm-003", "a", later), ExchangeRole::Hub);
     assert!(asked(&peers, "vm-003", "a", later).contains(&"vm-000".to_owned()));
-    peers.hear("vm-000", Told::default(), later);
-    assert_eq!(peers.place("vm-003", "a", later), Place::Leaf);
+    peers.note_status("vm-000", PeerStatus::default(), later);
+    assert_eq!(
+        peers.exchange_role("vm-003", "a", later),
+        ExchangeRole::Leaf
+    );
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000"]);
 }
 
@@ -60,9 +66,9 @@
 /// all at once those of other data centres, a hub's death would cost messages by the square of the VMs.
 #[test]
 fn leaves_without_a_hub_ask_few() {
-    let peers = peers(DIRECT + 60);
+    let peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
-    for at in 1..DIRECT + 60 {
+    for at in 1..MAX_DIRECT_PEERS + 60 {
         let own = format!("vm-{at:03}");
         let asked = asked(&peers, &own, ["a", "b", "c"][at % 3], later);
         assert!(asked.len() <= 9, "{own}: {asked:?}");
@@ -72,11 +78,11 @@
 #[test]
 fn a_vm_whose_entry_has_lapsed_is_forgotten_later() {
     let mut peers = peers(3);
-    peers.lapse("vm-000", NOW);
+    peers.mark_lapsed("vm-000", NOW);
     assert!(peers.is_first("vm-003", "a", NOW));
-    peers.sweep(Millis::new(15_000));
+    peers.forget_lapsed(Millis::new(15_000));
     assert!(peers.peer("vm-000").is_some());
-    peers.sweep(Millis::new(21_000));
+    peers.forget_lapsed(Millis::new(21_000));
     assert!(peers.peer("vm-000").is_none());
 }
 
@@ -89,7 +95,7 @@
     assert!(!peers.is_reader("vm-001", NOW));
     let later = Millis::new(11_100);
     for vm in ["vm-002", "vm-003"] {
-        peers.hear(vm, Told::default(), later);
+        peers.note_status(vm, PeerStatus::default(), later);
     }
     assert!(peers.is_reader("vm-001", later), "the first is silent");
     assert!(!peers.is_reader("vm-003", later));
@@ -101,15 +107,15 @@
 #[test]
 fn readers_that_stop_are_not_waited_for() {
     let mut peers = peers(6);
-    let stops = Told {
-        course: Course::Stops,
-        ..Told::default()
+    let stops = PeerStatus {
+        lifecycle: Lifecycle::Stops,
+        ..PeerStatus::default()
     };
     for vm in ["vm-000", "vm-001"] {
-        peers.hear(vm, stops, NOW);
+        peers.note_status(vm, stops, NOW);
     }
     assert!(peers.is_reader("vm-002", NOW));
     assert!(!peers.is_reader("vm-003", NOW));
-    peers.hear("vm-000", Told::default(), NOW);
+    peers.note_status("vm-000", PeerStatus::default(), NOW);
     assert!(!peers.is_reader("vm-002", NOW), "the first is back");
 }
--- a/crates/relay/src/register.rs
+++ b/crates/relay/src/register.rs
@@ -20,9 +20,9 @@
 
 /// How long a VM's entry lasts without renewal. Long beside a short outage of the service, as a VM
 /// that is dead costs its peers only unanswered messages.
-pub const LEASE: Millis = Millis::new(8_000);
+pub const LEASE_TTL: Millis = Millis::new(8_000);
 /// How often the entry is renewed: three times within its lease.
-pub const RENEW: Duration = Duration::from_millis(2_500);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(2_500);
 
 /// Keeps this VM's entry in the key-value service for as long as it is polled.
 pub async fn run(node: Arc<Node>, address: SocketAddr) {
@@ -40,7 +40,7 @@
                     Some(held)
                 }
             },
-            None => match enter(&node, address).await {
+            None => match write_entry(&node, address).await {
                 Ok(lease) => Some(lease),
                 Err(fault) => {
                     node.metrics.count(Counter::StoreFailures);
@@ -51,12 +51,12 @@
         };
         node.metrics
             .time(Span::StoreCall, Millis::from(begun.elapsed()));
-        sleep(RENEW).await;
+        sleep(RENEW_INTERVAL).await;
     }
 }
 
-async fn enter(node: &Node, address: SocketAddr) -> platform::edge::Result<Lease> {
-    let lease = node.kv.grant(LEASE).await?;
+async fn write_entry(node: &Node, address: SocketAddr) -> platform::edge::Result<Lease> {
+    let lease = node.kv.grant(LEASE_TTL).await?;
     let value = format!("{address} {}", node.settings.centre);
     let put = Write::Put {
         key: format!("{}{}", subject::vm_prefix(), node.settings.vm),
--- a/crates/relay/src/roster.rs
+++ b/crates/relay/src/roster.rs
@@ -18,38 +18,38 @@
 
 /// Whether a change of an entry matters to other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weight {
+pub enum ChangeKind {
     /// Only a heartbeat.
     Heartbeat,
     /// A runner that appears, leaves or is gone.
-    Matters,
+    Significant,
 }
 
 impl Roster {
     /// Notes an entry.
-    pub fn set(&mut self, id: &str, bytes: &[u8], revision: u64, weight: Weight) {
+    pub fn set(&mut self, id: &str, bytes: &[u8], revision: u64, kind: ChangeKind) {
         match self.find(id) {
             Ok(at) => self.entries[at].1 = bytes.to_vec(),
             Err(at) => self.entries.insert(at, (id.to_owned(), bytes.to_vec())),
         }
-        self.note(revision, weight);
+        self.note_change(revision, kind);
     }
 
     /// Notes that an entry is gone.
     pub fn remove(&mut self, id: &str, revision: u64) {
         if let Ok(at) = self.find(id) {
             self.entries.remove(at);
-            self.note(revision, Weight::Matters);
+            self.note_change(revision, ChangeKind::Significant);
         }
     }
 
     /// Drops the entries that a list of the key-value service lacks; `listed` is in the order of ids.
-    pub fn keep(&mut self, listed: &[String], revision: u64) {
+    pub fn retain_listed(&mut self, listed: &[String], revision: u64) {
         let before = self.entries.len();
         self.entries
             .retain(|(id, _)| listed.binary_search(id).is_ok());
         if self.entries.len() < before {
-            self.note(revision, Weight::Matters);
+            self.note_change(revision, ChangeKind::Significant);
         }
     }
 
@@ -58,7 +58,7 @@
     /// A VM that starts has no entry that could tell it of a removal just before. Were its knowledge
     /// as old as its newest entry, it would take over what another VM knew before the removal, and
     /// the runner that is gone would get requests until it ends.
-    pub fn raise(&mut self, revision: u64) {
+    pub fn raise_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
@@ -67,8 +67,8 @@
             .binary_search_by(|(key, _)| key.as_str().cmp(id))
     }
 
-    fn note(&mut self, revision: u64, weight: Weight) {
-        if weight == Weight::Matters {
+    fn note_change(&mut self, revision: u64, kind: ChangeKind) {
+        if kind == ChangeKind::Significant {
             self.revision = self.revision.max(revision);
         }
     }
--- a/crates/relay/src/roster/tests.rs
+++ b/crates/relay/src/roster/tests.rs
@@ -1,12 +1,12 @@
+use super::ChangeKind;
 use super::Roster;
-use super::Weight;
 
 #[test]
 fn heartbeats_are_no_news_for_other_vms() {
     let mut roster = Roster::default();
-    roster.set("i-2", b"ready", 5, Weight::Matters);
-    roster.set("i-1", b"ready", 6, Weight::Matters);
-    roster.set("i-2", b"ready, seq 2", 9, Weight::Heartbeat);
+    roster.set("i-2", b"ready", 5, ChangeKind::Significant);
+    roster.set("i-1", b"ready", 6, ChangeKind::Significant);
+    roster.set("i-2", b"ready, seq 2", 9, ChangeKind::Heartbeat);
     assert_eq!(roster.revision, 6);
     let ids: Vec<&str> = roster.entries.iter().map(|(id, _)| id.as_str()).collect();
     assert_eq!(ids, ["i-1", "i-2"]);
@@ -19,11 +19,11 @@
 #[test]
 fn only_listed_entries_are_kept() {
     let mut roster = Roster::default();
-    roster.set("i-1", b"ready", 5, Weight::Matters);
-    roster.set("i-2", b"ready", 6, Weight::Matters);
-    roster.keep(&["i-1".to_owned(), "i-2".to_owned()], 8);
+    roster.set("i-1", b"ready", 5, ChangeKind::Significant);
+    roster.set("i-2", b"ready", 6, ChangeKind::Significant);
+    roster.retain_listed(&["i-1".to_owned(), "i-2".to_owned()], 8);
     assert_eq!(roster.revision, 6);
-    roster.keep(&["i-2".to_owned(), "i-3".to_owned()], 9);
+    roster.retain_listed(&["i-2".to_owned(), "i-3".to_owned()], 9);
     let ids: Vec<&str> = roster.entries.iter().map(|(id, _)| id.as_str()).collect();
     assert_eq!((roster.revision, ids), (9, vec!["i-2"]));
 }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -103,7 +103,7 @@
         member: shared,
         http,
         platform: Arc::new(kv.clone()),
-        key: subject::list_key(),
+        key: subject::members_key(),
         losses: settings.losses,
         clock: clock.clone(),
         phase: phase.clone(),
--- a/crates/relay/src/subject.rs
+++ b/crates/relay/src/subject.rs
@@ -4,15 +4,15 @@
 use adapter::kv::Freshness;
 use wire::clock::Millis;
 
-use crate::peers::Place;
+use crate::peers::ExchangeRole;
 
 /// How long a watch waits at the service for a change.
-const WAIT: Millis = Millis::new(20_000);
+const WATCH_TIMEOUT: Millis = Millis::new(20_000);
 /// How long a watch of the runners does. Heartbeats alone change no entry, so that in quiet minutes
 /// nothing comes; each return, also an empty one, tells that what is known is current. With the
 /// pause it stays below the age at which other VMs take the knowledge for stale and read the
 /// entries themselves, all of them at once.
-const WAIT_RUNNERS: Millis = Millis::new(500);
+const RUNNERS_WATCH_TIMEOUT: Millis = Millis::new(500);
 
 /// What is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,10 +38,10 @@
 
     /// Yields how long a watch waits at the service for a change.
     #[must_use]
-    pub const fn wait(self) -> Millis {
+    pub const fn watch_timeout(self) -> Millis {
         match self {
-            Self::Config | Self::Own => WAIT,
-            Self::Runners => WAIT_RUNNERS,
+            Self::Config | Self::Own => WATCH_TIMEOUT,
+            Self::Runners => RUNNERS_WATCH_TIMEOUT,
         }
     }
 }
@@ -76,19 +76,19 @@
 /// within two exchanges. What its hub tells is current as long as the runners' entries are, as
 /// both come in one message; when they aren't, it asks the service itself.
 #[must_use]
-pub const fn source(subject: Subject, place: Place, reads: bool, stale: bool) -> Source {
-    match (subject, place) {
-        (Subject::Runners, _) if reads || stale => Source::Store,
+pub const fn source(subject: Subject, role: ExchangeRole, is_reader: bool, stale: bool) -> Source {
+    match (subject, role) {
+        (Subject::Runners, _) if is_reader || stale => Source::Store,
         (Subject::Runners, _) => Source::Peers,
-        (Subject::Config, Place::Leaf) if !stale => Source::Peers,
-        (Subject::Own, Place::Leaf) => Source::Copy,
+        (Subject::Config, ExchangeRole::Leaf) if !stale => Source::Peers,
+        (Subject::Own, ExchangeRole::Leaf) => Source::Copy,
         (Subject::Config | Subject::Own, _) => Source::Store,
     }
 }
 
 /// Names the key of the list of VMs with a disk.
 #[must_use]
-pub fn list_key() -> String {
+pub fn members_key() -> String {
     format!("{}members", keys::OWN)
 }
 
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/take.rs
@@ -30,14 +30,14 @@
         let vms = listed.filter_map(|entry| entry.key.strip_prefix(&prefix));
         let vms: Vec<String> = vms.map(str::to_owned).collect();
         let now = node.clock.now();
-        node.peers().keep(&vms, now);
+        node.peers().mark_unlisted(&vms, now);
     }
     for entry in listing.entries {
         change(node, subject, edge::Change::Set(entry));
     }
     // An empty list may be one of a service that has lost all entries: others keep theirs.
     if first && !node.roster().entries.is_empty() {
-        node.roster().raise(listing.revision);
+        node.roster().raise_revision(listing.revision);
     }
 }
 
@@ -51,7 +51,7 @@
     ids.sort();
     if listing.revision >= node.roster().revision {
         drop_missing(node, &ids, "listed=false");
-        node.roster().keep(&ids, listing.revision);
+        node.roster().retain_listed(&ids, listing.revision);
     }
     node.set_runners_at(node.clock.now());
 }
@@ -85,7 +85,7 @@
         (Subject::Own, edge::Change::Removed { key, .. }) => {
             if let Some(vm) = key.strip_prefix(&subject::vm_prefix()) {
                 let now = node.clock.now();
-                node.peers().lapse(vm, now);
+                node.peers().mark_lapsed(vm, now);
             }
         }
         (Subject::Config, edge::Change::Removed { .. }) => {}
@@ -143,8 +143,8 @@
     );
     let change = set_runner(node, &id, decoded);
     let weight = match change {
-        fleet::Change::Same => roster::Weight::Heartbeat,
-        _ => roster::Weight::Matters,
+        fleet::Change::Same => roster::ChangeKind::Heartbeat,
+        _ => roster::ChangeKind::Significant,
     };
     node.roster().set(&id, &entry.value, entry.revision, weight);
     fleet::log_change(&change, &line);
@@ -165,7 +165,7 @@
 }
 
 fn own_entry(node: &Arc<Node>, entry: &Entry) {
-    if entry.key == subject::list_key() {
+    if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
             Err(fault) => log::error!("text=\"the list can't be read\" fault=\"{fault}\""),
--- a/crates/relay/src/tally.rs
+++ b/crates/relay/src/tally.rs
@@ -6,7 +6,7 @@
 use wire::clock::Millis;
 
 /// How long another VM's figures hold without newer ones.
-const HEARD: Millis = Millis::new(600);
+const REPORT_MAX_AGE: Millis = Millis::new(600);
 
 /// Figures of one runner, of one VM or of several that one speaks for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,61 +37,61 @@
 
 /// Whom a hub tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience<'a> {
+pub enum Recipient<'a> {
     /// A VM of its own data centre, by name: all that it knows of the others.
-    Near(&'a str),
+    SameCentre(&'a str),
     /// Another hub: the sum of its data centre.
-    Far,
+    OtherHub,
 }
 
-/// Tells whether a hub in `centre` adds an origin's figures to its own for this audience; `is_near`
+/// Tells whether a hub in `centre` adds an origin's figures to its own for this recipient; `in_own_centre`
 /// tells whether a VM belongs to its data centre.
 #[must_use]
-pub fn is_told_on(
+pub fn is_forwarded(
     origin: &Origin,
-    audience: Audience<'_>,
+    recipient: Recipient<'_>,
     centre: &str,
-    is_near: impl Fn(&str) -> bool,
+    in_own_centre: impl Fn(&str) -> bool,
 ) -> bool {
-    match (origin, audience) {
-        (Origin::Vm(vm), Audience::Near(to)) => vm != to && is_near(vm),
-        (Origin::Vm(vm), Audience::Far) => is_near(vm),
-        (Origin::Centre(of), Audience::Near(_)) => of != centre,
-        (Origin::Centre(_), Audience::Far) | (Origin::Others, _) => false,
+    match (origin, recipient) {
+        (Origin::Vm(vm), Recipient::SameCentre(to)) => vm != to && in_own_centre(vm),
+        (Origin::Vm(vm), Recipient::OtherHub) => in_own_centre(vm),
+        (Origin::Centre(of), Recipient::SameCentre(_)) => of != centre,
+        (Origin::Centre(_), Recipient::OtherHub) | (Origin::Others, _) => false,
     }
 }
 
 /// What other VMs told of one runner.
 #[derive(Clone, Debug, Default)]
-pub struct Told(Vec<Line>);
+pub struct PeerReports(Vec<Report>);
 
 #[derive(Clone, Debug)]
-struct Line {
+struct Report {
     origin: Origin,
     under_way: u32,
     held_off: u32,
     at: Millis,
 }
 
-impl Told {
+impl PeerReports {
     /// Takes in what is told; `None` where there is nothing at this runner.
     ///
-    /// What is nothing isn't kept: a hub would have a line for each runner and VM, and go through all
+    /// What is nothing isn't kept: a hub would have a report for each runner and VM, and go through all
     /// of them for each message.
     pub fn note(&mut self, origin: &Origin, tally: Option<&Tally>, now: Millis) {
-        let known = self.0.iter().position(|line| line.origin == *origin);
-        let line = tally.map(|tally| Line {
+        let known = self.0.iter().position(|report| report.origin == *origin);
+        let report = tally.map(|tally| Report {
             origin: origin.clone(),
             under_way: tally.under_way,
             held_off: tally.held_off,
             at: now,
         });
-        match (known, line) {
-            (Some(at), Some(line)) => self.0[at] = line,
+        match (known, report) {
+            (Some(at), Some(report)) => self.0[at] = report,
             (Some(at), None) => {
                 self.0.swap_remove(at);
             }
-            (None, Some(line)) => self.0.push(line),
+            (None, Some(report)) => self.0.push(report),
             (None, None) => {}
         }
     }
@@ -100,10 +100,13 @@
     /// that hold the runner off.
     #[must_use]
     pub fn sum(&self, now: Millis, counts: impl Fn(&Origin) -> bool) -> (u32, u32) {
-        let fresh = self.0.iter().filter(|line| now.since(line.at) < HEARD);
-        let counted = fresh.filter(|line| counts(&line.origin));
-        counted.fold((0, 0), |(under_way, held_off), line| {
-            (under_way + line.under_way, held_off + line.held_off)
+        let fresh = self
+            .0
+            .iter()
+            .filter(|report| now.since(report.at) < REPORT_MAX_AGE);
+        let counted = fresh.filter(|report| counts(&report.origin));
+        counted.fold((0, 0), |(under_way, held_off), report| {
+            (under_way + report.under_way, held_off + report.held_off)
         })
     }
 
--- a/crates/relay/src/tally/tests.rs
+++ b/crates/relay/src/tally/tests.rs
@@ -1,11 +1,11 @@
 use rstest::rstest;
 use wire::clock::Millis;
 
-use super::Audience;
 use super::Origin;
+use super::PeerReports;
+use super::Recipient;
 use super::Tally;
-use super::Told;
-use super::is_told_on;
+use super::is_forwarded;
 
 const NOW: Millis = Millis::new(5_000);
 
@@ -22,8 +22,8 @@
 }
 
 /// What a VM that takes itself for a hub tells another one of its data centre, which does as well.
-fn tell(from: &Told, own: u32, to: &str) -> Tally {
-    let counts = |origin: &Origin| is_told_on(origin, Audience::Near(to), "a", |_| true);
+fn tell(from: &PeerReports, own: u32, to: &str) -> Tally {
+    let counts = |origin: &Origin| is_forwarded(origin, Recipient::SameCentre(to), "a", |_| true);
     tally(own + from.sum(NOW, counts).0)
 }
 
@@ -32,7 +32,7 @@
 /// all runners would look full, and callers be refused while they are idle.
 #[test]
 fn two_hubs_do_not_echo_each_others_sums() {
-    let (mut a, mut b) = (Told::default(), Told::default());
+    let (mut a, mut b) = (PeerReports::default(), PeerReports::default());
     a.note(&vm("leaf"), Some(&tally(2)), NOW);
     b.note(&vm("leaf"), Some(&tally(2)), NOW);
     for _ in 0..20 {
@@ -47,7 +47,7 @@
 
 #[test]
 fn the_latest_sum_of_a_data_centre_counts_whoever_told_it() {
-    let mut told = Told::default();
+    let mut told = PeerReports::default();
     let centre = Origin::Centre("b".to_owned());
     told.note(&centre, Some(&tally(5)), NOW);
     told.note(&centre, Some(&tally(7)), NOW);
@@ -58,7 +58,7 @@
 
 #[test]
 fn what_is_nothing_is_not_kept() {
-    let mut told = Told::default();
+    let mut told = PeerReports::default();
     told.note(&vm("idle"), None, NOW);
     assert!(told.0.is_empty());
     told.note(&vm("busy"), Some(&tally(2)), NOW);
@@ -69,16 +69,23 @@
 }
 
 #[rstest]
-#[case::a_leaf_hears_of_others(vm("x"), Audience::Near("y"), true)]
-#[case::not_of_itself(vm("y"), Audience::Near("y"), false)]
-#[case::of_other_centres(Origin::Centre("b".to_owned()), Audience::Near("y"), true)]
-#[case::not_of_its_own_centre_twice(Origin::Centre("a".to_owned()), Audience::Near("y"), false)]
-#[case::no_sum_of_others(Origin::Others, Audience::Near("y"), false)]
-#[case::a_hub_hears_of_the_centres_vms(vm("x"), Audience::Far, true)]
-#[case::not_of_distant_ones(vm("far"), Audience::Far, false)]
-#[case::not_of_third_centres(Origin::Centre("c".to_owned()), Audience::Far, false)]
-#[case::no_sum_told_far(Origin::Others, Audience::Far, false)]
-fn a_hub_tells_on(#[case] origin: Origin, #[case] audience: Audience<'_>, #[case] expected: bool) {
-    let is_near = |vm: &str| vm != "far";
-    assert_eq!(is_told_on(&origin, audience, "a", is_near), expected);
+#[case::a_leaf_hears_of_others(vm("x"), Recipient::SameCentre("y"), true)]
+#[case::not_of_itself(vm("y"), Recipient::SameCentre("y"), false)]
+#[case::of_other_centres(Origin::Centre("b".to_owned()), Recipient::SameCentre("y"), true)]
+#[case::not_of_its_own_centre_twice(Origin::Centre("a".to_owned()), Recipient::SameCentre("y"), false)]
+#[case::no_sum_of_others(Origin::Others, Recipient::SameCentre("y"), false)]
+#[case::a_hub_hears_of_the_centres_vms(vm("x"), Recipient::OtherHub, true)]
+#[case::not_of_distant_ones(vm("far"), Recipient::OtherHub, false)]
+#[case::not_of_third_centres(Origin::Centre("c".to_owned()), Recipient::OtherHub, false)]
+#[case::no_sum_told_far(Origin::Others, Recipient::OtherHub, false)]
+fn a_hub_tells_on(
+    #[case] origin: Origin,
+    #[case] recipient: Recipient<'_>,
+    #[case] expected: bool,
+) {
+    let in_own_centre = |vm: &str| vm != "far";
+    assert_eq!(
+        is_forwarded(&origin, recipient, "a", in_own_centre),
+        expected
+    );
 }
--- a/crates/relay/tests/fleet_model/count.rs
+++ b/crates/relay/tests/fleet_model/count.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use relay::exchange::tell::Message;
+use relay::exchange::outgoing::Message;
 use relay::subject::Subject;
 
 /// Bytes of a message's head, as the exchange of a VM of usual name has it.
--- a/crates/relay/tests/fleet_model/play.rs
+++ b/crates/relay/tests/fleet_model/play.rs
@@ -4,9 +4,9 @@
 
 use platform::edge::Fault;
 use relay::exchange;
-use relay::exchange::hear;
-use relay::exchange::tell;
-use relay::exchange::tell::Message;
+use relay::exchange::incoming;
+use relay::exchange::outgoing;
+use relay::exchange::outgoing::Message;
 use relay::follow::step;
 use relay::front;
 use relay::node::STORE_TIMEOUT;
@@ -81,7 +81,7 @@
             } => self.respond(vm, by, life, sent, *message),
             Step::Answered(message) => {
                 let begin = Instant::now();
-                hear::message(&self.process(vm).node, *message);
+                incoming::apply(&self.process(vm).node, *message);
                 self.vms[vm].count.spent += begin.elapsed();
             }
             Step::Register => self.register(vm),
@@ -113,7 +113,7 @@
         };
         let waits = match ask {
             Ask::List(_) => 0,
-            Ask::Watch(_) => SUBJECTS[follower].wait().as_u64(),
+            Ask::Watch(_) => SUBJECTS[follower].watch_timeout().as_u64(),
         };
         let call = Call {
             follower,
@@ -160,7 +160,7 @@
                     return;
                 }
                 self.watches.push(watch);
-                let ends = self.now() + subject.wait().as_u64();
+                let ends = self.now() + subject.watch_timeout().as_u64();
                 self.queue.put(ends, Event::WatchEnds(watch.number));
             }
         }
@@ -217,9 +217,9 @@
         let node = self.process(vm).node.clone();
         let life = self.vms[vm].life;
         let sent = self.now();
-        for peer in exchange::to_ask(&node) {
+        for peer in exchange::targets(&node) {
             let begin = Instant::now();
-            let message = tell::message(&node, &peer.vm, peer.roster, peer.config);
+            let message = outgoing::message(&node, &peer.vm, peer.roster, peer.config);
             self.vms[vm].count.spent += begin.elapsed();
             self.vms[vm].count.note_message(&message);
             let other = vm::number(&peer.vm).expect("the model named it");
@@ -250,7 +250,7 @@
             return;
         };
         let arrives = self.now() + delay;
-        if arrives - sent > Millis::from(exchange::PATIENCE).as_u64() {
+        if arrives - sent > Millis::from(exchange::TIMEOUT).as_u64() {
             return;
         }
         let step = Step::Answered(Box::new(answer));
@@ -262,7 +262,7 @@
     fn register(&mut self, vm: usize) {
         self.vms[vm].count.note_call(Mechanism::StoreLease, RENEWAL);
         if self.network.delay(End::Vm(vm), End::Store).is_some() {
-            let due = self.now() + register::LEASE.as_u64();
+            let due = self.now() + register::LEASE_TTL.as_u64();
             let lapsed = self.leases[vm] <= self.now();
             let entered = std::mem::replace(&mut self.process(vm).entered, true);
             if entered && lapsed {
@@ -277,7 +277,11 @@
                 self.put(&key, value.as_bytes());
             }
         }
-        self.later(vm, Millis::from(register::RENEW).as_u64(), Step::Register);
+        self.later(
+            vm,
+            Millis::from(register::RENEW_INTERVAL).as_u64(),
+            Step::Register,
+        );
     }
 
     fn lapse(&mut self, vm: usize, due: u64) {
--- a/crates/relay/tests/fleet_model/queue.rs
+++ b/crates/relay/tests/fleet_model/queue.rs
@@ -6,7 +6,7 @@
 use adapter::kv::Listing;
 use adapter::kv::News;
 use platform::edge;
-use relay::exchange::tell::Message;
+use relay::exchange::outgoing::Message;
 
 /// One thing that happens.
 #[derive(Debug)]
