--- a/crates/relay/src/exchange/incoming.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -21,7 +21,8 @@
         lifecycle: received.course,
     };
     node.peers().note_status(&received.vm, status, now);
-    node.fleet().hear(&received.origin, &received.tallies, now);
+    node.fleet()
+        .note_tallies(&received.origin, &received.tallies, now);
     if let Some(document) = &received.document {
         take::document(node, document);
     }
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -24,14 +24,14 @@
 
 /// How long an entry that is missing after the key-value service was away is still used; the
 /// runners that live are back in the list within two seconds.
-const MISSING: Millis = Millis::new(1_700);
+const MISSING_RETENTION: Millis = Millis::new(1_700);
 /// What a way to another data centre costs a request that may run again, in milliseconds: there and
 /// back.
-pub const AWAY: f64 = 3.0;
+pub const REMOTE_COST_MS: f64 = 3.0;
 /// What it costs a call that may run at most once. Its outcome stays unknown where the way breaks
 /// meanwhile, and its program ends; so one in the VM's own data centre is worth half the time of a
 /// usual call.
-pub const AWAY_ONCE: f64 = 15.0;
+pub const REMOTE_COST_AT_MOST_ONCE_MS: f64 = 15.0;
 
 /// The runners, in the order of their ids.
 #[derive(Debug, Default)]
@@ -43,7 +43,7 @@
 
 /// What has to be known of a request to place it.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct PlacementRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// What the service's engines can do; `None` for a plain service.
@@ -57,18 +57,18 @@
     /// Draws among equally good runners.
     pub salt: u64,
     /// Runners that have turned it away or failed it.
-    pub not: &'a [String],
+    pub excluded: &'a [String],
     /// The data centre of this VM.
     pub centre: &'a str,
     /// What a way to another data centre costs, in milliseconds.
-    pub away: f64,
+    pub remote_cost_ms: f64,
     /// The time.
     pub now: Millis,
 }
 
 /// A runner that was chosen, and the figures that made it so.
 #[derive(Clone, Debug)]
-pub struct Chosen {
+pub struct ChosenRunner {
     /// Its id.
     pub id: String,
     /// Where it answers.
@@ -80,9 +80,9 @@
     /// Tokens of the prompt that it is thought to hold.
     pub cached: u64,
     /// The expected time that was compared, in milliseconds.
-    pub cost: f64,
+    pub cost_ms: f64,
     /// How many runners could have been chosen.
-    pub among: usize,
+    pub candidates: usize,
 }
 
 /// What a change of a runner's entry did.
@@ -91,20 +91,20 @@
     /// A runner that wasn't known.
     Appeared,
     /// It is about to leave.
-    Leaves,
+    Draining,
     /// It is gone.
-    Gone,
+    Removed,
     /// Nothing that matters.
-    Same,
+    Unchanged,
 }
 
 /// Logs what became of a runner.
 pub fn log_change(change: &Change, line: &str) {
     let event = match change {
         Change::Appeared => Event::EndpointAppeared,
-        Change::Leaves => Event::EndpointLeaving,
-        Change::Gone => Event::EndpointGone,
-        Change::Same => return,
+        Change::Draining => Event::EndpointLeaving,
+        Change::Removed => Event::EndpointGone,
+        Change::Unchanged => return,
     };
     log::info!("event=E{} text=\"{}\" {line}", event.number(), event.text());
 }
@@ -137,19 +137,23 @@
             Ok(at) => {
                 let runner = &mut self.runners[at];
                 runner.missing_since = None;
-                let anew = runner.entry.born != entry.born;
+                let restarted = runner.entry.born != entry.born;
                 let leaves = runner.entry.state == State::Ready && entry.state == State::Draining;
-                if anew {
+                if restarted {
                     // It knows nothing of before, nor do its caches.
-                    let told = std::mem::take(&mut runner.told);
-                    let own = runner.own;
+                    let reports = std::mem::take(&mut runner.peer_reports);
+                    let own = runner.own_requests;
                     *runner = Runner::new(id, entry, memory);
-                    runner.own = own;
-                    runner.told = told;
+                    runner.own_requests = own;
+                    runner.peer_reports = reports;
                     return Change::Appeared;
                 }
                 runner.entry = entry;
-                if leaves { Change::Leaves } else { Change::Same }
+                if leaves {
+                    Change::Draining
+                } else {
+                    Change::Unchanged
+                }
             }
         }
     }
@@ -159,9 +163,9 @@
         match self.find(id) {
             Ok(at) => {
                 self.runners.remove(at);
-                Change::Gone
+                Change::Removed
             }
-            Err(_) => Change::Same,
+            Err(_) => Change::Unchanged,
         }
     }
 
@@ -176,8 +180,8 @@
     }
 
     /// Removes and yields the runners that aren't listed, but for those that are still used after an
-    /// outage: they go with [`Self::sweep`].
-    pub fn keep(&mut self, listed: &[String]) -> Vec<String> {
+    /// outage: they go with [`Self::remove_missing`].
+    pub fn remove_unlisted(&mut self, listed: &[String]) -> Vec<String> {
         let gone = |runner: &mut Runner| {
             runner.missing_since.is_none() && listed.binary_search(&runner.id).is_err()
         };
@@ -186,10 +190,10 @@
     }
 
     /// Removes and yields the runners whose entries have been missing for too long.
-    pub fn sweep(&mut self, now: Millis) -> Vec<String> {
+    pub fn remove_missing(&mut self, now: Millis) -> Vec<String> {
         let gone = |runner: &mut Runner| {
             let since = runner.missing_since;
-            since.is_some_and(|since| now.since(since) >= MISSING)
+            since.is_some_and(|since| now.since(since) >= MISSING_RETENTION)
         };
         let gone = self.runners.extract_if(.., gone);
         gone.map(|runner| runner.id).collect()
@@ -198,19 +202,19 @@
     /// Notes how much memory the engines of each service have, which a new configuration tells.
     /// Entries may be read before the first configuration; without this, such a runner would be
     /// thought to hold nothing of any prompt for as long as it lives.
-    pub fn learn_memory(&mut self, memory: impl Fn(&str) -> u64) {
+    pub fn set_memory(&mut self, memory: impl Fn(&str) -> u64) {
         for runner in &mut self.runners {
             let memory = memory(&runner.entry.service);
-            runner.learn_memory(memory);
+            runner.set_memory(memory);
         }
     }
 
     /// Takes in what another VM tells of each runner; the tallies are in the order of runners.
-    pub fn hear(&mut self, origin: &Origin, tallies: &[Tally], now: Millis) {
+    pub fn note_tallies(&mut self, origin: &Origin, tallies: &[Tally], now: Millis) {
         for runner in &mut self.runners {
             let found = tallies.binary_search_by(|tally| tally.runner.cmp(&runner.id));
             let tally = found.ok().map(|at| &tallies[at]);
-            runner.told.note(origin, tally, now);
+            runner.peer_reports.note(origin, tally, now);
         }
     }
 
@@ -218,10 +222,10 @@
     #[must_use]
     pub fn tallies(&self, now: Millis, speaks_for: impl Fn(&Origin) -> bool) -> Vec<Tally> {
         let tally = |runner: &Runner| {
-            let (under_way, held_off) = runner.told.sum(now, &speaks_for);
+            let (under_way, held_off) = runner.peer_reports.sum(now, &speaks_for);
             Tally {
                 runner: runner.id.clone(),
-                under_way: runner.own + under_way,
+                under_way: runner.own_requests + under_way,
                 held_off: u32::from(runner.is_held_off(now)) + held_off,
             }
         };
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -9,20 +9,20 @@
 use policy::prefix::Demand;
 use wire::clock::Millis;
 
-use crate::fleet::Chosen;
+use crate::fleet::ChosenRunner;
 use crate::fleet::Fleet;
-use crate::fleet::Want;
+use crate::fleet::PlacementRequest;
 use crate::fleet::runner::Runner;
 
 /// Milliseconds that an engine is presumed to take for a token before any runner of its service was
 /// measured: for the first second of the first VM. All runners have the same then, so that it only
 /// weighs the reading of a prompt against the way to another data centre.
-const FIRST_PACE: f64 = 3.0;
+const DEFAULT_PACE_MS: f64 = 3.0;
 /// The same for a request of a plain service.
-const FIRST_PACE_PLAIN: f64 = 50.0;
+const DEFAULT_PLAIN_PACE_MS: f64 = 50.0;
 /// So many other VMs that hold a runner off are believed. One may have a broken way to a runner
 /// that all others reach; were none believed, each VM would lose a request to find out by itself.
-const BELIEVED: u32 = 2;
+const MIN_HOLD_OFF_REPORTS: u32 = 2;
 
 impl Fleet {
     /// Notes a turn of a service that is placed.
@@ -49,45 +49,46 @@
     }
 
     /// Yields the pace of the service's runners that nobody has measured.
-    fn middle_pace(&self, want: &Want<'_>) -> f64 {
+    fn median_pace(&self, request: &PlacementRequest<'_>) -> f64 {
         let of_service = self
             .runners
             .iter()
-            .filter(|runner| runner.entry.service == want.service);
-        let paces = of_service.map(|runner| runner.pace.at(want.now));
-        let first = match want.engine {
-            Some(_) => FIRST_PACE,
-            None => FIRST_PACE_PLAIN,
+            .filter(|runner| runner.entry.service == request.service);
+        let paces = of_service.map(|runner| runner.pace.at(request.now));
+        let first = match request.engine {
+            Some(_) => DEFAULT_PACE_MS,
+            None => DEFAULT_PLAIN_PACE_MS,
         };
         pace::middle(paces, first)
     }
 
     /// Chooses a runner; `None` where the service has none that may be used.
     #[must_use]
-    pub fn choose(&self, want: &Want<'_>) -> Option<Chosen> {
+    pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<ChosenRunner> {
         let mut usable: Vec<&Runner> = self
             .runners
             .iter()
-            .filter(|runner| runner.may_take(want))
+            .filter(|runner| runner.is_eligible(request))
             .collect();
-        let sound = |runner: &&Runner| {
-            !runner.is_spared(want.now) && runner.told.all(want.now).1 < BELIEVED
+        let usable_first = |runner: &&Runner| {
+            !runner.is_avoided(request.now)
+                && runner.peer_reports.all(request.now).1 < MIN_HOLD_OFF_REPORTS
         };
-        if usable.iter().any(sound) {
-            usable.retain(sound);
+        if usable.iter().any(usable_first) {
+            usable.retain(usable_first);
         }
-        let pace = self.middle_pace(want);
+        let pace = self.median_pace(request);
         let usable_runners = usable.iter();
         let mut candidates: Vec<Candidate> = usable_runners
-            .map(|runner| runner.candidate(want, pace))
+            .map(|runner| runner.candidate(request, pace))
             .collect();
-        if let Some(first) = want.prompt.first() {
-            let numbers: Vec<u64> = usable.iter().map(|runner| runner.number).collect();
-            let demand = self.demand(want.service);
+        if let Some(first) = request.prompt.first() {
+            let hashes: Vec<u64> = usable.iter().map(|runner| runner.id_hash).collect();
+            let demand = self.demand(request.service);
             let holders = demand.map_or(prefix::PRESUMED_LEAST, |demand| {
-                demand.holders(first.id, numbers.len())
+                demand.holders(first.id, hashes.len())
             });
-            let presumed = prefix::presumed(first.id, &numbers, holders);
+            let presumed = prefix::presumed(first.id, &hashes, holders);
             for (candidate, presumed) in candidates.iter_mut().zip(presumed) {
                 if presumed {
                     candidate.cached = candidate.cached.max(first.tokens);
@@ -96,21 +97,21 @@
         }
         let call = place::Call {
             class: Class::Routine,
-            prompt: want.prompt_tokens,
-            output: want.output_tokens.max(1),
-            salt: want.salt,
+            prompt: request.prompt_tokens,
+            output: request.output_tokens.max(1),
+            salt: request.salt,
         };
         let choice = place::choose(&candidates, &call, &Weights::default())?;
         let runner = usable[choice.index];
         let candidate = &candidates[choice.index];
-        Some(Chosen {
+        Some(ChosenRunner {
             id: runner.id.clone(),
             address: runner.entry.address,
             occupied: place::occupied(candidate),
             slots: runner.entry.slots,
             cached: candidate.cached,
-            cost: choice.cost,
-            among: candidates.len(),
+            cost_ms: choice.cost,
+            candidates: candidates.len(),
         })
     }
 }
--- a/crates/relay/src/fleet/load.rs
+++ b/crates/relay/src/fleet/load.rs
@@ -12,7 +12,7 @@
     /// Requests that they work on at once.
     pub slots: u64,
     /// Requests of this VM under way at them.
-    pub own: u64,
+    pub own_requests: u64,
     /// Requests of all VMs.
     pub occupied: u64,
 }
@@ -23,11 +23,11 @@
     pub fn load(&self, now: Millis) -> Load {
         let mut load = Load::default();
         for runner in &self.runners {
-            let (others, _) = runner.told.all(now);
+            let (others, _) = runner.peer_reports.all(now);
             load.runners += 1;
             load.slots += u64::from(runner.entry.slots);
-            load.own += u64::from(runner.own);
-            load.occupied += u64::from(runner.own + others);
+            load.own_requests += u64::from(runner.own_requests);
+            load.occupied += u64::from(runner.own_requests + others);
         }
         load
     }
--- a/crates/relay/src/fleet/tests.rs
+++ b/crates/relay/src/fleet/tests.rs
@@ -6,10 +6,10 @@
 use rstest::rstest;
 use wire::clock::Millis;
 
-use super::AWAY_ONCE;
 use super::Change;
 use super::Fleet;
-use super::Want;
+use super::PlacementRequest;
+use super::REMOTE_COST_AT_MOST_ONCE_MS;
 use crate::tally::Origin;
 use crate::tally::Tally;
 
@@ -63,17 +63,17 @@
     fleet
 }
 
-fn want(not: &[String]) -> Want<'_> {
-    Want {
+fn request(excluded: &[String]) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "models",
         engine: Some(ENGINE),
         prompt: &PROMPT,
         prompt_tokens: 13_000,
         output_tokens: 250,
         salt: 7,
-        not,
+        excluded,
         centre: "a",
-        away: AWAY_ONCE,
+        remote_cost_ms: REMOTE_COST_AT_MOST_ONCE_MS,
         now: NOW,
     }
 }
@@ -84,7 +84,7 @@
 fn a_turn_goes_where_its_prompt_was_read() {
     let mut fleet = fleet(6);
     fleet.runner("i-4").unwrap().note_prompt(&PROMPT, NOW);
-    let chosen = fleet.choose(&want(&[])).unwrap();
+    let chosen = fleet.choose(&request(&[])).unwrap();
     assert_eq!((chosen.id.as_str(), chosen.cached), ("i-4", 13_000));
 }
 
@@ -94,11 +94,11 @@
 fn others_requests_count_as_much_as_own() {
     let mut fleet = fleet(6);
     fleet.runner("i-4").unwrap().note_prompt(&PROMPT, NOW);
-    fleet.hear(&vm("front-b"), &[tally("i-4", 40, 0)], NOW);
-    assert_ne!(fleet.choose(&want(&[])).unwrap().id, "i-4");
-    let later = Want {
+    fleet.note_tallies(&vm("front-b"), &[tally("i-4", 40, 0)], NOW);
+    assert_ne!(fleet.choose(&request(&[])).unwrap().id, "i-4");
+    let later = PlacementRequest {
         now: NOW.plus(Millis::new(2_000)),
-        ..want(&[])
+        ..request(&[])
     };
     assert_eq!(
         fleet.choose(&later).unwrap().id,
@@ -109,16 +109,16 @@
 
 #[rstest]
 #[case::leaving(|fleet: &mut Fleet| {
-    assert_eq!(fleet.set("i-0", entry(State::Draining), 0), Change::Leaves);
+    assert_eq!(fleet.set("i-0", entry(State::Draining), 0), Change::Draining);
 })]
-#[case::unreachable(|fleet: &mut Fleet| assert!(fleet.lose("i-0", NOW).is_some()))]
-#[case::elsewhere(|fleet: &mut Fleet| fleet.runner("i-0").unwrap().note_elsewhere(NOW))]
-#[case::gone(|fleet: &mut Fleet| assert_eq!(fleet.remove("i-0"), Change::Gone))]
+#[case::unreachable(|fleet: &mut Fleet| assert!(fleet.note_unreachable("i-0", NOW).is_some()))]
+#[case::elsewhere(|fleet: &mut Fleet| fleet.runner("i-0").unwrap().note_address_taken(NOW))]
+#[case::gone(|fleet: &mut Fleet| assert_eq!(fleet.remove("i-0"), Change::Removed))]
 fn a_runner_that_takes_nothing_gets_nothing(#[case] play: fn(&mut Fleet)) {
     let mut fleet = fleet(1);
-    assert!(fleet.choose(&want(&[])).is_some());
+    assert!(fleet.choose(&request(&[])).is_some());
     play(&mut fleet);
-    assert!(fleet.choose(&want(&[])).is_none());
+    assert!(fleet.choose(&request(&[])).is_none());
 }
 
 /// A partition hides a runner, and goes away. Requests must not be spent on finding that out: the
@@ -126,17 +126,20 @@
 #[test]
 fn an_unreachable_runner_is_used_again_after_a_connection() {
     let mut fleet = fleet(1);
-    assert!(fleet.lose("i-0", NOW).is_some());
-    assert!(fleet.lose("i-0", NOW).is_none(), "it is news only once");
+    assert!(fleet.note_unreachable("i-0", NOW).is_some());
+    assert!(
+        fleet.note_unreachable("i-0", NOW).is_none(),
+        "it is news only once"
+    );
     assert_eq!(fleet.unreachable().len(), 1);
     assert!(fleet.runner("i-0").unwrap().note_reachable(NOW));
     assert!(!fleet.runner("i-0").unwrap().note_reachable(NOW));
-    assert!(fleet.choose(&want(&[])).is_none(), "held off");
+    assert!(fleet.choose(&request(&[])).is_none(), "held off");
     assert!(fleet.unreachable().is_empty());
     // Two broken one after the other hold it off for twice the first span.
-    let later = Want {
+    let later = PlacementRequest {
         now: NOW.plus(Millis::new(500)),
-        ..want(&[])
+        ..request(&[])
     };
     assert!(fleet.choose(&later).is_some());
 }
@@ -147,11 +150,19 @@
 fn an_entry_that_lapsed_in_an_outage_holds_for_a_while() {
     let mut fleet = fleet(2);
     fleet.note_missing(&["i-0".to_owned()], NOW);
-    assert!(fleet.sweep(NOW.plus(Millis::new(1_000))).is_empty());
-    assert_eq!(fleet.sweep(NOW.plus(Millis::new(1_900))), ["i-1"]);
+    assert!(
+        fleet
+            .remove_missing(NOW.plus(Millis::new(1_000)))
+            .is_empty()
+    );
+    assert_eq!(fleet.remove_missing(NOW.plus(Millis::new(1_900))), ["i-1"]);
     fleet.note_missing(&[], NOW);
     fleet.set("i-0", entry(State::Ready), 0);
-    assert!(fleet.sweep(NOW.plus(Millis::new(9_000))).is_empty());
+    assert!(
+        fleet
+            .remove_missing(NOW.plus(Millis::new(9_000)))
+            .is_empty()
+    );
 }
 
 /// A runner starts again under its id. It holds nothing of before, so nothing is sent there for
@@ -161,24 +172,27 @@
     let mut fleet = fleet(2);
     let runner = fleet.runner("i-0").unwrap();
     runner.note_prompt(&PROMPT, NOW);
-    runner.own = 2;
-    let anew = Entry {
+    runner.own_requests = 2;
+    let restarted = Entry {
         born: Some(2),
         ..entry(State::Ready)
     };
     assert_eq!(
-        fleet.set("i-0", anew, ENGINE.memory_tokens),
+        fleet.set("i-0", restarted, ENGINE.memory_tokens),
         Change::Appeared
     );
-    assert_eq!(fleet.choose(&want(&["i-1".to_owned()])).unwrap().cached, 0);
+    assert_eq!(
+        fleet.choose(&request(&["i-1".to_owned()])).unwrap().cached,
+        0
+    );
     assert_eq!(fleet.tallies(NOW, |_| false), [tally("i-0", 2, 0)]);
 }
 
 #[test]
 fn a_request_goes_to_none_that_turned_it_away() {
     let fleet = fleet(2);
-    let chosen = fleet.choose(&want(&["i-0".to_owned()])).unwrap();
-    assert_eq!((chosen.id.as_str(), chosen.among), ("i-1", 1));
+    let chosen = fleet.choose(&request(&["i-0".to_owned()])).unwrap();
+    assert_eq!((chosen.id.as_str(), chosen.candidates), ("i-1", 1));
 }
 
 /// Another VM that can't be heard has filled a runner. What the runner said of itself a moment ago
@@ -194,10 +208,10 @@
         slots: 16,
     };
     runner.note_load(load, NOW);
-    assert_eq!(fleet.choose(&want(&[])).unwrap().id, "i-1");
-    let later = Want {
+    assert_eq!(fleet.choose(&request(&[])).unwrap().id, "i-1");
+    let later = PlacementRequest {
         now: NOW.plus(Millis::new(500)),
-        ..want(&[])
+        ..request(&[])
     };
     assert_eq!(fleet.choose(&later).unwrap().id, "i-0");
 }
@@ -215,21 +229,21 @@
         };
         fleet.set(id, entry, 0);
     }
-    let want = Want {
+    let request = PlacementRequest {
         engine: None,
         prompt: &[],
         prompt_tokens: 0,
         output_tokens: 1,
-        ..want(&[])
+        ..request(&[])
     };
     for salt in 0..16 {
         let chosen = fleet
-            .choose(&Want { salt, ..want })
+            .choose(&PlacementRequest { salt, ..request })
             .expect("three are there");
         assert_eq!(chosen.id, "i-1");
     }
-    fleet.runner("i-1").expect("it is there").own = 40;
-    let chosen = fleet.choose(&want).expect("three are there");
+    fleet.runner("i-1").expect("it is there").own_requests = 40;
+    let chosen = fleet.choose(&request).expect("three are there");
     assert_ne!(chosen.id, "i-1");
 }
 
@@ -244,9 +258,11 @@
         ..entry(State::Ready)
     };
     fleet.set("i-3", far, ENGINE.memory_tokens);
-    fleet.runner("i-1").expect("it is there").note_heard(NOW);
-    let lost = fleet.lose("i-0", NOW).expect("it was reachable");
-    let around = fleet.unheard(&lost.centre, NOW.plus(Millis::new(100)));
+    fleet.runner("i-1").expect("it is there").note_answer(NOW);
+    let lost = fleet
+        .note_unreachable("i-0", NOW)
+        .expect("it was reachable");
+    let around = fleet.quiet_runners(&lost.centre, NOW.plus(Millis::new(100)));
     let ids: Vec<&str> = around.iter().map(|target| target.id.as_str()).collect();
     assert_eq!(ids, ["i-2"]);
 }
@@ -257,10 +273,10 @@
 fn a_runner_read_before_the_configuration_is_known_to_hold_prompts() {
     let mut fleet = Fleet::default();
     fleet.set("i-0", entry(State::Ready), 0);
-    fleet.learn_memory(|_| ENGINE.memory_tokens);
+    fleet.set_memory(|_| ENGINE.memory_tokens);
     let runner = fleet.runner("i-0").expect("it is there");
     runner.note_prompt(&PROMPT, NOW);
-    let chosen = fleet.choose(&want(&[])).expect("it is there");
+    let chosen = fleet.choose(&request(&[])).expect("it is there");
     assert_eq!(chosen.cached, 13_000);
 }
 
@@ -270,13 +286,18 @@
 #[test]
 fn a_runner_that_others_hold_off_gets_nothing_while_there_are_others() {
     let mut fleet = fleet(2);
-    fleet.hear(&vm("front-b"), &[tally("i-0", 0, 1)], NOW);
+    fleet.note_tallies(&vm("front-b"), &[tally("i-0", 0, 1)], NOW);
     let chosen = |fleet: &Fleet| {
-        let ids = (0..16).filter_map(|salt| fleet.choose(&Want { salt, ..want(&[]) }));
+        let ids = (0..16).filter_map(|salt| {
+            fleet.choose(&PlacementRequest {
+                salt,
+                ..request(&[])
+            })
+        });
         ids.filter(|chosen| chosen.id == "i-0").count()
     };
     assert!(chosen(&fleet) > 0);
-    fleet.hear(&vm("front-c"), &[tally("i-0", 0, 1)], NOW);
+    fleet.note_tallies(&vm("front-c"), &[tally("i-0", 0, 1)], NOW);
     assert_eq!(chosen(&fleet), 0);
     fleet.remove("i-1");
     assert_eq!(chosen(&fleet), 16, "it is the last one");
@@ -289,7 +310,7 @@
     let mut fleet = fleet(1);
     let mut now = NOW;
     for span in [250, 500, 1_000, 1_000] {
-        fleet.lose("i-0", now);
+        fleet.note_unreachable("i-0", now);
         fleet
             .runner("i-0")
             .expect("it is there")
@@ -297,18 +318,32 @@
         assert_eq!(fleet.tallies(now, |_| false), [tally("i-0", 0, 1)]);
         now = now.plus(Millis::new(span));
         let early = now.since(Millis::new(1));
-        let asked = |now| fleet.choose(&Want { now, ..want(&[]) }).is_some();
+        let asked = |now| {
+            fleet
+                .choose(&PlacementRequest {
+                    now,
+                    ..request(&[])
+                })
+                .is_some()
+        };
         assert!(!asked(early));
         assert!(asked(now));
     }
-    fleet.runner("i-0").expect("it is there").note_heard(now);
-    fleet.lose("i-0", now);
+    fleet.runner("i-0").expect("it is there").note_answer(now);
+    fleet.note_unreachable("i-0", now);
     fleet
         .runner("i-0")
         .expect("it is there")
         .note_reachable(now);
     now = now.plus(Millis::new(250));
-    assert!(fleet.choose(&Want { now, ..want(&[]) }).is_some());
+    assert!(
+        fleet
+            .choose(&PlacementRequest {
+                now,
+                ..request(&[])
+            })
+            .is_some()
+    );
 }
 
 /// A runner answers with failures of its own, at once, and is idle for every next request. It gets
@@ -319,8 +354,12 @@
     let mut fleet = fleet(2);
     let chosen = |fleet: &Fleet, now| {
         let ids = (0..16).filter_map(|salt| {
-            let want = want(&[]);
-            fleet.choose(&Want { salt, now, ..want })
+            let request = request(&[]);
+            fleet.choose(&PlacementRequest {
+                salt,
+                now,
+                ..request
+            })
         });
         ids.filter(|chosen| chosen.id == "i-0").count()
     };
@@ -335,7 +374,7 @@
     fail(&mut fleet, "i-1", now);
     assert!(chosen(&fleet, now) > 0, "all of them fail");
     let runner = fleet.runner("i-0").expect("it is there");
-    runner.note_done(100, Millis::new(500), now);
+    runner.note_success(100, Millis::new(500), now);
     fail(&mut fleet, "i-0", now);
     now = now.plus(Millis::new(250));
     assert!(chosen(&fleet, now) > 0, "a success forgives the failures");
@@ -355,19 +394,19 @@
     for at in 0..6 {
         let runner = fleet.runner(&format!("i-{at}")).expect("it is there");
         for _ in 0..8 {
-            runner.note_done(100, Millis::new(500), NOW);
+            runner.note_success(100, Millis::new(500), NOW);
         }
     }
     fleet.set("i-new", entry(State::Ready), ENGINE.memory_tokens);
     for salt in 0..42 {
-        let burst = Want {
+        let burst = PlacementRequest {
             prompt: &[],
             salt,
-            ..want(&[])
+            ..request(&[])
         };
         let chosen = fleet.choose(&burst).expect("there are runners");
-        fleet.runner(&chosen.id).expect("it is there").own += 1;
+        fleet.runner(&chosen.id).expect("it is there").own_requests += 1;
     }
-    let new = fleet.runner("i-new").expect("it is there").own;
+    let new = fleet.runner("i-new").expect("it is there").own_requests;
     assert!((3..=12).contains(&new), "{new} of 42 at one of seven");
 }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -197,9 +197,12 @@
         node.runners.sweep();
         node.vms.sweep();
         let now = node.clock.now();
-        let gone = node.fleet().sweep(now);
+        let gone = node.fleet().remove_missing(now);
         for id in gone {
-            fleet::log_change(&fleet::Change::Gone, &format!("runner={id} missing=true"));
+            fleet::log_change(
+                &fleet::Change::Removed,
+                &format!("runner={id} missing=true"),
+            );
         }
         reach::retry(&node);
     }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -25,8 +25,8 @@
 use wire::event::Event;
 
 use crate::fleet;
-use crate::fleet::Chosen;
-use crate::fleet::Want;
+use crate::fleet::ChosenRunner;
+use crate::fleet::PlacementRequest;
 use crate::metrics::Counter;
 use crate::metrics::Outcome;
 use crate::metrics::Span;
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The runner.
-    pub runner: Chosen,
+    pub runner: ChosenRunner,
     /// When it was sent.
     pub sent: Instant,
     node: Arc<Node>,
@@ -90,7 +90,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if let Some(runner) = self.node.fleet().runner(&self.runner.id) {
-            runner.own = runner.own.saturating_sub(1);
+            runner.own_requests = runner.own_requests.saturating_sub(1);
         }
     }
 }
@@ -151,11 +151,11 @@
         }
     }
 
-    /// Chooses a runner, apart from those in `not`.
+    /// Chooses a runner, apart from those in `excluded`.
     #[must_use]
-    pub fn choose(&self, not: &[String]) -> Option<Chosen> {
+    pub fn choose(&self, excluded: &[String]) -> Option<ChosenRunner> {
         let engine = self.table.engine(&self.service);
-        let want = Want {
+        let want = PlacementRequest {
             service: &self.service,
             engine,
             prompt: &self.prompt,
@@ -166,11 +166,11 @@
                 1
             },
             salt: rand::rng().next_u64(),
-            not,
+            excluded,
             centre: &self.node.settings.centre,
-            away: match self.route.kind {
-                Kind::AtMostOnce => fleet::AWAY_ONCE,
-                Kind::Idempotent | Kind::Stream => fleet::AWAY,
+            remote_cost_ms: match self.route.kind {
+                Kind::AtMostOnce => fleet::REMOTE_COST_AT_MOST_ONCE_MS,
+                Kind::Idempotent | Kind::Stream => fleet::REMOTE_COST_MS,
             },
             now: self.node.clock.now(),
         };
@@ -180,7 +180,7 @@
     /// Sends the request to a runner and waits for the head of its answer, until `until`.
     pub async fn send(
         &self,
-        runner: Chosen,
+        runner: ChosenRunner,
         payload: Payload,
         last_event: Option<u64>,
         until: Instant,
@@ -220,13 +220,13 @@
         }
     }
 
-    fn begin(&self, runner: Chosen) -> Attempt {
+    fn begin(&self, runner: ChosenRunner) -> Attempt {
         let now = self.node.clock.now();
         {
             let mut fleet = self.node.fleet();
             fleet.note_demand(&self.service, &self.prompt, now);
             if let Some(known) = fleet.runner(&runner.id) {
-                known.own += 1;
+                known.own_requests += 1;
                 known.note_prompt(&self.prompt, now);
             }
         }
@@ -248,8 +248,8 @@
             runner.slots,
             self.call.prompt_tokens,
             runner.cached,
-            runner.cost,
-            runner.among,
+            runner.cost_ms,
+            runner.candidates,
             self.node.runners_age().as_u64(),
             self.age().as_u64(),
             self.left().as_u64()
@@ -271,7 +271,7 @@
             reply.body.keep_for(span.as_duration());
         }
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
-            runner.note_heard(now);
+            runner.note_answer(now);
             if let Some(load) = said.load {
                 runner.note_load(load, now);
             }
@@ -288,7 +288,7 @@
         self.node.metrics.count(Counter::TurnedAway);
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
             if elsewhere {
-                runner.note_elsewhere(now);
+                runner.note_address_taken(now);
             } else {
                 runner.note_full(now);
             }
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -171,7 +171,7 @@
     if !job::is_failure(head.status)
         && let Some(runner) = job.node.fleet().runner(&attempt.runner.id)
     {
-        runner.note_done(1, span, now);
+        runner.note_success(1, span, now);
     }
     job.node
         .metrics
--- a/crates/relay/src/probe.rs
+++ b/crates/relay/src/probe.rs
@@ -27,8 +27,11 @@
     let answers = node.work.answers() as u64;
     let gauges = [
         ("requests_under_way", node.work.count() as u64),
-        ("requests_without_runner", answers.saturating_sub(load.own)),
-        ("requests_at_runners", load.own),
+        (
+            "requests_without_runner",
+            answers.saturating_sub(load.own_requests),
+        ),
+        ("requests_at_runners", load.own_requests),
         ("slots", load.slots),
         ("slots_occupied", load.occupied),
         ("connections", door.open() as u64),
--- a/crates/relay/src/reach.rs
+++ b/crates/relay/src/reach.rs
@@ -27,7 +27,7 @@
 fn mark(node: &Node, id: &str, address: SocketAddr) -> Option<Target> {
     node.runners.forget(address);
     let now = node.clock.now();
-    let target = node.fleet().lose(id, now)?;
+    let target = node.fleet().note_unreachable(id, now)?;
     log::info!(
         "event=E{} text=\"{}\" runner={id} centre={}",
         Event::EndpointUnreachable.number(),
@@ -52,7 +52,7 @@
         return;
     }
     let now = node.clock.now();
-    let around = node.fleet().unheard(&target.centre, now);
+    let around = node.fleet().quiet_runners(&target.centre, now);
     log::info!(
         "event=E{} text=\"{}\" runner={} centre={} tried={}",
         Event::EndpointSilent.number(),
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -398,7 +398,7 @@
             let engine = job.table.engine(&job.service);
             let tokens = engine.map_or(1, |engine| engine.event_tokens) * (events - 1);
             let begun = flow.begun.unwrap_or_else(Instant::now);
-            runner.note_done(tokens, Millis::from(begun.elapsed()), now);
+            runner.note_success(tokens, Millis::from(begun.elapsed()), now);
         }
         End::Whole | End::Gone | End::Late => {}
     }
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/take.rs
@@ -67,9 +67,9 @@
         node.fleet().note_missing(listed, now);
         return;
     }
-    let gone = node.fleet().keep(listed);
+    let gone = node.fleet().remove_unlisted(listed);
     for id in gone {
-        fleet::log_change(&fleet::Change::Gone, &format!("runner={id} {how}"));
+        fleet::log_change(&fleet::Change::Removed, &format!("runner={id} {how}"));
     }
 }
 
@@ -110,7 +110,7 @@
     let before = node.table().version;
     if node.set_table(Table::new(config, bytes)) {
         let table = node.table();
-        node.fleet().learn_memory(|service| table.memory(service));
+        node.fleet().set_memory(|service| table.memory(service));
         log::info!(
             "event=E{} text=\"{}\" revision={version} before={before} routes={routes}",
             Event::RevisionApplied.number(),
@@ -143,7 +143,7 @@
     );
     let change = set_runner(node, &id, decoded);
     let weight = match change {
-        fleet::Change::Same => roster::ChangeKind::Heartbeat,
+        fleet::Change::Unchanged => roster::ChangeKind::Heartbeat,
         _ => roster::ChangeKind::Significant,
     };
     node.roster().set(&id, &entry.value, entry.revision, weight);
--- a/crates/relay/tests/fleet_model/play.rs
+++ b/crates/relay/tests/fleet_model/play.rs
@@ -87,7 +87,7 @@
             Step::Register => self.register(vm),
             Step::Sweep => {
                 let node = &self.process(vm).node;
-                let _gone = node.fleet().sweep(node.clock.now());
+                let _gone = node.fleet().remove_missing(node.clock.now());
                 self.later(vm, Millis::from(front::SWEEP).as_u64(), Step::Sweep);
             }
             Step::Load => self.change_load(vm),
@@ -310,12 +310,12 @@
         let mut fleet = node.fleet();
         for runner in &ended {
             if let Some(runner) = fleet.runner(runner) {
-                runner.own = runner.own.saturating_sub(1);
+                runner.own_requests = runner.own_requests.saturating_sub(1);
             }
         }
         for runner in &begun {
             if let Some(runner) = fleet.runner(runner) {
-                runner.own += 1;
+                runner.own_requests += 1;
             }
         }
         drop(fleet);
--- a/crates/relay/tests/fleet_model/world.rs
+++ b/crates/relay/tests/fleet_model/world.rs
@@ -306,7 +306,10 @@
         let process = self.vms[vm].process.as_ref();
         let node = &process.expect("the VM runs").node;
         let mut fleet = node.fleet();
-        fleet.runner(runner).expect("the VM knows the runner").own = requests;
+        fleet
+            .runner(runner)
+            .expect("the VM knows the runner")
+            .own_requests = requests;
     }
 
     /// Forgets what was counted.
