--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -169,7 +169,7 @@
 async fn receive(node: &Node, routed: &Routed, incoming: &mut Incoming) -> Result<Bytes, Refusal> {
     let read = timeout_at(routed.until, body::read(incoming, routed.table.body_bytes));
     let ends = stream::ends(&routed.route, routed.until);
-    match shutdown::before(node, ends, read).await? {
+    match shutdown::with_send_deadline(node, ends, read).await? {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(body::Fault::TooLong)) => Err(Refusal::new(Code::BodyTooLarge, "")),
         Ok(Err(fault)) => Err(Refusal::new(Code::ReadTimeout, &fault.to_string())),
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -15,11 +15,11 @@
 use crate::work;
 
 /// How often the end of what is under way is looked for.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the listener may take to close.
-const CLOSING: Duration = Duration::from_millis(60);
+const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_millis(60);
 /// The most requests that the end of a process names as cut off.
-const CUT_NAMED: usize = 100;
+const MAX_LOGGED_CUT: usize = 100;
 
 /// Returns when the process may end; `listener` is the task of the clients' listener.
 pub async fn run(node: &Arc<Node>, door: &Arc<Door>, listener: JoinHandle<()>) {
@@ -32,17 +32,17 @@
         door.open()
     );
     door.closing.cancel();
-    wait(|| stop.is_over(node.clock.now(), Activity::Idle)).await;
+    wait_until(|| stop.is_over(node.clock.now(), Activity::Idle)).await;
     door.leaving.cancel();
     // Connections alone don't count: with callers that connect and bring nothing, or are refused, the
     // listener would stay open to the last moment, and keep the next process from serving.
-    wait(|| stop.closes(node.clock.now(), requests(node))).await;
+    wait_until(|| stop.closes(node.clock.now(), requests(node))).await;
     // A request that is taken after the last look would be cut off: nobody can connect by then.
     door.shut.cancel();
-    if timeout(CLOSING, listener).await.is_err() {
+    if timeout(LISTENER_CLOSE_TIMEOUT, listener).await.is_err() {
         log::warn!("text=\"the listener for clients doesn't close\"");
     }
-    wait(|| stop.is_over(node.clock.now(), activity(node, door))).await;
+    wait_until(|| stop.is_over(node.clock.now(), activity(node, door))).await;
     log_cut(&node.work.entries());
     log::info!(
         "event=E{} text=\"{}\" under_way={} connections={} ms={}",
@@ -54,9 +54,9 @@
     );
 }
 
-async fn wait(is_time: impl Fn() -> bool) {
-    while !is_time() {
-        sleep(LOOK).await;
+async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -78,7 +78,7 @@
 
 /// Names what the end of the process cuts off.
 fn log_cut(entries: &[work::Entry]) {
-    for entry in entries.iter().take(CUT_NAMED) {
+    for entry in entries.iter().take(MAX_LOGGED_CUT) {
         log::warn!(
             "event=E{} text=\"{}\" request={} what={:?} ms={}",
             Event::RequestCut.number(),
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -104,7 +104,7 @@
         .uri(PATH)
         .header("host", peer.address.to_string())
         .body(Payload::from(Bytes::from(body)))?;
-    let reply = node.vms.send(peer.address, request).await?;
+    let reply = node.vm_client.send(peer.address, request).await?;
     let bytes = reply.body.whole(MAX_MESSAGE_BYTES).await?;
     Ok(rmp_serde::from_slice(&bytes)?)
 }
--- a/crates/relay/src/exchange/incoming.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -31,7 +31,7 @@
     }
     if received.roster >= node.roster().revision {
         let at = now.since(Millis::new(received.roster_age));
-        node.set_runners_at(at);
+        node.note_runners_current(at);
     }
 }
 
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -14,7 +14,7 @@
 use crate::follow::step::Follower;
 use crate::follow::step::Step;
 use crate::metrics::Counter;
-use crate::metrics::Span;
+use crate::metrics::Latency;
 use crate::node::Node;
 use crate::subject::Subject;
 
@@ -29,7 +29,7 @@
                 let listed = node.kv.list(subject.prefix(), freshness).await;
                 node.metrics.count(Counter::StoreCalls);
                 let took = Millis::from(begun.elapsed());
-                node.metrics.time(Span::StoreCall, took);
+                node.metrics.record(Latency::StoreCall, took);
                 follower.listed(&node, listed)
             }
             Step::Watch(revision) => {
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -160,7 +160,7 @@
     fn watch_pause(&self, node: &Node) -> Duration {
         match self.subject {
             Subject::Runners => {
-                node.set_runners_at(node.clock.now());
+                node.note_runners_current(node.clock.now());
                 WATCH_PAUSE
             }
             Subject::Own => own_pause(node),
@@ -172,7 +172,7 @@
     fn answered(&mut self, node: &Node) {
         self.outage.answered(self.subject);
         match self.subject {
-            Subject::Config => node.set_config_at(node.clock.now()),
+            Subject::Config => node.note_config_current(node.clock.now()),
             // A list of the runners may be older than what others told.
             Subject::Runners | Subject::Own => {}
         }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -25,7 +25,7 @@
 use crate::follow;
 use crate::node::Node;
 use crate::probe;
-use crate::reach;
+use crate::reachability;
 use crate::records;
 use crate::records::Look;
 use crate::register;
@@ -194,8 +194,8 @@
 async fn sweep(node: Arc<Node>) {
     loop {
         sleep(SWEEP).await;
-        node.runners.sweep();
-        node.vms.sweep();
+        node.runner_client.sweep();
+        node.vm_client.sweep();
         let now = node.clock.now();
         let gone = node.fleet().remove_missing(now);
         for id in gone {
@@ -204,6 +204,6 @@
                 &format!("runner={id} missing=true"),
             );
         }
-        reach::retry(&node);
+        reachability::retry(&node);
     }
 }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -28,10 +28,10 @@
 use crate::fleet::ChosenRunner;
 use crate::fleet::PlacementRequest;
 use crate::metrics::Counter;
+use crate::metrics::Latency;
 use crate::metrics::Outcome;
-use crate::metrics::Span;
 use crate::node::Node;
-use crate::reach;
+use crate::reachability;
 use crate::refuse::Subject;
 use crate::stream;
 use crate::table::Table;
@@ -136,7 +136,9 @@
     /// Notes how long it took until the runner that answers had it.
     pub fn note_wait(&self, attempt: &Attempt) {
         let waited = attempt.sent.saturating_duration_since(self.arrived);
-        self.node.metrics.time(Span::Wait, Millis::from(waited));
+        self.node
+            .metrics
+            .record(Latency::Wait, Millis::from(waited));
     }
 
     /// Yields what a refusal of it tells.
@@ -200,7 +202,7 @@
             Ok(uri) => *request.uri_mut() = uri,
             Err(fault) => return Sent::Unknown(format!("the path can't be sent: {fault}")),
         }
-        let sent = self.node.runners.send(runner.address, request);
+        let sent = self.node.runner_client.send(runner.address, request);
         let Ok(sent) = timeout_at(until, sent).await else {
             return Sent::Late;
         };
@@ -208,7 +210,7 @@
             Ok(reply) => self.judge(reply, attempt).await,
             Err(fault) => {
                 let runner = &attempt.runner;
-                reach::note_broken(&self.node, &runner.id, runner.address);
+                reachability::note_broken(&self.node, &runner.id, runner.address);
                 match fault {
                     client::Fault::Silent(_) | client::Fault::NotSent(_) => {
                         self.log_retry(&runner.id, &fault.to_string());
@@ -338,7 +340,7 @@
     /// Logs that the client left before its answer was whole.
     pub fn log_gone(&self, events: u64) {
         let kind = Some(self.route.kind);
-        self.node.metrics.end(kind, Outcome::Gone);
+        self.node.metrics.count_outcome(kind, Outcome::Gone);
         log::info!(
             "event=E{} text=\"{}\" request={} program={} route={} events={events} ms={}",
             Event::CallerGone.number(),
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod peers;
 pub mod plain;
 pub mod probe;
-pub mod reach;
+pub mod reachability;
 pub mod records;
 pub mod refuse;
 pub mod register;
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -12,7 +12,7 @@
 use wire::code::Code;
 
 /// The longest span that a histogram tells apart, in milliseconds: an hour.
-const LONGEST: u64 = 3_600_000;
+const MAX_LATENCY_MS: u64 = 3_600_000;
 
 /// Declares what is counted or timed: a name for scrapers and an explanation each.
 macro_rules! figures {
@@ -74,11 +74,11 @@
 
 figures! {
     /// What is timed.
-    Span:
+    Latency:
     Wait = "wait_ms", "from a request's arrival until it is sent to the runner that answers it";
     Prepare = "prepare_ms", "from a turn's arrival until its history and tokens are there";
-    First = "first_event_ms", "from a stream's arrival to its first event";
-    Whole = "whole_answer_ms", "from a request's arrival to the end of its answer";
+    FirstEvent = "first_event_ms", "from a stream's arrival to its first event";
+    WholeAnswer = "whole_answer_ms", "from a request's arrival to the end of its answer";
     Sync = "sync_ms", "from a stream's last event until its turn is kept";
     StoreCall = "platform_call_ms", "how long a call of the platform's key-value service took";
 }
@@ -107,21 +107,21 @@
     outcomes: Vec<AtomicU64>,
     refusals: Vec<AtomicU64>,
     breaks: Vec<AtomicU64>,
-    spans: Vec<Mutex<Histogram<u64>>>,
+    latencies: Vec<Mutex<Histogram<u64>>>,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         let histogram = || {
-            let made = Histogram::new_with_max(LONGEST, 2);
-            Mutex::new(made.unwrap_or_else(|_| Histogram::new(1).expect("one digit is allowed")))
+            let created = Histogram::new_with_max(MAX_LATENCY_MS, 2);
+            Mutex::new(created.unwrap_or_else(|_| Histogram::new(1).expect("one digit is allowed")))
         };
         Self {
             counters: zeros(Counter::ALL.len()),
             outcomes: zeros(Outcome::ALL.len() * KINDS.len()),
             refusals: zeros(Code::ALL.len()),
             breaks: zeros(Break::ALL.len()),
-            spans: Span::ALL.iter().map(|_| histogram()).collect(),
+            latencies: Latency::ALL.iter().map(|_| histogram()).collect(),
         }
     }
 }
@@ -137,8 +137,8 @@
     }
 
     /// Adds some.
-    pub fn add(&self, counter: Counter, more: u64) {
-        self.counters[counter as usize].fetch_add(more, Ordering::Relaxed);
+    pub fn add(&self, counter: Counter, amount: u64) {
+        self.counters[counter as usize].fetch_add(amount, Ordering::Relaxed);
     }
 
     /// Yields a counter's value.
@@ -148,25 +148,25 @@
     }
 
     /// Counts the end of a request of a kind; `None` where it had no route yet.
-    pub fn end(&self, kind: Option<Kind>, outcome: Outcome) {
-        let of_kind = KINDS.iter().position(|(known, _)| *known == kind);
-        let at = outcome as usize * KINDS.len() + of_kind.unwrap_or_default();
-        self.outcomes[at].fetch_add(1, Ordering::Relaxed);
+    pub fn count_outcome(&self, kind: Option<Kind>, outcome: Outcome) {
+        let kind_index = KINDS.iter().position(|(known, _)| *known == kind);
+        let index = outcome as usize * KINDS.len() + kind_index.unwrap_or_default();
+        self.outcomes[index].fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a refusal by its code.
-    pub fn refuse(&self, code: Code) {
+    pub fn count_refusal(&self, code: Code) {
         self.refusals[code as usize].fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a stream that ended before it was whole.
-    pub fn break_off(&self, cause: Break) {
+    pub fn count_break(&self, cause: Break) {
         self.breaks[cause as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes a span.
-    pub fn time(&self, span: Span, took: Millis) {
-        let histogram = &self.spans[span as usize];
+    /// Notes a latency.
+    pub fn record(&self, latency: Latency, took: Millis) {
+        let histogram = &self.latencies[latency as usize];
         let mut histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record(took.as_u64());
     }
@@ -189,9 +189,9 @@
         let causes = Break::ALL.iter();
         let causes = causes.map(|cause| format!("cause=\"{}\"", cause.name()));
         family(&mut out, BREAKS, causes, &self.breaks);
-        for (span, histogram) in Span::ALL.iter().zip(&self.spans) {
+        for (latency, histogram) in Latency::ALL.iter().zip(&self.latencies) {
             let histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
-            summary(&mut out, *span, &histogram);
+            summary(&mut out, *latency, &histogram);
         }
         out.push_str(&render(gauges));
         out
@@ -223,22 +223,22 @@
     }
 }
 
-fn summary(out: &mut String, span: Span, histogram: &Histogram<u64>) {
-    explain(out, span.name(), span.help());
+fn summary(out: &mut String, latency: Latency, histogram: &Histogram<u64>) {
+    explain(out, latency.name(), latency.help());
     for (label, quantile) in [("0.5", 0.5), ("0.95", 0.95), ("0.99", 0.99)] {
         let label = format!("{{quantile=\"{label}\"}}");
         let value = histogram.value_at_quantile(quantile);
-        line(out, span.name(), &label, value);
+        line(out, latency.name(), &label, value);
     }
-    line(out, span.name(), "_count", histogram.len());
+    line(out, latency.name(), "_count", histogram.len());
 }
 
 fn explain(out: &mut String, name: &str, help: &str) {
     // Writing to a string doesn't fail.
-    let _never = writeln!(out, "# HELP chestnutyoke_{name} {help}");
+    let _written = writeln!(out, "# HELP chestnutyoke_{name} {help}");
 }
 
 fn line(out: &mut String, name: &str, label: &str, value: u64) {
     // Writing to a string doesn't fail.
-    let _never = writeln!(out, "chestnutyoke_{name}{label} {value}");
+    let _written = writeln!(out, "chestnutyoke_{name}{label} {value}");
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -37,31 +37,31 @@
 /// in which a configuration has to be in force.
 pub const STORE_TIMEOUT: Millis = Millis::new(900);
 /// How long a connection to a runner or VM may take: data centres are a few milliseconds apart.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long sent bytes may go unacknowledged before the connection counts as dead: above a packet
 /// that is sent again twice (after 0.2 and 0.4 s). In a partition everything on kept connections
 /// hangs for this long before anyone knows.
-const SILENCE: Duration = Duration::from_millis(650);
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(650);
 /// How long an unused connection to a runner is kept. Runners that close sooner say so.
-const KEEP: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a connection rests after an answer; a second answer of a faulty runner comes within
 /// some milliseconds.
-const REST: Duration = Duration::from_millis(5);
+const REUSE_DELAY: Duration = Duration::from_millis(5);
 /// The most unused connections to a runner: more than the requests that one VM has at it.
-const IDLE: usize = 24;
+const MAX_IDLE_CONNECTIONS: usize = 24;
 /// How old a VM's knowledge of the runners may be before it reads their entries itself: a little
 /// over half of the time in which a leaving runner has to be free of new calls.
-const STALE: Millis = Millis::new(1_200);
+const RUNNERS_MAX_AGE: Millis = Millis::new(1_200);
 /// Heartbeats of a runner within which its entry doesn't lapse; three of silence end it.
-const RENEWED: u64 = 2;
+const ENTRY_LIFETIME_HEARTBEATS: u64 = 2;
 /// How long after its start a VM lets requests wait for what it has yet to learn. All of it takes
 /// under 0.2 s where the others are there (measured after a loss of all power); one that takes
 /// longer has something to wait for that may not come, and refuses.
-const START: Duration = Duration::from_millis(800);
+const START_WAIT: Duration = Duration::from_millis(800);
 /// How often a waiting request looks again: a fraction of the time that a client's next try takes.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The share of the process's memory for turns at hand, as a divisor.
-const TURNS_SHARE: u64 = 6;
+const TURN_CACHE_DIVISOR: u64 = 6;
 
 /// A process's parts.
 #[derive(Debug)]
@@ -71,9 +71,9 @@
     /// The time.
     pub clock: Clock,
     /// Connections to runners.
-    pub runners: Arc<Client>,
+    pub runner_client: Arc<Client>,
     /// Connections to other VMs.
-    pub vms: Arc<Client>,
+    pub vm_client: Arc<Client>,
     /// The platform's key-value service.
     pub kv: Kv,
     /// The VMs with a disk.
@@ -93,13 +93,13 @@
     /// Whether enough VMs with a disk answer.
     records: Mutex<Records>,
     /// Held while a doubt of that is settled.
-    pub settling: tokio::sync::Mutex<()>,
+    pub records_check: tokio::sync::Mutex<()>,
     /// When the runners' list was last known to be current.
-    runners_at: AtomicU64,
+    runners_current_at: AtomicU64,
     /// When the configuration in force was last known to be current.
-    config_at: AtomicU64,
+    config_current_at: AtomicU64,
     /// What is under way.
-    pub work: Arc<work::Register>,
+    pub work: Arc<work::Registry>,
 }
 
 impl Node {
@@ -107,27 +107,28 @@
     #[must_use]
     pub fn new(settings: Settings, clock: Clock) -> Arc<Self> {
         let limits = Limits {
-            connect: CONNECT,
-            silence: SILENCE,
-            keep: KEEP,
-            rest: REST,
-            idle: IDLE,
+            connect: CONNECT_TIMEOUT,
+            silence: UNACKED_TIMEOUT,
+            keep: IDLE_TIMEOUT,
+            rest: REUSE_DELAY,
+            idle: MAX_IDLE_CONNECTIONS,
         };
-        let runners = Client::new(limits);
-        let vms = Client::new(Limits {
+        let runner_client = Client::new(limits);
+        let vm_client = Client::new(Limits {
             rest: Duration::ZERO,
             ..limits
         });
-        let kv = Kv::new(vms.clone(), settings.store, STORE_TIMEOUT);
-        let replicas = Replicas::new(vms.clone(), &settings.centre, settings.losses);
-        let turns = usize::try_from(settings.memory_bytes / TURNS_SHARE).unwrap_or(usize::MAX);
+        let kv = Kv::new(vm_client.clone(), settings.store, STORE_TIMEOUT);
+        let replicas = Replicas::new(vm_client.clone(), &settings.centre, settings.losses);
+        let cache_bytes =
+            usize::try_from(settings.memory_bytes / TURN_CACHE_DIVISOR).unwrap_or(usize::MAX);
         Arc::new(Self {
-            runners,
-            vms,
+            runner_client,
+            vm_client,
             kv,
             replicas,
             peers: Mutex::default(),
-            turns: Mutex::new(Cache::new(turns)),
+            turns: Mutex::new(Cache::new(cache_bytes)),
             metrics: Metrics::default(),
             started: Instant::now(),
             table: Mutex::default(),
@@ -135,9 +136,9 @@
             roster: Mutex::default(),
             stop: watch::Sender::default(),
             records: Mutex::default(),
-            settling: tokio::sync::Mutex::default(),
-            runners_at: AtomicU64::new(0),
-            config_at: AtomicU64::new(0),
+            records_check: tokio::sync::Mutex::default(),
+            runners_current_at: AtomicU64::new(0),
+            config_current_at: AtomicU64::new(0),
             work: Arc::default(),
             settings,
             clock,
@@ -155,11 +156,11 @@
 
     /// Puts a configuration in force, unless a newer one is.
     pub fn set_table(&self, table: Table) -> bool {
-        let mut own = self.table.lock().unwrap_or_else(PoisonError::into_inner);
-        if own.known && table.version <= own.version {
+        let mut current = self.table.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.known && table.version <= current.version {
             return false;
         }
-        *own = Arc::new(table);
+        *current = Arc::new(table);
         true
     }
 
@@ -189,9 +190,9 @@
     /// After a loss of all power the clients' tries come within the first tens of milliseconds, and
     /// each refusal would use one of the few tries up that a turn has.
     pub async fn wait_at_start(&self, known: impl Fn(&Self) -> bool, until: Instant) {
-        let until = until.min(self.started + START);
+        let until = until.min(self.started + START_WAIT);
         while !known(self) && Instant::now() < until {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -217,8 +218,8 @@
 
     /// Waits until the process stops, and yields how.
     pub async fn stopping(&self) -> Stop {
-        let mut told = self.stop.subscribe();
-        let stop = match told.wait_for(Option::is_some).await {
+        let mut receiver = self.stop.subscribe();
+        let stop = match receiver.wait_for(Option::is_some).await {
             Ok(stop) => *stop,
             Err(_) => None,
         };
@@ -240,20 +241,22 @@
     }
 
     /// Notes that the runners' list is current.
-    pub fn set_runners_at(&self, now: Millis) {
-        self.runners_at.fetch_max(now.as_u64(), Ordering::Relaxed);
+    pub fn note_runners_current(&self, now: Millis) {
+        self.runners_current_at
+            .fetch_max(now.as_u64(), Ordering::Relaxed);
     }
 
     /// Yields how old the runners' list is.
     #[must_use]
     pub fn runners_age(&self) -> Millis {
-        let at = Millis::new(self.runners_at.load(Ordering::Relaxed));
+        let at = Millis::new(self.runners_current_at.load(Ordering::Relaxed));
         self.clock.now().since(at)
     }
 
     /// Notes that the configuration in force is current.
-    pub fn set_config_at(&self, now: Millis) {
-        self.config_at.fetch_max(now.as_u64(), Ordering::Relaxed);
+    pub fn note_config_current(&self, now: Millis) {
+        self.config_current_at
+            .fetch_max(now.as_u64(), Ordering::Relaxed);
     }
 
     /// Yields how long ago the VM last heard that its configuration is current: from the key-value
@@ -263,7 +266,7 @@
         if self.source(Subject::Config) == Source::Peers {
             return self.runners_age();
         }
-        let at = Millis::new(self.config_at.load(Ordering::Relaxed));
+        let at = Millis::new(self.config_current_at.load(Ordering::Relaxed));
         self.clock.now().since(at)
     }
 
@@ -271,14 +274,14 @@
     /// one does that couldn't be renewed for some heartbeats.
     #[must_use]
     pub fn may_have_lapsed(&self) -> bool {
-        let renewed = Millis::new(self.settings.heartbeat.as_u64() * RENEWED);
+        let renewed = Millis::new(self.settings.heartbeat.as_u64() * ENTRY_LIFETIME_HEARTBEATS);
         self.runners_age() > renewed
     }
 
     /// Tells whether the runners' list is too old to rely on.
     #[must_use]
     fn is_runners_list_stale(&self) -> bool {
-        self.runners_age() > STALE
+        self.runners_age() > RUNNERS_MAX_AGE
     }
 
     /// Yields where this VM learns of a subject now.
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -22,8 +22,8 @@
 use crate::job::Attempt;
 use crate::job::Job;
 use crate::job::Sent;
+use crate::metrics::Latency;
 use crate::metrics::Outcome;
-use crate::metrics::Span;
 use crate::refuse;
 use crate::shutdown;
 use crate::work;
@@ -57,7 +57,7 @@
             );
         }
     });
-    match shutdown::by_the_end(&asked.node, receiver).await {
+    match shutdown::with_answer_deadline(&asked.node, receiver).await {
         Ok(Ok(response)) => response,
         Ok(Err(_)) => refuse::died(&asked.node, &asked.call.id),
         Err(refusal) => refuse(&asked, &refusal),
@@ -81,7 +81,7 @@
 /// Runs a call that is broken off where its caller leaves.
 async fn run_watched(job: &Job) -> Response<Body> {
     let mut watch = Watch { job, ended: false };
-    let answer = shutdown::by_the_end(&job.node, attempts(job)).await;
+    let answer = shutdown::with_answer_deadline(&job.node, attempts(job)).await;
     watch.ended = true;
     match answer {
         Ok(Ok(response)) => response,
@@ -102,9 +102,9 @@
             return Err(refuse::late(runs));
         }
         if runs == 0 {
-            shutdown::pass_on(&job.node, job.ends())?;
+            shutdown::allow_send(&job.node, job.ends())?;
         } else {
-            shutdown::try_again(&job.node, job.ends())?;
+            shutdown::allow_retry(&job.node, job.ends())?;
         }
         let Some(runner) = job.choose(&not) else {
             return Err(refuse::nowhere(runs));
@@ -175,9 +175,9 @@
     }
     job.node
         .metrics
-        .end(Some(job.route.kind), Outcome::Answered);
+        .count_outcome(Some(job.route.kind), Outcome::Answered);
     job.note_wait(&attempt);
-    job.node.metrics.time(Span::Whole, job.age());
+    job.node.metrics.record(Latency::WholeAnswer, job.age());
     job.log_answered(&attempt.runner.id, head.status.as_u16(), 0, None);
     Ok(answer::passed_on(
         head.status,
--- a/crates/relay/src/probe.rs
+++ b/crates/relay/src/probe.rs
@@ -40,8 +40,8 @@
         ("revision", node.table().version),
         ("revision_age_ms", node.config_age().as_u64()),
         ("members_version", node.replicas.list().version),
-        ("runner_connections_made", node.runners.made()),
-        ("vm_connections_made", node.vms.made()),
+        ("runner_connections_made", node.runner_client.made()),
+        ("vm_connections_made", node.vm_client.made()),
         ("memory_bytes", memory::resident()),
         ("ready", u64::from(node.is_ready())),
     ];
--- a/crates/relay/src/reach.rs
+++ b/crates/relay/src/reachability.rs
@@ -17,15 +17,15 @@
 /// Notes that a connection to a runner broke or could not be made, and tries it again. Others that
 /// are kept to it may hang in the same way, so they are dropped.
 pub fn note_broken(node: &Arc<Node>, id: &str, address: SocketAddr) {
-    if let Some(target) = mark(node, id, address) {
-        tokio::spawn(first(node.clone(), target));
+    if let Some(target) = mark_unreachable(node, id, address) {
+        tokio::spawn(probe_and_neighbours(node.clone(), target));
     }
 }
 
 /// Marks a runner as one that can't be reached; yields where to try it again if that is news, which
 /// is logged.
-fn mark(node: &Node, id: &str, address: SocketAddr) -> Option<Target> {
-    node.runners.forget(address);
+fn mark_unreachable(node: &Node, id: &str, address: SocketAddr) -> Option<Target> {
+    node.runner_client.forget(address);
     let now = node.clock.now();
     let target = node.fleet().note_unreachable(id, now)?;
     log::info!(
@@ -42,30 +42,30 @@
     let targets = node.fleet().unreachable();
     for target in targets {
         let node = node.clone();
-        tokio::spawn(async move { connect(&node, &target).await });
+        tokio::spawn(async move { probe(&node, &target).await });
     }
 }
 
 /// Tries a runner whose connection broke; where nothing answers there, those around it as well.
-async fn first(node: Arc<Node>, target: Target) {
-    if connect(&node, &target).await != Outcome::Silent {
+async fn probe_and_neighbours(node: Arc<Node>, target: Target) {
+    if probe(&node, &target).await != Outcome::Silent {
         return;
     }
     let now = node.clock.now();
-    let around = node.fleet().quiet_runners(&target.centre, now);
+    let neighbours = node.fleet().quiet_runners(&target.centre, now);
     log::info!(
         "event=E{} text=\"{}\" runner={} centre={} tried={}",
         Event::EndpointSilent.number(),
         Event::EndpointSilent.text(),
         target.id,
         target.centre,
-        around.len()
+        neighbours.len()
     );
-    for target in around {
+    for target in neighbours {
         let node = node.clone();
         tokio::spawn(async move {
-            if connect(&node, &target).await == Outcome::Silent {
-                mark(&node, &target.id, target.address);
+            if probe(&node, &target).await == Outcome::Silent {
+                mark_unreachable(&node, &target.id, target.address);
             }
         });
     }
@@ -80,16 +80,16 @@
     Silent,
 }
 
-async fn connect(node: &Node, target: &Target) -> Outcome {
-    match node.runners.probe(target.address).await {
+async fn probe(node: &Node, target: &Target) -> Outcome {
+    match node.runner_client.probe(target.address).await {
         Ok(()) => {
             let now = node.clock.now();
-            let news = {
+            let was_unreachable = {
                 let mut fleet = node.fleet();
                 let runner = fleet.runner(&target.id);
                 runner.is_some_and(|runner| runner.note_reachable(now))
             };
-            if news {
+            if was_unreachable {
                 log::info!(
                     "event=E{} text=\"{}\" runner={} centre={}",
                     Event::EndpointReachable.number(),
--- a/crates/relay/src/records.rs
+++ b/crates/relay/src/records.rs
@@ -76,7 +76,7 @@
         );
         return;
     }
-    let _one = node.settling.lock().await;
+    let _one = node.records_check.lock().await;
     if node.records().is_doubted() {
         look(node).await;
     }
--- a/crates/relay/src/refuse.rs
+++ b/crates/relay/src/refuse.rs
@@ -69,8 +69,8 @@
         Ran::No => Outcome::Refused,
         Ran::Unknown | Ran::Yes => Outcome::Failed,
     };
-    node.metrics.end(subject.kind, outcome);
-    node.metrics.refuse(refusal.code);
+    node.metrics.count_outcome(subject.kind, outcome);
+    node.metrics.count_refusal(refusal.code);
     let Subject {
         request,
         program,
--- a/crates/relay/src/register.rs
+++ b/crates/relay/src/register.rs
@@ -14,7 +14,7 @@
 use wire::clock::Millis;
 
 use crate::metrics::Counter;
-use crate::metrics::Span;
+use crate::metrics::Latency;
 use crate::node::Node;
 use crate::subject;
 
@@ -50,7 +50,7 @@
             },
         };
         node.metrics
-            .time(Span::StoreCall, Millis::from(begun.elapsed()));
+            .record(Latency::StoreCall, Millis::from(begun.elapsed()));
         sleep(RENEW_INTERVAL).await;
     }
 }
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// Refuses where it may not.
-pub fn pass_on(node: &Node, ends: Instant) -> Result<(), Refusal> {
+pub fn allow_send(node: &Node, ends: Instant) -> Result<(), Refusal> {
     match node.stop() {
         Some(stop) if node.clock.now() >= stop.last_call() => admit(node, ends),
         _ => Ok(()),
@@ -40,13 +40,13 @@
 }
 
 /// Tells whether a request that a runner may have run may still be passed on to another one, which it may
-/// under the same condition as [`pass_on`] has.
+/// under the same condition as [`allow_send`] has.
 ///
 /// # Errors
 ///
 /// Fails where it may not. Not with [`Code::ShuttingDown`]: its status promises that nothing has run.
-pub fn try_again(node: &Node, ends: Instant) -> Result<(), Refusal> {
-    pass_on(node, ends)
+pub fn allow_retry(node: &Node, ends: Instant) -> Result<(), Refusal> {
+    allow_send(node, ends)
         .map_err(|refusal| Refusal::new(Code::EndpointFailed, &refusal.message).ran(Ran::Unknown))
 }
 
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// Refuses when that is over.
-pub async fn before<T>(
+pub async fn with_send_deadline<T>(
     node: &Node,
     ends: Instant,
     work: impl Future<Output = T>,
@@ -65,7 +65,7 @@
     tokio::select! {
         biased;
         done = work => Ok(done),
-        refusal = last_call(node, ends) => Err(refusal),
+        refusal = wait_for_send_deadline(node, ends) => Err(refusal),
     }
 }
 
@@ -75,16 +75,19 @@
 /// # Errors
 ///
 /// Fails at that moment. Not with [`Code::ShuttingDown`]: its status promises that nothing has run.
-pub async fn by_the_end<T>(node: &Node, work: impl Future<Output = T>) -> Result<T, Refusal> {
+pub async fn with_answer_deadline<T>(
+    node: &Node,
+    work: impl Future<Output = T>,
+) -> Result<T, Refusal> {
     tokio::select! {
         biased;
         done = work => Ok(done),
-        refusal = end(node) => Err(refusal),
+        refusal = wait_for_answer_deadline(node) => Err(refusal),
     }
 }
 
 /// Waits until the process's last answers have to go out; yields that of a request which may have run.
-async fn end(node: &Node) -> Refusal {
+async fn wait_for_answer_deadline(node: &Node) -> Refusal {
     let stop = node.stopping().await;
     let left = stop.last().since(node.clock.now());
     sleep(left.as_duration()).await;
@@ -92,7 +95,7 @@
 }
 
 /// Waits for the last call, or for the last moment where the request should be over before that.
-async fn last_call(node: &Node, ends: Instant) -> Refusal {
+async fn wait_for_send_deadline(node: &Node, ends: Instant) -> Refusal {
     let stop = node.stopping().await;
     let at = if outlasts(node, stop, ends) {
         stop.last_call()
@@ -105,10 +108,10 @@
 }
 
 fn outlasts(node: &Node, stop: Stop, ends: Instant) -> bool {
-    !stop.takes(Some(node.clock.now().plus(needed(ends))))
+    !stop.takes(Some(node.clock.now().plus(time_needed(ends))))
 }
 
-fn needed(ends: Instant) -> Millis {
+fn time_needed(ends: Instant) -> Millis {
     Millis::from(ends.saturating_duration_since(Instant::now()))
 }
 
@@ -118,7 +121,7 @@
         "stopping for {}, ends in {}, may need {}",
         now.since(stop.begun()),
         stop.left(now),
-        needed(ends)
+        time_needed(ends)
     );
     Refusal::new(Code::ShuttingDown, &detail).retry_after(stop::RETRY)
 }
--- a/crates/relay/src/shutdown/tests.rs
+++ b/crates/relay/src/shutdown/tests.rs
@@ -12,8 +12,8 @@
 use wire::code::Code;
 use wire::code::Ran;
 
-use super::before;
-use super::pass_on;
+use super::allow_send;
+use super::with_send_deadline;
 use crate::node::Node;
 
 /// The last call comes after 1.1 s of it, and its last moment after 1.6 s.
@@ -42,7 +42,7 @@
         sleep(Duration::from_millis(50)).await;
         stopping.begin_stop();
     });
-    let refusal = before(&node, in_ms(20_000), pending::<()>()).await;
+    let refusal = with_send_deadline(&node, in_ms(20_000), pending::<()>()).await;
     let refusal = refusal.unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
     let stop = node.stop().unwrap();
@@ -64,10 +64,10 @@
     }
     let waited = timeout(
         Duration::from_millis(1_200),
-        before(&node, ends, pending::<()>()),
+        with_send_deadline(&node, ends, pending::<()>()),
     );
     assert!(waited.await.is_err());
-    assert_eq!(pass_on(&node, ends), Ok(()));
+    assert_eq!(allow_send(&node, ends), Ok(()));
 }
 
 // A runner turns a request away just before the process ends. Passed on to the next one, it would be
@@ -77,9 +77,9 @@
     let node = node();
     let ends = in_ms(20_000);
     node.begin_stop();
-    assert_eq!(pass_on(&node, ends), Ok(()));
+    assert_eq!(allow_send(&node, ends), Ok(()));
     sleep(Duration::from_millis(1_150)).await;
-    let refusal = pass_on(&node, ends).unwrap_err();
+    let refusal = allow_send(&node, ends).unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
@@ -90,7 +90,7 @@
 async fn what_should_have_been_over_is_told_at_the_last_moment() {
     let node = node();
     let stop = node.begin_stop();
-    let waited = before(&node, in_ms(1_000), pending::<()>());
+    let waited = with_send_deadline(&node, in_ms(1_000), pending::<()>());
     let told = timeout(GRACE.as_duration(), waited).await;
     let refusal = told.expect("it is told before the end").unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -39,8 +39,8 @@
 use crate::job::Sent;
 use crate::metrics::Break;
 use crate::metrics::Counter;
+use crate::metrics::Latency;
 use crate::metrics::Outcome;
-use crate::metrics::Span;
 use crate::refuse;
 use crate::shutdown;
 use crate::work;
@@ -143,13 +143,13 @@
 /// Prepares a turn and finds the runner that answers it.
 async fn begin(job: &Job, account: Option<Account>) -> Result<(Reply, Attempt, History), Refusal> {
     let prepared = prepare(job, account);
-    let history = shutdown::before(&job.node, job.ends(), prepared).await??;
-    job.node.metrics.time(Span::Prepare, job.age());
+    let history = shutdown::with_send_deadline(&job.node, job.ends(), prepared).await??;
+    job.node.metrics.record(Latency::Prepare, job.age());
     let mut not = Vec::new();
     let mut runs = 0;
     let last_event = job.call.last_event;
     let opened = open(job, &history, &mut not, &mut runs, last_event);
-    let (reply, attempt) = shutdown::by_the_end(&job.node, opened).await??;
+    let (reply, attempt) = shutdown::with_answer_deadline(&job.node, opened).await??;
     job.note_wait(&attempt);
     Ok((reply, attempt, history))
 }
@@ -181,9 +181,9 @@
             break;
         }
         if *runs == 0 {
-            shutdown::pass_on(&job.node, job.ends())?;
+            shutdown::allow_send(&job.node, job.ends())?;
         } else {
-            shutdown::try_again(&job.node, job.ends())?;
+            shutdown::allow_retry(&job.node, job.ends())?;
         }
         let Some(runner) = job.choose(not) else {
             return Err(refuse::nowhere(*runs));
@@ -273,11 +273,11 @@
             }
             job.node
                 .metrics
-                .time(Span::Sync, Millis::from(last.elapsed()));
-            job.node.metrics.time(Span::Whole, job.age());
+                .record(Latency::Sync, Millis::from(last.elapsed()));
+            job.node.metrics.record(Latency::WholeAnswer, job.age());
             job.node
                 .metrics
-                .end(Some(job.route.kind), Outcome::Answered);
+                .count_outcome(Some(job.route.kind), Outcome::Answered);
             // A client that has left needs no end.
             let _gone = flow.parts.send(Part::End).await;
             job.log_answered(&flow.runner, status, flow.events, flow.first);
@@ -430,7 +430,7 @@
             if flow.first.is_none() {
                 let age = job.age();
                 flow.first = Some(age);
-                job.node.metrics.time(Span::First, age);
+                job.node.metrics.record(Latency::FirstEvent, age);
             }
             flow.begun.get_or_insert_with(Instant::now);
             flow.events += 1;
@@ -517,8 +517,10 @@
 }
 
 fn log_broken(job: &Job, flow: &Flow, cause: Break, why: &str) {
-    job.node.metrics.end(Some(job.route.kind), Outcome::Failed);
-    job.node.metrics.break_off(cause);
+    job.node
+        .metrics
+        .count_outcome(Some(job.route.kind), Outcome::Failed);
+    job.node.metrics.count_break(cause);
     log::warn!(
         "event=E{} text=\"{}\" request={} program={} route={} runner={} events={} first_ms={} ms={} why=\"{why}\"",
         Event::StreamBroken.number(),
--- a/crates/relay/src/take.rs
+++ b/crates/relay/src/take.rs
@@ -53,7 +53,7 @@
         drop_missing(node, &ids, "listed=false");
         node.roster().retain_listed(&ids, listing.revision);
     }
-    node.set_runners_at(node.clock.now());
+    node.note_runners_current(node.clock.now());
 }
 
 /// Drops the runners that aren't listed; `how` tells the log where the list is from.
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/work.rs
@@ -12,7 +12,7 @@
 
 /// All that is under way.
 #[derive(Debug, Default)]
-pub struct Register(Mutex<State>);
+pub struct Registry(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
@@ -45,11 +45,11 @@
 /// Keeps an entry until dropped.
 #[derive(Debug)]
 pub struct Guard {
-    register: Arc<Register>,
+    registry: Arc<Registry>,
     number: u64,
 }
 
-impl Register {
+impl Registry {
     /// Enters work for a request.
     #[must_use]
     pub fn begin(self: &Arc<Self>, kind: Kind, request: &str) -> Guard {
@@ -63,7 +63,7 @@
             since: Instant::now(),
         });
         Guard {
-            register: self.clone(),
+            registry: self.clone(),
             number,
         }
     }
@@ -95,7 +95,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        let mut state = self.register.lock();
+        let mut state = self.registry.lock();
         let found = state
             .entries
             .binary_search_by_key(&self.number, |entry| entry.number);
--- a/crates/relay/tests/reach.rs
+++ b/crates/relay/tests/reach.rs
@@ -13,7 +13,7 @@
 use log::Metadata;
 use log::Record;
 use relay::node::Node;
-use relay::reach;
+use relay::reachability;
 use tokio::net::TcpListener;
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
@@ -100,7 +100,7 @@
         let id = format!("i-{at}");
         node.fleet().set(&id, entry(*address), 0);
     }
-    reach::note_broken(&node, "i-0", addresses[0]);
+    reachability::note_broken(&node, "i-0", addresses[0]);
     until(|| node.fleet().unreachable().len() == 2).await;
     for runner in runners {
         tokio::spawn(async move {
@@ -111,7 +111,7 @@
         });
     }
     until(|| {
-        reach::retry(&node);
+        reachability::retry(&node);
         node.fleet().unreachable().is_empty()
     })
     .await;
