--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -1,5 +1,5 @@
-//! How a process that takes clients' requests stops: it lets the balancer notice, then what is under
-//! way end, and names what its own end cuts off.
+//! Stops a process that takes clients' requests: waits until the balancer has noticed and requests
+//! in progress have ended, and logs the requests that the end of the process cuts off.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,15 @@
 use crate::node::Node;
 use crate::work;
 
-/// How often the end of what is under way is looked for.
+/// How often the progress of the stop is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the listener may take to close.
 const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_millis(60);
-/// The most requests that the end of a process names as cut off.
+/// The most requests that are logged as cut off by the end of the process.
 const MAX_LOGGED_CUT: usize = 100;
 
-/// Returns when the process may end; `listener` is the task of the clients' listener.
+/// Runs the stop and returns when the process may end. `listener` is the task of the clients'
+/// listener.
 pub async fn run(node: &Arc<Node>, door: &Arc<Door>, listener: JoinHandle<()>) {
     let stop = node.begin_stop();
     log::info!(
@@ -34,10 +35,12 @@
     door.closing.cancel();
     wait_until(|| stop.is_over(node.clock.now(), Activity::Idle)).await;
     door.leaving.cancel();
-    // Connections alone don't count: with callers that connect and bring nothing, or are refused, the
-    // listener would stay open to the last moment, and keep the next process from serving.
+    // Open connections alone don't count: with callers that connect and send nothing, or are
+    // refused, the listener would stay open to the last moment and keep the next process from
+    // serving.
     wait_until(|| stop.closes(node.clock.now(), requests(node))).await;
-    // A request that is taken after the last look would be cut off: nobody can connect by then.
+    // A request that is accepted after the last check would be cut off, so nobody may connect by
+    // then.
     door.shut.cancel();
     if timeout(LISTENER_CLOSE_TIMEOUT, listener).await.is_err() {
         log::warn!("text=\"the listener for clients doesn't close\"");
@@ -60,7 +63,7 @@
     }
 }
 
-/// Tells whether anything is done for requests.
+/// Returns whether work for requests is in progress.
 fn requests(node: &Node) -> Activity {
     match node.work.count() {
         0 => Activity::Idle,
@@ -68,7 +71,7 @@
     }
 }
 
-/// Tells whether anything is done for requests, or callers are connected.
+/// Returns whether work for requests is in progress or callers are connected.
 fn activity(node: &Node, door: &Door) -> Activity {
     match door.open() {
         0 => requests(node),
@@ -76,7 +79,7 @@
     }
 }
 
-/// Names what the end of the process cuts off.
+/// Logs the work that the end of the process cuts off.
 fn log_cut(entries: &[work::Entry]) {
     for entry in entries.iter().take(MAX_LOGGED_CUT) {
         log::warn!(
--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 
-/// A process that stops, with nothing but its listener for clients.
+/// A stopping process that consists only of its listener for clients.
 struct Stopping {
     node: Arc<Node>,
     door: Arc<Door>,
@@ -35,9 +35,10 @@
     }
 }
 
-/// A request is under way to the last moment. Were the listener open until the process ends, what waits to
-/// be accepted then would be accepted and reset unread, its caller not knowing whether it ran. The
-/// listener closes while there is time to answer, and the process ends no sooner for it.
+/// A request is in progress to the last moment. If the listener stayed open until the process ends,
+/// connections still waiting to be accepted would then be accepted and reset unread, and their
+/// callers wouldn't know whether their requests ran. So the listener closes while there is time to
+/// answer, and the process doesn't end any sooner for it.
 #[tokio::test]
 async fn the_listener_closes_while_there_is_time_to_answer() {
     let process = stopping(Millis::new(2_000)).await;
@@ -53,9 +54,9 @@
     assert!(process.node.clock.now() >= stop.ends());
 }
 
-/// The balancer has noticed that the process stops, and no request is under way; callers go on to connect
-/// and bring nothing. Were each open connection waited for, the listener would stay open to the last
-/// moment, and the next process serve seconds later.
+/// The balancer has noticed the stop and no request is in progress, but callers keep connecting
+/// without sending anything. If each open connection were waited for, the listener would stay open
+/// to the last moment and the next process would serve seconds later.
 #[tokio::test]
 async fn connections_that_bring_nothing_hold_no_listener_open() {
     let process = stopping(Millis::new(6_000)).await;
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,9 +1,10 @@
-//! What the VMs that take requests tell each other: how many requests each has at each runner, which
-//! runners it holds off, and the runners' entries and the configuration where one of two knows newer
-//! ones.
+//! The exchange between the VMs that take requests. Each VM tells the others how many requests it
+//! has at each runner and which runners it holds off. It also sends the runners' entries and the
+//! configuration if the other VM's are older.
 //!
-//! A runner's own figures come with its answers, some hundred milliseconds late at each VM. Without
-//! the others' counts all VMs pick the same runner that looked idle, and it turns them away.
+//! A runner's own figures come with its answers and so reach each VM some hundred milliseconds
+//! late. Without the counts of other VMs, all VMs would pick the same runner that looked idle, and
+//! it would refuse them.
 
 pub mod incoming;
 pub mod outgoing;
@@ -32,9 +33,10 @@
 use crate::node::Node;
 use crate::peers::Peer;
 
-/// The path of the exchange.
+/// HTTP path of the exchange.
 const PATH: &str = "/exchange";
-/// How often two VMs exchange: a fraction of the time that a request takes at a runner.
+/// Interval between two exchanges of the same two VMs: a fraction of the time that a request takes
+/// at a runner.
 const INTERVAL: Duration = Duration::from_millis(60);
 /// How long an exchange may take.
 pub const TIMEOUT: Duration = Duration::from_millis(250);
@@ -54,7 +56,7 @@
     Http(hyper::http::Error),
 }
 
-/// Exchanges for as long as it is polled.
+/// Starts exchanges periodically for as long as it is polled.
 pub async fn run(node: Arc<Node>) {
     loop {
         sleep(pause(&node)).await;
@@ -64,14 +66,14 @@
     }
 }
 
-/// Yields how long a VM waits before it exchanges again.
+/// Returns the pause before the next round of exchanges.
 #[must_use]
 pub fn pause(node: &Node) -> Duration {
     INTERVAL * node.peers().pause_factor()
 }
 
-/// Yields the VMs that this one starts an exchange with now; those that have been gone for long are
-/// forgotten.
+/// Returns the VMs with which this one starts an exchange now. Forgets VMs whose entries lapsed
+/// long ago.
 #[must_use]
 pub fn targets(node: &Node) -> Vec<Peer> {
     let now = node.clock.now();
@@ -80,7 +82,7 @@
     peers.exchange_targets(&node.settings.vm, &node.settings.centre, now)
 }
 
-/// Takes in what another VM tells, and yields what it is told.
+/// Applies another VM's message and returns the answer to it.
 #[must_use]
 pub fn respond(node: &Arc<Node>, theirs: Message) -> Message {
     let own = outgoing::message(node, &theirs.vm, theirs.roster, theirs.config);
@@ -109,7 +111,7 @@
     Ok(rmp_serde::from_slice(&bytes)?)
 }
 
-/// Serves another VM's exchange.
+/// Serves an exchange that another VM started.
 pub async fn serve(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let bytes = match body::read(request.into_body(), MAX_MESSAGE_BYTES).await {
         Ok(bytes) => bytes,
--- a/crates/relay/src/exchange/incoming.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes in what another VM tells.
+//! Applies messages from other VMs.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::roster::Roster;
 use crate::take;
 
-/// Takes a message in.
+/// Applies a message.
 pub fn apply(node: &Arc<Node>, received: Message) {
     let now = node.clock.now();
     let status = PeerStatus {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Takes newer entries over: all of them, and nothing else.
+/// Replaces all runners' entries if those from the other VM are newer.
 fn replace_entries(node: &Arc<Node>, vm: &str, entries: Roster) {
     if entries.revision <= node.roster().revision {
         return;
--- a/crates/relay/src/exchange/outgoing.rs
+++ b/crates/relay/src/exchange/outgoing.rs
@@ -1,4 +1,4 @@
-//! What a VM tells another one.
+//! Builds messages to other VMs.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,31 +13,32 @@
 use crate::tally::Recipient;
 use crate::tally::Tally;
 
-/// One side of an exchange.
+/// The message that each side of an exchange sends. Encoded by position, so the order of fields
+/// must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The VM.
+    /// Name of the sender.
     pub vm: String,
-    /// Whose tallies these are.
+    /// The VMs whose figures `tallies` contains.
     pub origin: Origin,
-    /// What the VM, and other VMs that it speaks for, have at runners; in the order of their ids.
+    /// Figures about runners from the sender and the VMs that it speaks for, sorted by runner id.
     pub tallies: Vec<Tally>,
-    /// The roster's revision that it has.
+    /// Revision of the sender's roster.
     pub roster: u64,
-    /// How old its knowledge of the runners is, in milliseconds.
+    /// Age of the sender's knowledge of the runners, in milliseconds.
     pub roster_age: u64,
-    /// The configuration's revision that it has.
+    /// Revision of the sender's configuration.
     pub config: u64,
-    /// All entries, where the other has older ones.
+    /// All runners' entries, if the recipient's are older.
     pub entries: Option<Roster>,
-    /// The configuration, where the other has an older one.
+    /// The configuration, if the recipient's is older.
     pub document: Option<Vec<u8>>,
-    /// Whether the VM goes on.
+    /// Whether the sender keeps running.
     #[serde(default)]
     pub course: Lifecycle,
 }
 
-/// Builds the message for a VM that has these revisions.
+/// Builds the message to a VM that has the given revisions of roster and configuration.
 pub fn message(node: &Node, to: &str, roster: u64, config: u64) -> Message {
     let now = node.clock.now();
     let settings = &node.settings;
@@ -57,8 +58,8 @@
     }
 }
 
-/// Yields what a VM is told of the runners, and whose figures these are: a hub tells its own VMs
-/// all that it knows of the others, and other hubs the sum of its data centre.
+/// Returns the tallies for a VM and their origin. A hub sends the VMs of its own data centre all
+/// that it knows of the others, and other hubs the sum of its data centre.
 fn tallies_for(node: &Node, to: &str, now: Millis) -> (Origin, Vec<Tally>) {
     let settings = &node.settings;
     let peers = node.peers();
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The runners as this VM knows them.
 //!
-//! Their entries and what VMs tell each other of them are taken in here; `choice` finds one for a
-//! request, `health` follows which of them answer.
+//! This module applies changes of the runners' entries and the figures that other VMs report.
+//! `choice` selects a runner for a request, `health` tracks which runners answer.
 
 mod choice;
 mod health;
@@ -22,83 +22,82 @@
 use crate::tally::Origin;
 use crate::tally::Tally;
 
-/// How long an entry that is missing after the key-value service was away is still used; the
-/// runners that live are back in the list within two seconds.
+/// How long a runner is still used after its entry was found missing at the end of an outage of the
+/// key-value service. Running runners are back in the list within two seconds.
 const MISSING_RETENTION: Millis = Millis::new(1_700);
-/// What a way to another data centre costs a request that may run again, in milliseconds: there and
-/// back.
+/// Cost of a round trip to another data centre for a request that may be repeated, in milliseconds.
 pub const REMOTE_COST_MS: f64 = 3.0;
-/// What it costs a call that may run at most once. Its outcome stays unknown where the way breaks
-/// meanwhile, and its program ends; so one in the VM's own data centre is worth half the time of a
-/// usual call.
+/// The same for a call that may run at most once. If the network breaks before the answer, its
+/// outcome stays unknown and its program ends. So a runner in the VM's own data centre is worth
+/// half the duration of a usual call.
 pub const REMOTE_COST_AT_MOST_ONCE_MS: f64 = 15.0;
 
-/// The runners, in the order of their ids.
+/// The runners, sorted by id.
 #[derive(Debug, Default)]
 pub struct Fleet {
     runners: Vec<Runner>,
-    /// What prompts begin with, by service, in the order of their names.
+    /// The first parts of recent prompts by service, sorted by the services' names.
     demand: Vec<(String, Demand)>,
 }
 
-/// What has to be known of a request to place it.
+/// The properties of a request that determine its placement.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// What the service's engines can do; `None` for a plain service.
+    /// Capabilities of the service's engines; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// The prompt's parts.
+    /// Parts of the prompt.
     pub prompt: &'a [prefix::Part],
-    /// The prompt's length in tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens that it will generate at most.
+    /// The most tokens that the request will generate.
     pub output_tokens: u64,
-    /// Draws among equally good runners.
+    /// Random value that breaks ties among equally good runners.
     pub salt: u64,
-    /// Runners that have turned it away or failed it.
+    /// Ids of the runners that have refused or failed the request.
     pub excluded: &'a [String],
-    /// The data centre of this VM.
+    /// Data centre of this VM.
     pub centre: &'a str,
-    /// What a way to another data centre costs, in milliseconds.
+    /// Cost of using another data centre, in milliseconds.
     pub remote_cost_ms: f64,
-    /// The time.
+    /// Current time.
     pub now: Millis,
 }
 
-/// A runner that was chosen, and the figures that made it so.
+/// The runner chosen for a request, with the figures behind the choice.
 #[derive(Clone, Debug)]
 pub struct ChosenRunner {
-    /// Its id.
+    /// Id of the runner.
     pub id: String,
-    /// Where it answers.
+    /// Address that takes requests.
     pub address: SocketAddr,
-    /// Requests that it is thought to have.
+    /// Estimated number of requests at the runner.
     pub occupied: u32,
-    /// Requests that it works on at once.
+    /// Number of requests that the runner works on at once.
     pub slots: u32,
-    /// Tokens of the prompt that it is thought to hold.
+    /// Estimated number of prompt tokens in the runner's cache.
     pub cached: u64,
-    /// The expected time that was compared, in milliseconds.
+    /// Expected duration by which the runners were compared, in milliseconds.
     pub cost_ms: f64,
-    /// How many runners could have been chosen.
+    /// Number of runners that were eligible.
     pub candidates: usize,
 }
 
-/// What a change of a runner's entry did.
+/// The effect of a change of a runner's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A runner that wasn't known.
+    /// The runner is new, or was restarted.
     Appeared,
-    /// It is about to leave.
+    /// The runner is about to leave.
     Draining,
-    /// It is gone.
+    /// The runner is gone.
     Removed,
-    /// Nothing that matters.
+    /// Nothing of interest changed.
     Unchanged,
 }
 
-/// Logs what became of a runner.
+/// Logs a change of a runner; `line` holds the fields of the log line.
 pub fn log_change(change: &Change, line: &str) {
     let event = match change {
         Change::Appeared => Event::EndpointAppeared,
@@ -115,19 +114,19 @@
             .binary_search_by(|runner| runner.id.as_str().cmp(id))
     }
 
-    /// Finds a runner.
+    /// Finds a runner by id.
     pub fn runner(&mut self, id: &str) -> Option<&mut Runner> {
         let at = self.find(id).ok()?;
         Some(&mut self.runners[at])
     }
 
-    /// Yields all runners.
+    /// Returns all runners.
     #[must_use]
     pub fn runners(&self) -> &[Runner] {
         &self.runners
     }
 
-    /// Takes an entry in.
+    /// Adds or updates a runner's entry. `memory` is the memory of its engine in tokens.
     pub fn set(&mut self, id: &str, entry: Entry, memory: u64) -> Change {
         match self.find(id) {
             Err(at) => {
@@ -140,7 +139,7 @@
                 let restarted = runner.entry.born != entry.born;
                 let leaves = runner.entry.state == State::Ready && entry.state == State::Draining;
                 if restarted {
-                    // It knows nothing of before, nor do its caches.
+                    // A restarted process has lost its caches and all other state.
                     let reports = std::mem::take(&mut runner.peer_reports);
                     let own = runner.own_requests;
                     *runner = Runner::new(id, entry, memory);
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Takes an entry's removal in.
+    /// Removes a runner.
     pub fn remove(&mut self, id: &str) -> Change {
         match self.find(id) {
             Ok(at) => {
@@ -169,8 +168,8 @@
         }
     }
 
-    /// Notes which entries are missing in a list that was read after the key-value service had
-    /// been away; they are used a while longer.
+    /// Marks the runners that are missing in a list that was read after an outage of the key-value
+    /// service. They stay in use for a while. `listed` is sorted.
     pub fn note_missing(&mut self, listed: &[String], now: Millis) {
         for runner in &mut self.runners {
             if listed.binary_search(&runner.id).is_err() {
@@ -179,8 +178,8 @@
         }
     }
 
-    /// Removes and yields the runners that aren't listed, but for those that are still used after an
-    /// outage: they go with [`Self::remove_missing`].
+    /// Removes and returns the runners that aren't listed, except those that stay in use after an
+    /// outage: [`Self::remove_missing`] removes them. `listed` is sorted.
     pub fn remove_unlisted(&mut self, listed: &[String]) -> Vec<String> {
         let gone = |runner: &mut Runner| {
             runner.missing_since.is_none() && listed.binary_search(&runner.id).is_err()
@@ -189,7 +188,7 @@
         gone.map(|runner| runner.id).collect()
     }
 
-    /// Removes and yields the runners whose entries have been missing for too long.
+    /// Removes and returns the runners whose entries have been missing for too long.
     pub fn remove_missing(&mut self, now: Millis) -> Vec<String> {
         let gone = |runner: &mut Runner| {
             let since = runner.missing_since;
@@ -199,9 +198,9 @@
         gone.map(|runner| runner.id).collect()
     }
 
-    /// Notes how much memory the engines of each service have, which a new configuration tells.
-    /// Entries may be read before the first configuration; without this, such a runner would be
-    /// thought to hold nothing of any prompt for as long as it lives.
+    /// Sets the memory of each service's engines from a new configuration. Entries may be read
+    /// before the first configuration; without this call, such a runner would be presumed to cache
+    /// no prompts for as long as it lives.
     pub fn set_memory(&mut self, memory: impl Fn(&str) -> u64) {
         for runner in &mut self.runners {
             let memory = memory(&runner.entry.service);
@@ -209,7 +208,7 @@
         }
     }
 
-    /// Takes in what another VM tells of each runner; the tallies are in the order of runners.
+    /// Records what another VM reports of each runner; `tallies` is sorted by runner.
     pub fn note_tallies(&mut self, origin: &Origin, tallies: &[Tally], now: Millis) {
         for runner in &mut self.runners {
             let found = tallies.binary_search_by(|tally| tally.runner.cmp(&runner.id));
@@ -218,7 +217,8 @@
         }
     }
 
-    /// Yields what this VM and the origins that `speaks_for` names have at each runner.
+    /// Returns, for each runner, the sum of this VM's own figures and those from the origins that
+    /// `speaks_for` selects.
     #[must_use]
     pub fn tallies(&self, now: Millis, speaks_for: impl Fn(&Origin) -> bool) -> Vec<Tally> {
         let tally = |runner: &Runner| {
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -14,18 +14,19 @@
 use crate::fleet::PlacementRequest;
 use crate::fleet::runner::Runner;
 
-/// Milliseconds that an engine is presumed to take for a token before any runner of its service was
-/// measured: for the first second of the first VM. All runners have the same then, so that it only
-/// weighs the reading of a prompt against the way to another data centre.
+/// Presumed milliseconds a token before any runner of the service was measured, which is the first
+/// second of the first VM. It is then the same for all runners, so it only weighs prefill against
+/// the cost of another data centre.
 const DEFAULT_PACE_MS: f64 = 3.0;
-/// The same for a request of a plain service.
+/// Presumed milliseconds a request of a plain service, in the same situation.
 const DEFAULT_PLAIN_PACE_MS: f64 = 50.0;
-/// So many other VMs that hold a runner off are believed. One may have a broken way to a runner
-/// that all others reach; were none believed, each VM would lose a request to find out by itself.
+/// Number of other VMs that must hold a runner off before this VM avoids it as well. A single VM
+/// may have a broken path to a runner that all others reach. If reports were ignored, each VM would
+/// lose a request to find out by itself.
 const MIN_HOLD_OFF_REPORTS: u32 = 2;
 
 impl Fleet {
-    /// Notes a turn of a service that is placed.
+    /// Records the first part of the prompt of a turn that is being placed.
     pub fn note_demand(&mut self, service: &str, prompt: &[prefix::Part], now: Millis) {
         let Some(first) = prompt.first() else {
             return;
@@ -48,7 +49,8 @@
             .binary_search_by(|(known, _)| known.as_str().cmp(service))
     }
 
-    /// Yields the pace of the service's runners that nobody has measured.
+    /// Returns the pace that is presumed for runners of the service without measurements of their
+    /// own.
     fn median_pace(&self, request: &PlacementRequest<'_>) -> f64 {
         let of_service = self
             .runners
@@ -62,7 +64,7 @@
         pace::middle(paces, first)
     }
 
-    /// Chooses a runner; `None` where the service has none that may be used.
+    /// Chooses a runner; `None` if the service has no eligible one.
     #[must_use]
     pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<ChosenRunner> {
         let mut usable: Vec<&Runner> = self
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -1,4 +1,4 @@
-//! Which runners answer, and which are used less or tried again as they don't.
+//! Tracks which runners answer, and which are held off or probed because they don't.
 
 use wire::clock::Millis;
 
@@ -6,27 +6,27 @@
 use crate::fleet::runner::Runner;
 use crate::fleet::runner::Target;
 
-/// A runner that hasn't answered for this long is tried where others of its data centre don't
-/// answer: some times the pause between two answers of a busy runner.
+/// A runner without an answer for this long is probed when another one in its data centre doesn't
+/// answer. Several times the pause between two answers of a busy runner.
 const QUIET_AFTER: Millis = Millis::new(300);
-/// How long a runner gets nothing after a request to it broke or failed and no other was answered
-/// since: for the first one, then doubled up to [`MAX_HOLD_OFF`]. A runner that goes down and up again
-/// accepts connections while it is down, so that a connection tells nothing.
+/// How long a runner gets nothing after a request to it broke or failed, if none succeeded since.
+/// Doubles with each further one up to [`MAX_HOLD_OFF`]. A successful connection doesn't end it,
+/// because a flapping runner accepts connections while it is down.
 const FIRST_HOLD_OFF: Millis = Millis::new(250);
-/// The longest: about the time that a runner takes to be back.
+/// The longest hold-off: about the time that a runner takes to come back.
 const MAX_HOLD_OFF: Millis = Millis::new(1_000);
 
-/// Yields how long a runner gets nothing after a failure, the others before it counted that no
-/// success came between.
+/// Returns how long a runner gets nothing after a failure. `before` is the number of earlier
+/// failures since the last success.
 pub(super) fn hold_off_span(before: u32) -> Millis {
     let doubled = FIRST_HOLD_OFF.as_u64() << before.min(8);
     Millis::new(doubled).min(MAX_HOLD_OFF)
 }
 
 impl Fleet {
-    /// Notes that a connection to a runner broke or could not be made; yields where to try it again
-    /// if that is news. It gets nothing until a new connection was made: beside a partition each
-    /// request sent there would wait in vain.
+    /// Records that a connection to a runner failed or broke. Returns where to probe the runner if
+    /// it counted as reachable before. The runner gets nothing until a new connection is made: in a
+    /// partition, each request sent there would wait in vain.
     pub fn note_unreachable(&mut self, id: &str, now: Millis) -> Option<Target> {
         let runner = self.runner(id)?;
         runner.held_off_until = now.plus(hold_off_span(runner.broken_requests));
@@ -37,14 +37,14 @@
         Some(runner.target())
     }
 
-    /// Yields the runners to which no connection could be made, to try them again.
+    /// Returns the runners that are marked unreachable, to be probed again.
     #[must_use]
     pub fn unreachable(&self) -> Vec<Target> {
         let unreachable = self.runners.iter().filter(|runner| runner.unreachable);
         unreachable.map(Runner::target).collect()
     }
 
-    /// Yields the runners of a data centre that are thought reachable, but haven't answered for
+    /// Returns the runners of a data centre that count as reachable but haven't answered for
     /// [`QUIET_AFTER`].
     #[must_use]
     pub fn quiet_runners(&self, centre: &str, now: Millis) -> Vec<Target> {
--- a/crates/relay/src/fleet/load.rs
+++ b/crates/relay/src/fleet/load.rs
@@ -1,24 +1,24 @@
-//! What all runners have to do, for scrapers.
+//! Total load of the runners, for the metrics endpoint.
 
 use wire::clock::Millis;
 
 use crate::fleet::Fleet;
 
-/// What all runners have to do.
+/// Total load of the runners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// How many runners there are.
+    /// Number of runners.
     pub runners: u64,
-    /// Requests that they work on at once.
+    /// Number of requests that the runners work on at once.
     pub slots: u64,
-    /// Requests of this VM under way at them.
+    /// Requests of this VM in flight at them.
     pub own_requests: u64,
-    /// Requests of all VMs.
+    /// Requests of all VMs in flight at them.
     pub occupied: u64,
 }
 
 impl Fleet {
-    /// Sums up the runners' load, as far as this VM knows it.
+    /// Sums up the load of all runners as far as this VM knows it.
     #[must_use]
     pub fn load(&self, now: Millis) -> Load {
         let mut load = Load::default();
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -1,4 +1,4 @@
-//! One runner as this VM knows it: what it says, what others tell of it, what its answers showed.
+//! One runner as this VM knows it: its entry, reports from other VMs, and what its answers showed.
 
 use std::net::SocketAddr;
 
@@ -17,64 +17,65 @@
 use crate::fleet::health;
 use crate::tally::PeerReports;
 
-/// Prompt tokens that an engine reads in the time in which it generates one: about the same at fast
-/// and slow engines, as both times are made of the same arithmetic.
+/// Prompt tokens that an engine reads in the time in which it generates one token. The ratio is
+/// about the same for fast and slow engines, because both times come from the same arithmetic.
 const PREFILL_TOKENS_PER_GENERATED: f64 = 220.0;
-/// All of a runner's slots may be used; what fails is held off whole.
+/// Share of a runner's slots that may be used: all of them, because a failing runner is held off
+/// entirely.
 const FULL_SHARE: f64 = 1.0;
-/// How long a runner gets nothing after another one answered at its address: until its entry is
-/// gone from the list, as a rule.
+/// How long a runner gets no requests after a different one answered at its address. By then its
+/// entry is usually gone from the list.
 const ADDRESS_TAKEN_PAUSE: Millis = Millis::new(1_000);
-/// How long a runner is passed over after it turned a request away as full: about the time in
-/// which one of its requests ends.
+/// How long a runner counts as full after it refused a request as full. About the time in which one
+/// of its requests ends.
 const FULL_PAUSE: Millis = Millis::new(40);
-/// How long a runner's own count of its requests holds: a fraction of the time that one takes.
+/// How long the load that a runner reported is valid: a fraction of the duration of a request.
 const REPORTED_LOAD_MAX_AGE: Millis = Millis::new(120);
 
-/// A runner.
+/// A runner and its state as known to this VM.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Its id, which no other runner ever has.
+    /// Id of the runner, which is never reused for another one.
     pub id: String,
-    /// What it says of itself.
+    /// The entry that the runner wrote.
     pub entry: Entry,
-    /// Requests of this VM under way at it.
+    /// Requests of this VM in flight at the runner.
     pub own_requests: u32,
-    /// What other VMs told of it.
+    /// What other VMs reported of the runner.
     pub(super) peer_reports: PeerReports,
-    /// What it said of its load last.
+    /// The load that the runner reported last, and when.
     pub(super) load: Option<(Load, Millis)>,
-    /// Stands for its id where runners are ranked.
+    /// Hash of the id, by which runners are ranked.
     pub(super) id_hash: u64,
-    /// Its engine's memory in tokens; 0 for plain services.
+    /// Memory of its engine in tokens; 0 for plain services.
     pub(super) memory_tokens: u64,
     pub(super) prompt_cache: Cache,
-    /// Milliseconds a token; for plain services, a request.
+    /// Milliseconds a token; milliseconds a request for plain services.
     pub(super) pace: Mean,
-    /// No connection to it could be made, or one broke, and none has been made since.
+    /// A connection failed or broke, and none has been made since.
     pub(super) unreachable: bool,
-    /// Requests to it that broke since one was answered last.
+    /// Requests to the runner that broke since its last answer.
     pub(super) broken_requests: u32,
     pub(super) held_off_until: Millis,
-    /// Requests that it failed since it did one well last.
+    /// Requests that the runner failed since its last success.
     pub(super) failed_requests: u32,
     pub(super) avoided_until: Millis,
-    /// When an answer of its came last, or a connection was made beside the traffic.
+    /// Time of its last answer or of the last connection made by a probe.
     pub(super) last_contact: Millis,
     pub(super) address_taken_until: Millis,
     pub(super) full_until: Millis,
-    /// Its entry was missing when the key-value service came back.
+    /// When the runner's entry was found missing after an outage of the key-value service.
     pub(super) missing_since: Option<Millis>,
 }
 
-/// Where a runner is tried beside the traffic.
+/// Address of a runner to probe, independently of requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its id.
+    /// Id of the runner.
     pub id: String,
-    /// Where it answers.
+    /// Address that takes requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the runner.
     pub centre: String,
 }
 
@@ -114,8 +115,8 @@
     pub(super) fn candidate(&self, request: &PlacementRequest<'_>, median_pace: f64) -> Candidate {
         let (others, _) = self.peer_reports.all(request.now);
         let known = self.own_requests + others;
-        // What the runner said just now counts where it is more than is known here: another VM that
-        // can't be heard has requests at it, too.
+        // The runner's own report counts if it is higher than what is known here: another VM that
+        // can't reach this one has requests there, too.
         let told = self
             .load
             .filter(|(_, at)| request.now.since(*at) < REPORTED_LOAD_MAX_AGE);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Notes how much memory its engine has, which a configuration tells.
+    /// Sets the memory of the runner's engine, which the configuration tells.
     pub(super) fn set_memory(&mut self, memory: u64) {
         if self.memory_tokens != memory {
             self.memory_tokens = memory;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Notes that a prompt goes to the runner.
+    /// Records that a prompt is being sent to the runner.
     pub fn note_prompt(&mut self, prompt: &[prefix::Part], now: Millis) {
         self.prompt_cache.note(prompt, now);
     }
@@ -166,54 +167,55 @@
         }
     }
 
-    /// Notes the load that an answer told.
+    /// Records the load reported with an answer.
     pub fn note_load(&mut self, load: Load, now: Millis) {
         self.load = Some((load, now));
     }
 
-    /// Notes that an answer came.
+    /// Records that an answer came.
     pub fn note_answer(&mut self, now: Millis) {
         self.last_contact = now;
         self.broken_requests = 0;
         self.held_off_until = Millis::ZERO;
     }
 
-    /// Tells whether this VM holds the runner off, as requests to it broke.
+    /// Returns whether this VM holds the runner off because requests to it broke.
     pub(super) fn is_held_off(&self, now: Millis) -> bool {
         self.held_off_until > now
     }
 
-    /// Notes that a connection was made; tells whether that is news.
+    /// Records that a connection was made. Returns whether the runner was unreachable before.
     pub fn note_reachable(&mut self, now: Millis) -> bool {
         self.last_contact = now;
         std::mem::replace(&mut self.unreachable, false)
     }
 
-    /// Notes that another runner has its address.
+    /// Records that a different runner answered at the address.
     pub fn note_address_taken(&mut self, now: Millis) {
         self.address_taken_until = now.plus(ADDRESS_TAKEN_PAUSE);
     }
 
-    /// Notes that the runner turned a request away.
+    /// Records that the runner refused a request as full.
     pub fn note_full(&mut self, now: Millis) {
         self.full_until = now.plus(FULL_PAUSE);
     }
 
-    /// Notes that the runner answered a request with a failure of its own, or broke its answer off.
+    /// Records that the runner answered a request with an error of its own, or broke its answer
+    /// off.
     ///
-    /// One that fails at once has nothing under way. Without a pause it is the idle one for every
-    /// request, and callers get nothing but failures from then on.
+    /// A runner that fails at once has nothing in flight. Without a pause it would look idle to
+    /// every request, and callers would get only errors from then on.
     pub fn note_failed(&mut self, now: Millis) {
         self.avoided_until = now.plus(health::hold_off_span(self.failed_requests));
         self.failed_requests += 1;
     }
 
-    /// Tells whether the runner gets nothing while there are others, as it failed requests.
+    /// Returns whether the runner is used only if there is no other, because it failed requests.
     pub(super) fn is_avoided(&self, now: Millis) -> bool {
         self.avoided_until > now
     }
 
-    /// Notes that a request of so many tokens (1 for a plain service) took `span` at the runner.
+    /// Records that a request of `tokens` tokens (1 for a plain service) took `span` at the runner.
     #[expect(
         clippy::cast_precision_loss,
         reason = "token counts and spans are far below 2^52"
--- a/crates/relay/src/fleet/tests.rs
+++ b/crates/relay/src/fleet/tests.rs
@@ -78,20 +78,21 @@
     }
 }
 
-/// The load: long prompts of which nearly all was read somewhere before. Without the preference a
-/// turn reads 13,000 tokens again, some 60 ms in which every other stream there stands still.
+/// Long prompts, most of which some runner has read before. Without the preference for that runner,
+/// a turn would read 13,000 tokens again, which stalls all other streams of its runner for some 60
+/// ms.
 #[test]
-fn a_turn_goes_where_its_prompt_was_read() {
+fn turn_goes_to_the_runner_with_its_prompt_cached() {
     let mut fleet = fleet(6);
     fleet.runner("i-4").unwrap().note_prompt(&PROMPT, NOW);
     let chosen = fleet.choose(&request(&[])).unwrap();
     assert_eq!((chosen.id.as_str(), chosen.cached), ("i-4", 13_000));
 }
 
-/// The load: other VMs have filled the runner that has the prompt. Waiting for a slot there takes
+/// Other VMs have filled the runner that has the prompt cached. Waiting for a slot there takes
 /// longer than reading the prompt elsewhere.
 #[test]
-fn others_requests_count_as_much_as_own() {
+fn requests_of_other_vms_count_like_own_ones() {
     let mut fleet = fleet(6);
     fleet.runner("i-4").unwrap().note_prompt(&PROMPT, NOW);
     fleet.note_tallies(&vm("front-b"), &[tally("i-4", 40, 0)], NOW);
@@ -103,40 +104,43 @@
     assert_eq!(
         fleet.choose(&later).unwrap().id,
         "i-4",
-        "an old count holds no longer"
+        "an old report no longer counts"
     );
 }
 
 #[rstest]
-#[case::leaving(|fleet: &mut Fleet| {
+#[case::draining(|fleet: &mut Fleet| {
     assert_eq!(fleet.set("i-0", entry(State::Draining), 0), Change::Draining);
 })]
 #[case::unreachable(|fleet: &mut Fleet| assert!(fleet.note_unreachable("i-0", NOW).is_some()))]
-#[case::elsewhere(|fleet: &mut Fleet| fleet.runner("i-0").unwrap().note_address_taken(NOW))]
-#[case::gone(|fleet: &mut Fleet| assert_eq!(fleet.remove("i-0"), Change::Removed))]
-fn a_runner_that_takes_nothing_gets_nothing(#[case] play: fn(&mut Fleet)) {
+#[case::address_taken(|fleet: &mut Fleet| fleet.runner("i-0").unwrap().note_address_taken(NOW))]
+#[case::removed(|fleet: &mut Fleet| assert_eq!(fleet.remove("i-0"), Change::Removed))]
+fn ineligible_runner_gets_no_requests(#[case] change: fn(&mut Fleet)) {
     let mut fleet = fleet(1);
     assert!(fleet.choose(&request(&[])).is_some());
-    play(&mut fleet);
+    change(&mut fleet);
     assert!(fleet.choose(&request(&[])).is_none());
 }
 
-/// A partition hides a runner, and goes away. Requests must not be spent on finding that out: the
-/// runner is used again once a connection was made beside the traffic.
+/// A partition hides a runner and then ends. Requests must not be spent on finding that out: the
+/// runner is used again once a probe has connected.
 #[test]
-fn an_unreachable_runner_is_used_again_after_a_connection() {
+fn unreachable_runner_is_used_again_after_a_connection() {
     let mut fleet = fleet(1);
     assert!(fleet.note_unreachable("i-0", NOW).is_some());
     assert!(
         fleet.note_unreachable("i-0", NOW).is_none(),
-        "it is news only once"
+        "it was unreachable already"
     );
     assert_eq!(fleet.unreachable().len(), 1);
     assert!(fleet.runner("i-0").unwrap().note_reachable(NOW));
     assert!(!fleet.runner("i-0").unwrap().note_reachable(NOW));
-    assert!(fleet.choose(&request(&[])).is_none(), "held off");
+    assert!(
+        fleet.choose(&request(&[])).is_none(),
+        "it is still held off"
+    );
     assert!(fleet.unreachable().is_empty());
-    // Two broken one after the other hold it off for twice the first span.
+    // A second break in a row holds the runner off for twice the first span.
     let later = PlacementRequest {
         now: NOW.plus(Millis::new(500)),
         ..request(&[])
@@ -144,10 +148,10 @@
     assert!(fleet.choose(&later).is_some());
 }
 
-/// The key-value service was away and its entries lapsed meanwhile. A runner that lives is back in
-/// the list within two seconds; one that isn't is gone.
+/// The key-value service was unavailable and the runners' entries lapsed meanwhile. A running
+/// runner is back in the list within two seconds; a runner that isn't back by then is gone.
 #[test]
-fn an_entry_that_lapsed_in_an_outage_holds_for_a_while() {
+fn entry_that_lapsed_in_an_outage_is_used_for_a_while() {
     let mut fleet = fleet(2);
     fleet.note_missing(&["i-0".to_owned()], NOW);
     assert!(
@@ -165,10 +169,10 @@
     );
 }
 
-/// A runner starts again under its id. It holds nothing of before, so nothing is sent there for
-/// the sake of its cache; requests under way still count until they end.
+/// A runner restarts under its id. Its cache is empty, so no request is sent there for the sake of
+/// the cache. Requests in flight still count until they end.
 #[test]
-fn a_runner_that_starts_anew_holds_nothing() {
+fn restarted_runner_has_an_empty_cache() {
     let mut fleet = fleet(2);
     let runner = fleet.runner("i-0").unwrap();
     runner.note_prompt(&PROMPT, NOW);
@@ -189,16 +193,16 @@
 }
 
 #[test]
-fn a_request_goes_to_none_that_turned_it_away() {
+fn request_is_not_sent_again_to_a_runner_that_refused_it() {
     let fleet = fleet(2);
     let chosen = fleet.choose(&request(&["i-0".to_owned()])).unwrap();
     assert_eq!((chosen.id.as_str(), chosen.candidates), ("i-1", 1));
 }
 
-/// Another VM that can't be heard has filled a runner. What the runner said of itself a moment ago
-/// keeps this VM from sending there as well.
+/// Another VM that can't be reached has filled a runner. The load that the runner itself just
+/// reported keeps this VM from sending requests there as well.
 #[test]
-fn what_a_runner_just_said_of_its_load_counts() {
+fn load_just_reported_by_a_runner_counts() {
     let mut fleet = fleet(2);
     let runner = fleet.runner("i-0").unwrap();
     runner.note_prompt(&PROMPT, NOW);
@@ -220,7 +224,7 @@
 /// answer comes. Its caller learns that the outcome is unknown, and its program ends. A runner
 /// nearby would have answered.
 #[test]
-fn a_call_that_may_run_once_stays_near_while_a_runner_is_free_there() {
+fn at_most_once_call_stays_in_its_data_centre_while_a_runner_is_free() {
     let mut fleet = Fleet::default();
     for (id, centre) in [("i-0", "b"), ("i-1", "a"), ("i-2", "b")] {
         let entry = Entry {
@@ -239,86 +243,92 @@
     for salt in 0..16 {
         let chosen = fleet
             .choose(&PlacementRequest { salt, ..request })
-            .expect("three are there");
+            .expect("three runners are known");
         assert_eq!(chosen.id, "i-1");
     }
-    fleet.runner("i-1").expect("it is there").own_requests = 40;
-    let chosen = fleet.choose(&request).expect("three are there");
+    fleet
+        .runner("i-1")
+        .expect("the runner is known")
+        .own_requests = 40;
+    let chosen = fleet.choose(&request).expect("three runners are known");
     assert_ne!(chosen.id, "i-1");
 }
 
-/// One runner of a data centre doesn't answer. Those around it that haven't answered lately are
-/// tried beside the traffic, so that no request has to find out; those of other data centres and
-/// those that just answered aren't.
+/// One runner of a data centre doesn't answer. The other runners there without a recent answer are
+/// probed, so that no request has to find out. Those of other data centres and those that just
+/// answered aren't.
 #[test]
-fn runners_around_an_unreachable_one_are_tried() {
+fn quiet_runners_beside_an_unreachable_one_are_probed() {
     let mut fleet = fleet(4);
-    let far = Entry {
+    let remote = Entry {
         centre: "b".to_owned(),
         ..entry(State::Ready)
     };
-    fleet.set("i-3", far, ENGINE.memory_tokens);
-    fleet.runner("i-1").expect("it is there").note_answer(NOW);
-    let lost = fleet
+    fleet.set("i-3", remote, ENGINE.memory_tokens);
+    fleet
+        .runner("i-1")
+        .expect("the runner is known")
+        .note_answer(NOW);
+    let unreachable = fleet
         .note_unreachable("i-0", NOW)
         .expect("it was reachable");
-    let around = fleet.quiet_runners(&lost.centre, NOW.plus(Millis::new(100)));
-    let ids: Vec<&str> = around.iter().map(|target| target.id.as_str()).collect();
+    let quiet = fleet.quiet_runners(&unreachable.centre, NOW.plus(Millis::new(100)));
+    let ids: Vec<&str> = quiet.iter().map(|target| target.id.as_str()).collect();
     assert_eq!(ids, ["i-2"]);
 }
 
-/// A runner's entry is read before the first configuration, so its memory isn't known. Once it is,
-/// turns go back to the runner that holds their prompt.
+/// A runner's entry is read before the first configuration, so the memory of its engine is unknown.
+/// Once it is known, turns go back to the runner that has their prompt cached.
 #[test]
-fn a_runner_read_before_the_configuration_is_known_to_hold_prompts() {
+fn runner_read_before_the_configuration_is_known_to_cache_prompts() {
     let mut fleet = Fleet::default();
     fleet.set("i-0", entry(State::Ready), 0);
     fleet.set_memory(|_| ENGINE.memory_tokens);
-    let runner = fleet.runner("i-0").expect("it is there");
+    let runner = fleet.runner("i-0").expect("the runner is known");
     runner.note_prompt(&PROMPT, NOW);
-    let chosen = fleet.choose(&request(&[])).expect("it is there");
+    let chosen = fleet.choose(&request(&[])).expect("the runner is known");
     assert_eq!(chosen.cached, 13_000);
 }
 
-/// A runner goes down and up by turns, and accepts connections while it is down. Each VM would lose
-/// some requests there each time, and calls that may run once are lost with their programs. Two VMs
-/// that hold it off are believed; one alone may have a broken way.
+/// A flapping runner accepts connections while it is down. Each VM would lose some requests there
+/// each time, and calls that may run once are lost together with their programs. Two VMs that hold
+/// it off suffice for a third one to avoid it; a single VM may just have a broken path.
 #[test]
-fn a_runner_that_others_hold_off_gets_nothing_while_there_are_others() {
+fn runner_held_off_by_two_other_vms_is_avoided() {
     let mut fleet = fleet(2);
     fleet.note_tallies(&vm("front-b"), &[tally("i-0", 0, 1)], NOW);
-    let chosen = |fleet: &Fleet| {
-        let ids = (0..16).filter_map(|salt| {
+    let count_chosen = |fleet: &Fleet| {
+        let choices = (0..16).filter_map(|salt| {
             fleet.choose(&PlacementRequest {
                 salt,
                 ..request(&[])
             })
         });
-        ids.filter(|chosen| chosen.id == "i-0").count()
+        choices.filter(|chosen| chosen.id == "i-0").count()
     };
-    assert!(chosen(&fleet) > 0);
+    assert!(count_chosen(&fleet) > 0);
     fleet.note_tallies(&vm("front-c"), &[tally("i-0", 0, 1)], NOW);
-    assert_eq!(chosen(&fleet), 0);
+    assert_eq!(count_chosen(&fleet), 0);
     fleet.remove("i-1");
-    assert_eq!(chosen(&fleet), 16, "it is the last one");
+    assert_eq!(count_chosen(&fleet), 16, "it is the only one left");
 }
 
-/// Requests to a runner break one after the other. It is held off longer each time, until one is
-/// answered, and other VMs are told.
+/// Requests to a runner break one after the other. It is held off longer each time until it answers
+/// one, and other VMs learn of the hold-off.
 #[test]
-fn a_runner_whose_requests_break_is_held_off_longer_each_time() {
+fn hold_off_grows_with_each_broken_request() {
     let mut fleet = fleet(1);
     let mut now = NOW;
-    for span in [250, 500, 1_000, 1_000] {
+    for span_ms in [250, 500, 1_000, 1_000] {
         fleet.note_unreachable("i-0", now);
         fleet
             .runner("i-0")
-            .expect("it is there")
+            .expect("the runner is known")
             .note_reachable(now);
         assert_eq!(fleet.tallies(now, |_| false), [tally("i-0", 0, 1)]);
-        now = now.plus(Millis::new(span));
-        let early = now.since(Millis::new(1));
-        let asked = |now| {
+        now = now.plus(Millis::new(span_ms));
+        let just_before = now.since(Millis::new(1));
+        let is_used = |now| {
             fleet
                 .choose(&PlacementRequest {
                     now,
@@ -326,14 +336,17 @@
                 })
                 .is_some()
         };
-        assert!(!asked(early));
-        assert!(asked(now));
+        assert!(!is_used(just_before));
+        assert!(is_used(now));
     }
-    fleet.runner("i-0").expect("it is there").note_answer(now);
+    fleet
+        .runner("i-0")
+        .expect("the runner is known")
+        .note_answer(now);
     fleet.note_unreachable("i-0", now);
     fleet
         .runner("i-0")
-        .expect("it is there")
+        .expect("the runner is known")
         .note_reachable(now);
     now = now.plus(Millis::new(250));
     assert!(
@@ -346,14 +359,14 @@
     );
 }
 
-/// A runner answers with failures of its own, at once, and is idle for every next request. It gets
-/// nothing while another one is there; where all fail, as for a request that fails everywhere, they
-/// are used all the same, and callers see what the runners say.
+/// A runner answers with errors of its own at once, and so looks idle to every next request. It
+/// gets nothing while there is another runner. If all runners fail, as for a request that fails
+/// everywhere, they are still used, and callers see the runners' errors.
 #[test]
-fn a_runner_that_fails_gets_nothing_while_there_are_others() {
+fn failing_runner_is_avoided_while_there_are_others() {
     let mut fleet = fleet(2);
-    let chosen = |fleet: &Fleet, now| {
-        let ids = (0..16).filter_map(|salt| {
+    let count_chosen = |fleet: &Fleet, now| {
+        let choices = (0..16).filter_map(|salt| {
             let request = request(&[]);
             fleet.choose(&PlacementRequest {
                 salt,
@@ -361,38 +374,46 @@
                 ..request
             })
         });
-        ids.filter(|chosen| chosen.id == "i-0").count()
+        choices.filter(|chosen| chosen.id == "i-0").count()
     };
     let mut now = NOW;
-    for span in [250, 500, 1_000, 1_000] {
+    for span_ms in [250, 500, 1_000, 1_000] {
         fail(&mut fleet, "i-0", now);
-        now = now.plus(Millis::new(span));
-        assert_eq!(chosen(&fleet, now.since(Millis::new(1))), 0);
-        assert!(chosen(&fleet, now) > 0);
+        now = now.plus(Millis::new(span_ms));
+        assert_eq!(count_chosen(&fleet, now.since(Millis::new(1))), 0);
+        assert!(count_chosen(&fleet, now) > 0);
     }
     fail(&mut fleet, "i-0", now);
     fail(&mut fleet, "i-1", now);
-    assert!(chosen(&fleet, now) > 0, "all of them fail");
-    let runner = fleet.runner("i-0").expect("it is there");
+    assert!(
+        count_chosen(&fleet, now) > 0,
+        "all of them fail, so they are used"
+    );
+    let runner = fleet.runner("i-0").expect("the runner is known");
     runner.note_success(100, Millis::new(500), now);
     fail(&mut fleet, "i-0", now);
     now = now.plus(Millis::new(250));
-    assert!(chosen(&fleet, now) > 0, "a success forgives the failures");
+    assert!(
+        count_chosen(&fleet, now) > 0,
+        "a success resets the hold-off"
+    );
 }
 
 fn fail(fleet: &mut Fleet, id: &str, now: Millis) {
-    let runner = fleet.runner(id).expect("it is there");
+    let runner = fleet.runner(id).expect("the runner is known");
     runner.note_failed(now);
 }
 
-/// The load: a burst in which a runner is replaced. Its engines are three times slower than others
-/// that the system has served. Taken for a fast one until it is measured, the new runner would get
-/// every turn of the burst, until it held several times what the others do.
+/// A runner is replaced during a burst. Its engines are three times slower than others that the
+/// system has served. If it were presumed fast until it is measured, the new runner would get every
+/// turn of the burst, until it had several times as many as the others.
 #[test]
-fn a_runner_that_appears_in_a_burst_gets_its_share() {
+fn runner_that_appears_in_a_burst_gets_its_share() {
     let mut fleet = fleet(6);
     for at in 0..6 {
-        let runner = fleet.runner(&format!("i-{at}")).expect("it is there");
+        let runner = fleet
+            .runner(&format!("i-{at}"))
+            .expect("the runner is known");
         for _ in 0..8 {
             runner.note_success(100, Millis::new(500), NOW);
         }
@@ -404,9 +425,15 @@
             salt,
             ..request(&[])
         };
-        let chosen = fleet.choose(&burst).expect("there are runners");
-        fleet.runner(&chosen.id).expect("it is there").own_requests += 1;
+        let chosen = fleet.choose(&burst).expect("seven runners are known");
+        fleet
+            .runner(&chosen.id)
+            .expect("the runner is known")
+            .own_requests += 1;
     }
-    let new = fleet.runner("i-new").expect("it is there").own_requests;
+    let new = fleet
+        .runner("i-new")
+        .expect("the runner is known")
+        .own_requests;
     assert!((3..=12).contains(&new), "{new} of 42 at one of seven");
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,6 +1,6 @@
-//! Follows what the operators and the runners write into the key-value service.
+//! Follows the keys that operators and runners write into the key-value service.
 //!
-//! What to call next and how long to wait is decided in [`step`]; here are the calls.
+//! [`step`] decides on the next call and on the pauses; this module makes the calls.
 
 mod outage;
 pub mod step;
--- a/crates/relay/src/follow/outage.rs
+++ b/crates/relay/src/follow/outage.rs
@@ -1,4 +1,5 @@
-//! Whether the key-value service answers: for the log, and for the pause before the next call.
+//! Tracks whether the key-value service answers, for the log and for the pause before the next
+//! call.
 
 use std::time::Duration;
 
@@ -8,18 +9,19 @@
 use crate::node::Node;
 use crate::subject::Subject;
 
-/// The longest pause after failed calls for the system's own keys, and for VMs that read the runners
-/// only as the one that does it for them doesn't; so many at once would keep the service busy with
-/// refusals.
+/// The longest pause after failed calls for the system's own keys, and for VMs that read the
+/// runners only because the reader doesn't. So many VMs retrying at once would keep the service
+/// busy with refusals.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
-/// The longest pause after failed calls for the configuration: under a third of the time in which
-/// one has to be in force, and long enough that VMs which the service turns away don't keep it busy.
+/// The longest pause after failed calls for the configuration. Under a third of the time in which a
+/// configuration has to be in force, and long enough that VMs refused by the service don't keep it
+/// busy.
 const MAX_CONFIG_RETRY_PAUSE: Duration = Duration::from_millis(600);
-/// The pause after a failed call, below a tenth of the time in which a configuration has to be in
-/// force.
+/// The pause after the first failed call. Below a tenth of the time in which a configuration has to
+/// be in force.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// The calls that have failed since one was answered.
+/// Number of failed calls since the last answer.
 #[derive(Debug, Default)]
 pub(super) struct Outage {
     failures: u32,
@@ -49,7 +51,7 @@
         self.failures += 1;
     }
 
-    /// Yields how long to wait before the next call.
+    /// Returns how long to wait before the next call.
     pub(super) fn pause(&self, subject: Subject, node: &Node) -> Duration {
         let now = node.clock.now();
         let is_reader = node.peers().is_reader(&node.settings.vm, now);
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -1,4 +1,4 @@
-//! Which call of the key-value service comes next for a subject, and after which pause.
+//! Decides which call of the key-value service comes next for a subject, and after which pause.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use crate::subject::Subject;
 use crate::take;
 
-/// The pause between two watches of the runners. Their entries change at each heartbeat, so that a
-/// watch returns at once; the pause gathers changes, and keeps a leaving runner from being used
-/// for longer than a fifth of the time that is allowed.
+/// The pause between two watches of the runners. Their entries change at each heartbeat, so a watch
+/// returns at once. The pause batches changes, and is short enough to delay the news of a leaving
+/// runner by at most a fifth of the allowed time.
 const WATCH_PAUSE: Duration = Duration::from_millis(400);
-/// By how many VMs the pause between two watches of the system's own keys grows by [`WATCH_PAUSE`]. Each
-/// VM that starts writes a key, which every other VM's watch returns for, so that a restart of all
-/// costs calls by the square of their number. What these keys tell isn't urgent, as members with a
-/// disk tell a new list themselves.
+/// Number of VMs by which the pause between two watches of the system's own keys grows by another
+/// [`WATCH_PAUSE`]. Each VM that starts writes a key, for which the watches of all other VMs
+/// return, so a restart of all VMs costs calls by the square of their number. These keys aren't
+/// urgent, because VMs with a disk announce a new list of members themselves.
 const VMS_PER_OWN_PAUSE: u32 = 8;
 
-/// How far the knowledge of a subject is.
+/// Follows one subject as a state machine, without making the calls.
 #[derive(Debug)]
 pub struct Follower {
     subject: Subject,
@@ -35,31 +35,31 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Where to learn is to be decided.
+    /// It is open where to learn of the subject.
     Decide,
-    /// All entries are asked for.
+    /// All entries are being requested.
     List(Source),
-    /// Changes after a revision are to be asked for.
+    /// Changes after a revision are to be requested.
     Watch(u64),
-    /// Changes up to a revision have been taken in.
+    /// Changes up to a revision have been applied.
     Watched(u64),
     /// A watch broke off.
     Broken,
 }
 
-/// What is to be done next.
+/// The next action of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Wait.
     Pause(Duration),
-    /// Ask for all entries.
+    /// Request all entries.
     List(Freshness),
-    /// Ask for the changes after a revision.
+    /// Request the changes after a revision.
     Watch(u64),
 }
 
 impl Follower {
-    /// Makes one that knows nothing yet.
+    /// Creates a follower that knows nothing yet.
     #[must_use]
     pub fn new(subject: Subject) -> Self {
         Self {
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Yields what is followed.
+    /// Returns the followed subject.
     #[must_use]
     pub const fn subject(&self) -> Subject {
         self.subject
     }
 
-    /// Yields what is to be done next.
+    /// Returns the next action.
     pub fn step(&mut self, node: &Node) -> Step {
         match self.phase {
             Phase::Decide => self.decide(node),
@@ -101,7 +101,7 @@
         Step::List(source.freshness())
     }
 
-    /// Takes the answer to [`Step::List`] in; yields how long to wait before the next step.
+    /// Applies the answer to [`Step::List`]. Returns how long to wait before the next step.
     pub fn listed(&mut self, node: &Arc<Node>, listed: edge::Result<Listing>) -> Duration {
         let Phase::List(source) = self.phase else {
             return Duration::ZERO;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes the answer to [`Step::Watch`] in; yields how long to wait before the next step.
+    /// Applies the answer to [`Step::Watch`]. Returns how long to wait before the next step.
     pub fn watched(&mut self, node: &Arc<Node>, news: edge::Result<News>) -> Duration {
         let Phase::Watch(revision) = self.phase else {
             return Duration::ZERO;
@@ -147,7 +147,7 @@
             }
             Err(fault) => {
                 let pause = self.failed(node, &fault);
-                // What is listed tells more than a watch that may have been cut for long.
+                // A full list tells more than a watch that may have been interrupted for long.
                 if self.outage.has_failed_repeatedly() {
                     self.phase = Phase::Broken;
                 }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Yields the pause between two watches, of which the first has been answered.
+    /// Returns the pause after a watch that was answered.
     fn watch_pause(&self, node: &Node) -> Duration {
         match self.subject {
             Subject::Runners => {
@@ -168,12 +168,12 @@
         }
     }
 
-    /// Notes that the service has answered, and that what is known is current.
+    /// Records that the service answered and, for the configuration, that it is current.
     fn answered(&mut self, node: &Node) {
         self.outage.answered(self.subject);
         match self.subject {
             Subject::Config => node.note_config_current(node.clock.now()),
-            // A list of the runners may be older than what others told.
+            // The list of runners may be older than what other VMs sent.
             Subject::Runners | Subject::Own => {}
         }
     }
@@ -185,7 +185,7 @@
     }
 }
 
-/// Yields the pause between two reads of the system's own keys.
+/// Returns the pause between two reads of the system's own keys.
 fn own_pause(node: &Node) -> Duration {
     let vms = u32::try_from(node.peers().count()).unwrap_or(u32::MAX);
     WATCH_PAUSE * (1 + vms / VMS_PER_OWN_PAUSE)
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,10 +1,10 @@
-//! The door for plain requests: any method and path, whole bodies passed on untouched.
+//! Serves requests of any method and path and passes whole bodies on unmodified.
 //!
-//! The VM that a client reached routes the request, sets the program's tokens aside, puts a kept
-//! history before the input, places the request and calls the runner itself. Nothing of a request
-//! is journaled in the platform's key-value service: no other VM ever gets the same attempt, so
-//! running it at most once is one process's memory; what has to last (kept turns, tokens spent) is
-//! replicated over the VMs with a disk (crate `replica`).
+//! The VM that a client connects to does all the work of a request: it routes the request, reserves
+//! tokens of the program's budget, prepends the stored history to the input, chooses a runner and
+//! calls it. No request is journaled in the platform's key-value service: no other VM ever gets the
+//! same attempt, so the memory of one process suffices to run it at most once. State that has to
+//! last (stored turns, spent tokens) is replicated to the VMs with a disk (crate `replica`).
 
 pub mod account;
 pub mod answer;
--- a/crates/relay/src/memory.rs
+++ b/crates/relay/src/memory.rs
@@ -1,11 +1,11 @@
-//! The memory of the process, as the kernel counts it.
+//! Memory of the process as reported by the kernel.
 
 use std::fs;
 
-/// Bytes in the kernel's unit.
+/// The unit in which the kernel reports sizes, in bytes.
 const KIB: u64 = 1024;
 
-/// Yields the process's memory in bytes; zero where the kernel doesn't tell it.
+/// Returns the resident memory of the process in bytes, or zero if the kernel doesn't report it.
 #[must_use]
 pub fn resident() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -11,10 +11,10 @@
 use wire::clock::Millis;
 use wire::code::Code;
 
-/// The longest span that a histogram tells apart, in milliseconds: an hour.
+/// The longest recordable latency in milliseconds: one hour. Longer ones count as this.
 const MAX_LATENCY_MS: u64 = 3_600_000;
 
-/// Declares what is counted or timed: a name for scrapers and an explanation each.
+/// Declares an enum of metrics, each with its exported name and help text.
 macro_rules! figures {
     ($(#[$doc:meta])* $kind:ident: $($name:ident = $text:literal, $help:literal;)*) => {
         $(#[$doc])*
@@ -22,16 +22,16 @@
         pub enum $kind { $(#[doc = $help] $name,)* }
 
         impl $kind {
-            /// Every one, in the order of their declaration.
+            /// All variants in the order of their declaration.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Yields its name.
+            /// Returns the exported name.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
 
-            /// Yields what it tells.
+            /// Returns the help text.
             #[must_use]
             pub const fn help(self) -> &'static str {
                 match self { $(Self::$name => $help,)* }
@@ -41,7 +41,7 @@
 }
 
 figures! {
-    /// What is counted.
+    /// A counter.
     Counter:
     Requests = "requests", "requests whose headers were read";
     Retried = "attempts_retried", "attempts after the first of a request";
@@ -56,7 +56,7 @@
 }
 
 figures! {
-    /// How a request ends; counted by its kind.
+    /// The outcome of a request, counted by the kind of the request.
     Outcome:
     Answered = "requests_answered", "answers of runners that were passed on";
     Refused = "requests_refused", "requests refused by the system that had not run";
@@ -65,7 +65,7 @@
 }
 
 figures! {
-    /// Why a stream ended before it was whole.
+    /// Why a stream ended early.
     Break:
     Runner = "runner", "its runner broke off";
     Late = "late", "its time was over";
@@ -73,7 +73,7 @@
 }
 
 figures! {
-    /// What is timed.
+    /// A measured latency.
     Latency:
     Wait = "wait_ms", "from a request's arrival until it is sent to the runner that answers it";
     Prepare = "prepare_ms", "from a turn's arrival until its history and tokens are there";
@@ -83,7 +83,8 @@
     StoreCall = "platform_call_ms", "how long a call of the platform's key-value service took";
 }
 
-/// The kinds of requests, `None` for one that was refused before it had a route, with their labels.
+/// The kinds of requests with their labels; `None` is a request that was refused before it had a
+/// route.
 const KINDS: [(Option<Kind>, &str); 4] = [
     (Some(Kind::Stream), "stream"),
     (Some(Kind::Idempotent), "idempotent"),
@@ -91,19 +92,19 @@
     (None, "unrouted"),
 ];
 
-/// What refusals are counted as.
+/// Name and help of the refusal counters.
 const REFUSALS: (&str, &str) = ("refusals", "refusals by result code");
-/// What broken streams are counted as.
+/// Name and help of the counters of broken streams.
 const BREAKS: (&str, &str) = (
     "streams_broken",
     "streams that ended before they were whole",
 );
 
-/// All figures of a process.
+/// All metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     counters: Vec<AtomicU64>,
-    /// By outcome, and for each by kind.
+    /// Indexed by outcome, then by kind.
     outcomes: Vec<AtomicU64>,
     refusals: Vec<AtomicU64>,
     breaks: Vec<AtomicU64>,
@@ -131,23 +132,23 @@
 }
 
 impl Metrics {
-    /// Adds one.
+    /// Increments a counter.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Adds some.
+    /// Adds `amount` to a counter.
     pub fn add(&self, counter: Counter, amount: u64) {
         self.counters[counter as usize].fetch_add(amount, Ordering::Relaxed);
     }
 
-    /// Yields a counter's value.
+    /// Returns the value of a counter.
     #[must_use]
     pub fn value(&self, counter: Counter) -> u64 {
         self.counters[counter as usize].load(Ordering::Relaxed)
     }
 
-    /// Counts the end of a request of a kind; `None` where it had no route yet.
+    /// Counts the outcome of a request of a kind; `None` if it had no route yet.
     pub fn count_outcome(&self, kind: Option<Kind>, outcome: Outcome) {
         let kind_index = KINDS.iter().position(|(known, _)| *known == kind);
         let index = outcome as usize * KINDS.len() + kind_index.unwrap_or_default();
@@ -159,19 +160,19 @@
         self.refusals[code as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a stream that ended before it was whole.
+    /// Counts a stream that ended early.
     pub fn count_break(&self, cause: Break) {
         self.breaks[cause as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes a latency.
+    /// Records a latency.
     pub fn record(&self, latency: Latency, took: Millis) {
         let histogram = &self.latencies[latency as usize];
         let mut histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record(took.as_u64());
     }
 
-    /// Renders all figures, with `gauges` of the moment.
+    /// Renders all metrics, followed by `gauges`.
     #[must_use]
     pub fn render(&self, gauges: &[(&str, u64)]) -> String {
         let mut out = String::new();
@@ -198,7 +199,7 @@
     }
 }
 
-/// Renders figures of the moment.
+/// Renders gauges.
 #[must_use]
 pub fn render(gauges: &[(&str, u64)]) -> String {
     let mut out = String::new();
@@ -208,8 +209,8 @@
     out
 }
 
-/// Renders the counters of one name, each with its label. Those that are still zero are told, too: a
-/// scraper else misses the first of a kind, as it knows no value before it.
+/// Renders the counters of one name, each with its label. Includes counters that are zero:
+/// otherwise a scraper would miss the first increment, as it knows no value before it.
 fn family(
     out: &mut String,
     (name, help): (&str, &str),
@@ -234,11 +235,11 @@
 }
 
 fn explain(out: &mut String, name: &str, help: &str) {
-    // Writing to a string doesn't fail.
+    // Writing to a string can't fail.
     let _written = writeln!(out, "# HELP chestnutyoke_{name} {help}");
 }
 
 fn line(out: &mut String, name: &str, label: &str, value: u64) {
-    // Writing to a string doesn't fail.
+    // Writing to a string can't fail.
     let _written = writeln!(out, "chestnutyoke_{name}{label} {value}");
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of a process share.
+//! State that the parts of a process share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,78 +32,81 @@
 use crate::turns::Cache;
 use crate::work;
 
-/// How long a call of the key-value service may take: well above its usual few milliseconds, also
-/// where it is fifty times slower, and short enough that a lost answer is noticed within the time
-/// in which a configuration has to be in force.
+/// How long a call of the key-value service may take. Calls usually take a few milliseconds; this
+/// is enough even when the service is fifty times slower, and short enough to notice a lost answer
+/// within the time in which a configuration has to be in force.
 pub const STORE_TIMEOUT: Millis = Millis::new(900);
-/// How long a connection to a runner or VM may take: data centres are a few milliseconds apart.
+/// Timeout for connecting to a runner or VM. Data centres are a few milliseconds apart.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long sent bytes may go unacknowledged before the connection counts as dead: above a packet
-/// that is sent again twice (after 0.2 and 0.4 s). In a partition everything on kept connections
-/// hangs for this long before anyone knows.
+/// How long sent bytes may stay unacknowledged before the connection counts as dead. Longer than
+/// two retransmissions of a packet (after 0.2 and 0.4 s). In a partition, requests on kept
+/// connections hang for this long before the failure is noticed.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(650);
-/// How long an unused connection to a runner is kept. Runners that close sooner say so.
+/// How long an unused connection to a runner is kept. Runners that close connections sooner
+/// announce it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long a connection rests after an answer; a second answer of a faulty runner comes within
-/// some milliseconds.
+/// How long a connection stays unused after an answer. A faulty runner that sends a second answer
+/// sends it within some milliseconds.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
-/// The most unused connections to a runner: more than the requests that one VM has at it.
+/// The most unused connections kept to a runner. More than the requests that one VM has in flight
+/// at a runner.
 const MAX_IDLE_CONNECTIONS: usize = 24;
-/// How old a VM's knowledge of the runners may be before it reads their entries itself: a little
-/// over half of the time in which a leaving runner has to be free of new calls.
+/// Age of a VM's knowledge of the runners above which it reads their entries itself. A little over
+/// half of the time in which a leaving runner has to stop getting new calls.
 const RUNNERS_MAX_AGE: Millis = Millis::new(1_200);
-/// Heartbeats of a runner within which its entry doesn't lapse; three of silence end it.
+/// Number of heartbeats for which a runner's entry is certain not to lapse. It lapses after three
+/// missed heartbeats.
 const ENTRY_LIFETIME_HEARTBEATS: u64 = 2;
-/// How long after its start a VM lets requests wait for what it has yet to learn. All of it takes
-/// under 0.2 s where the others are there (measured after a loss of all power); one that takes
-/// longer has something to wait for that may not come, and refuses.
+/// How long after its start a VM lets requests wait for information that it still lacks. With the
+/// other VMs up, it has everything in under 0.2 s, also after a power loss of all VMs. If it takes
+/// longer, the missing information may never come, so requests are refused.
 const START_WAIT: Duration = Duration::from_millis(800);
-/// How often a waiting request looks again: a fraction of the time that a client's next try takes.
+/// How often a waiting request polls. A fraction of the time until a client's next attempt.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The share of the process's memory for turns at hand, as a divisor.
+/// Divisor of the process's memory that gives the size of the turn cache.
 const TURN_CACHE_DIVISOR: u64 = 6;
 
-/// A process's parts.
+/// Shared state of a process.
 #[derive(Debug)]
 pub struct Node {
-    /// The settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// The time.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Connections to runners.
+    /// Client for connections to runners.
     pub runner_client: Arc<Client>,
-    /// Connections to other VMs.
+    /// Client for connections to other VMs.
     pub vm_client: Arc<Client>,
-    /// The platform's key-value service.
+    /// Client of the platform's key-value service.
     pub kv: Kv,
-    /// The VMs with a disk.
+    /// Client of the VMs with a disk.
     pub replicas: Replicas,
-    /// Other VMs of the same role.
+    /// The other VMs that take requests.
     pub peers: Mutex<Peers>,
-    /// Turns at hand.
+    /// Cache of turns.
     pub turns: Mutex<Cache>,
-    /// The figures.
+    /// Counters and histograms.
     pub metrics: Metrics,
     started: Instant,
     table: Mutex<Arc<Table>>,
     fleet: Mutex<Fleet>,
     roster: Mutex<Roster>,
-    /// Set once the process stops.
+    /// Set once the process begins to stop.
     stop: watch::Sender<Option<Stop>>,
     /// Whether enough VMs with a disk answer.
     records: Mutex<Records>,
-    /// Held while a doubt of that is settled.
+    /// Held while a doubt about whether enough VMs with a disk answer is being checked.
     pub records_check: tokio::sync::Mutex<()>,
-    /// When the runners' list was last known to be current.
+    /// When the list of runners was last known to be current, in milliseconds.
     runners_current_at: AtomicU64,
-    /// When the configuration in force was last known to be current.
+    /// When the configuration in force was last known to be current, in milliseconds.
     config_current_at: AtomicU64,
-    /// What is under way.
+    /// Work in progress.
     pub work: Arc<work::Registry>,
 }
 
 impl Node {
-    /// Makes a process's parts.
+    /// Creates the state of a process that knows no runners, routes or other VMs yet.
     #[must_use]
     pub fn new(settings: Settings, clock: Clock) -> Arc<Self> {
         let limits = Limits {
@@ -145,7 +148,7 @@
         })
     }
 
-    /// Yields the routes in force.
+    /// Returns the routes in force.
     #[must_use]
     pub fn table(&self) -> Arc<Table> {
         self.table
@@ -154,7 +157,8 @@
             .clone()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force unless one that is as new or newer already is. Returns whether
+    /// it did.
     pub fn set_table(&self, table: Table) -> bool {
         let mut current = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         if current.known && table.version <= current.version {
@@ -164,31 +168,31 @@
         true
     }
 
-    /// Yields the runners.
+    /// Locks the runners.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields the runners' entries.
+    /// Locks the runners' entries.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         self.roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields the turns at hand.
+    /// Locks the cache of turns.
     pub fn turns(&self) -> MutexGuard<'_, Cache> {
         self.turns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields the other VMs.
+    /// Locks the other VMs.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits just after the process's start until `known` holds; at other times, or where it takes
-    /// too long, returns at once.
+    /// Waits shortly after the process's start until `known` holds. Returns at once at any other
+    /// time, and gives up at `until` or when the start phase is over.
     ///
-    /// After a loss of all power the clients' tries come within the first tens of milliseconds, and
-    /// each refusal would use one of the few tries up that a turn has.
+    /// After a power loss of all VMs, clients retry within the first tens of milliseconds, and each
+    /// refusal would use up one of the few attempts that a turn has.
     pub async fn wait_at_start(&self, known: impl Fn(&Self) -> bool, until: Instant) {
         let until = until.min(self.started + START_WAIT);
         while !known(self) && Instant::now() < until {
@@ -196,13 +200,14 @@
         }
     }
 
-    /// Tells whether a configuration and runners are known.
+    /// Returns whether a configuration and at least one runner are known.
     #[must_use]
     pub fn can_route(&self) -> bool {
         self.table().known && !self.fleet().runners().is_empty()
     }
 
-    /// Notes that the process stops from now on, and yields how.
+    /// Marks the process as stopping and returns the schedule of the stop. A second call returns
+    /// the schedule of the first.
     pub fn begin_stop(&self) -> Stop {
         let begun = Stop::new(self.clock.now(), self.settings.grace);
         let stop = self.stop().unwrap_or(begun);
@@ -210,13 +215,13 @@
         stop
     }
 
-    /// Yields how the process stops, if it does.
+    /// Returns the schedule of the stop if the process is stopping.
     #[must_use]
     pub fn stop(&self) -> Option<Stop> {
         *self.stop.borrow()
     }
 
-    /// Waits until the process stops, and yields how.
+    /// Waits until the process begins to stop and returns the schedule of the stop.
     pub async fn stopping(&self) -> Stop {
         let mut receiver = self.stop.subscribe();
         let stop = match receiver.wait_for(Option::is_some).await {
@@ -229,38 +234,39 @@
         }
     }
 
-    /// Yields whether enough VMs with a disk answer.
+    /// Locks the state that tells whether enough VMs with a disk answer.
     pub fn records(&self) -> MutexGuard<'_, Records> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether turns can be served, as far as the VMs with a disk go.
+    /// Returns whether enough VMs with a disk answer for turns to be served.
     #[must_use]
     pub fn has_records(&self) -> bool {
         self.records().serves()
     }
 
-    /// Notes that the runners' list is current.
+    /// Records that the list of runners was current at `now`.
     pub fn note_runners_current(&self, now: Millis) {
         self.runners_current_at
             .fetch_max(now.as_u64(), Ordering::Relaxed);
     }
 
-    /// Yields how old the runners' list is.
+    /// Returns the age of the list of runners.
     #[must_use]
     pub fn runners_age(&self) -> Millis {
         let at = Millis::new(self.runners_current_at.load(Ordering::Relaxed));
         self.clock.now().since(at)
     }
 
-    /// Notes that the configuration in force is current.
+    /// Records that the configuration in force was current at `now`.
     pub fn note_config_current(&self, now: Millis) {
         self.config_current_at
             .fetch_max(now.as_u64(), Ordering::Relaxed);
     }
 
-    /// Yields how long ago the VM last heard that its configuration is current: from the key-value
-    /// service, or from its hub, whose messages tell of both the configuration and the runners.
+    /// Returns how long ago the VM last learned that its configuration is current: from the
+    /// key-value service, or from its hub, whose messages cover both the configuration and the
+    /// runners.
     #[must_use]
     pub fn config_age(&self) -> Millis {
         if self.source(Subject::Config) == Source::Peers {
@@ -270,21 +276,21 @@
         self.clock.now().since(at)
     }
 
-    /// Tells whether entries of runners that live may have lapsed since the runners' list was current:
-    /// one does that couldn't be renewed for some heartbeats.
+    /// Returns whether entries of running runners may have lapsed since the list of runners was
+    /// last current. An entry lapses when it can't be renewed for some heartbeats.
     #[must_use]
     pub fn may_have_lapsed(&self) -> bool {
         let renewed = Millis::new(self.settings.heartbeat.as_u64() * ENTRY_LIFETIME_HEARTBEATS);
         self.runners_age() > renewed
     }
 
-    /// Tells whether the runners' list is too old to rely on.
+    /// Returns whether the list of runners is too old to rely on.
     #[must_use]
     fn is_runners_list_stale(&self) -> bool {
         self.runners_age() > RUNNERS_MAX_AGE
     }
 
-    /// Yields where this VM learns of a subject now.
+    /// Returns where this VM currently learns of a subject.
     #[must_use]
     pub fn source(&self, subject: Subject) -> Source {
         let now = self.clock.now();
@@ -297,7 +303,7 @@
         subject::source(subject, role, is_reader, self.is_runners_list_stale())
     }
 
-    /// Tells whether the process can serve what clients ask.
+    /// Returns whether the process can serve clients' requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let table = self.table();
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -1,9 +1,10 @@
-//! The other VMs that take requests: who they are, and which of them tells whom.
+//! The other VMs that take requests, and which of them exchange messages with each other.
 //!
-//! In a small deployment every two VMs exchange what they know. In a larger one that would be more
-//! messages than requests; there the first VM of each data centre (by name) is its hub: the others
-//! exchange with their hub, and the hubs among each other. A hub that dies is passed over once its
-//! entry has lapsed or it no longer answers, and has its place back when it answers again.
+//! In a small deployment all VMs exchange messages pairwise. In a larger one that would be more
+//! messages than requests. There the first VM of each data centre (by name) is its hub: the other
+//! VMs of the data centre, its leaves, exchange messages with their hub only, and the hubs with
+//! each other. A hub that dies is skipped once its entry has lapsed or it no longer answers. It is
+//! the hub again as soon as it answers again.
 
 use std::net::SocketAddr;
 
@@ -12,21 +13,27 @@
 use wire::clock::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Up to this many VMs exchange with each other directly: at 16 exchanges a second with each that
-/// is under 200 messages a second and VM, some per cent of a small VM's processor.
+/// The most other VMs with which all VMs exchange messages pairwise. At 16 exchanges a second with
+/// each, that is under 200 messages a second and VM, which takes a few per cent of a small VM's
+/// processor.
 pub const MAX_DIRECT_PEERS: usize = 12;
-/// VMs of a data centre that its hub hears at the full rate, 16 times a second each.
+/// Number of VMs of a data centre that exchange with their hub at the full rate, 16 times a second
+/// each.
 const LEAVES_AT_FULL_RATE: usize = 24;
-/// Of the silent VMs before a data centre's hub, so many are asked each time, the first ones by name,
-/// as one of them is the hub as soon as it answers; and one of the others in turn. To ask all would be
-/// messages by the square of the VMs when a hub dies, as no leaf has heard another one.
+/// Number of silent VMs before a data centre's hub that are probed in each round. These are the
+/// first ones by name, because any of them becomes the hub as soon as it answers. One of the other
+/// silent VMs is probed as well, chosen anew in each round. If all were probed, the messages would
+/// grow with the square of the number of VMs when a hub dies, because no leaf has heard another
+/// one.
 const PROBED_SILENT: usize = 2;
-/// A VM whose entry has lapsed is still told for this long: the service may have been away.
+/// How long a VM is kept after its entry has lapsed, because the key-value service may have been
+/// unavailable.
 const LAPSED_RETENTION: Millis = Millis::new(10_000);
-/// A VM that hasn't answered for this long is no hub: several exchanges, and a short freeze.
+/// A VM that hasn't answered for this long can't be a hub. Covers several exchanges and a short
+/// freeze.
 const ANSWER_TIMEOUT: Millis = Millis::new(1_000);
 
-/// The other VMs, in the order of their names.
+/// The other VMs, sorted by name.
 #[derive(Debug, Default)]
 pub struct Peers {
     known: Vec<Peer>,
@@ -35,28 +42,28 @@
 /// Another VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub centre: String,
-    /// Where it answers other VMs.
+    /// Address that takes messages from other VMs.
     pub address: SocketAddr,
-    /// The roster's revision that it had when it was last heard.
+    /// Revision of the roster that the VM had when it was last heard.
     pub roster: u64,
-    /// The configuration's revision that it had then.
+    /// Revision of the configuration that the VM had then.
     pub config: u64,
     last_heard: Millis,
     lifecycle: Lifecycle,
     lapsed_at: Option<Millis>,
 }
 
-/// Whether a VM goes on.
+/// Whether a VM keeps running.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// It does.
+    /// It keeps running.
     #[default]
     Stays,
-    /// Its process stops.
+    /// Its process is stopping.
     Stops,
 }
 
@@ -66,30 +73,30 @@
     }
 }
 
-/// What a VM tells of itself.
+/// The state that a VM reports of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The roster's revision that it has.
+    /// Revision of the VM's roster.
     pub roster: u64,
-    /// The configuration's revision that it has.
+    /// Revision of the VM's configuration.
     pub config: u64,
-    /// Whether it goes on.
+    /// Whether the VM keeps running.
     pub lifecycle: Lifecycle,
 }
 
-/// Whom a VM exchanges with, as it sees the others.
+/// The part of a VM in the exchange, from its own view of the other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeRole {
-    /// Every two VMs exchange.
+    /// Exchanges with all other VMs.
     Direct,
-    /// The first of its data centre.
+    /// The first VM of its data centre. Exchanges with its leaves and with the other hubs.
     Hub,
-    /// Exchanges with its data centre's hub only.
+    /// Exchanges only with the hub of its data centre.
     Leaf,
 }
 
 impl Peers {
-    /// Notes a VM. One that is new counts as heard, so that it can be asked.
+    /// Adds or updates a VM. A new VM counts as just heard, so that it is asked.
     pub fn set(&mut self, vm: &str, centre: &str, address: SocketAddr, now: Millis) {
         match self.find(vm) {
             Ok(at) => {
@@ -118,19 +125,19 @@
         self.known.binary_search_by(|peer| peer.vm.as_str().cmp(vm))
     }
 
-    /// Counts the other VMs.
+    /// Returns the number of other VMs.
     #[must_use]
     pub fn count(&self) -> usize {
         self.known.len()
     }
 
-    /// Finds a VM.
+    /// Finds a VM by name.
     #[must_use]
     pub fn peer(&self, vm: &str) -> Option<&Peer> {
         self.find(vm).ok().map(|at| &self.known[at])
     }
 
-    /// Notes what a VM had when it was heard.
+    /// Records the state that a VM reported.
     pub fn note_status(&mut self, vm: &str, status: PeerStatus, now: Millis) {
         if let Ok(at) = self.find(vm) {
             let peer = &mut self.known[at];
@@ -141,14 +148,14 @@
         }
     }
 
-    /// Notes that a VM's entry has lapsed.
+    /// Records that a VM's entry has lapsed.
     pub fn mark_lapsed(&mut self, vm: &str, now: Millis) {
         if let Ok(at) = self.find(vm) {
             self.known[at].lapsed_at.get_or_insert(now);
         }
     }
 
-    /// Notes which VMs are listed; the others have lapsed.
+    /// Marks all VMs but the listed ones as lapsed.
     pub fn mark_unlisted(&mut self, vms: &[String], now: Millis) {
         for peer in &mut self.known {
             if !vms.contains(&peer.vm) {
@@ -157,19 +164,21 @@
         }
     }
 
-    /// Forgets VMs whose entries lapsed long ago.
+    /// Removes VMs whose entries lapsed long ago.
     pub fn forget_lapsed(&mut self, now: Millis) {
         let recent = |since: Millis| now.since(since) < LAPSED_RETENTION;
         self.known.retain(|peer| peer.lapsed_at.is_none_or(recent));
     }
 
-    /// Tells whether no VM that answers comes before `own`: it reads the runners' entries for the
-    /// others. One reader a data centre would ask the service as often as there are data centres,
-    /// and tell the others no more.
+    /// Returns whether no VM that answers sorts before `own`, across all data centres. This VM
+    /// reads the runners' entries on behalf of the others. One reader in each data centre would
+    /// multiply the calls of the service by the number of data centres and give the other VMs no
+    /// more information.
     ///
-    /// One that stops isn't waited for until it is silent: where the next one stops as well, the second
-    /// silence would have all VMs use a runner that left for longer than it may be. In a larger deployment
-    /// it is, as leaves that hear only their hub would all read at once.
+    /// In a small deployment a VM that is stopping is skipped before it turns silent. If the next
+    /// one stopped as well, waiting for the second time-out would have all VMs use a runner that
+    /// has left for longer than allowed. In a larger deployment it isn't skipped, because leaves
+    /// hear only their hub and would all read at once.
     #[must_use]
     pub fn is_reader(&self, own: &str, now: Millis) -> bool {
         let goes_on = |peer: &Peer| !self.is_direct() || peer.lifecycle == Lifecycle::Stays;
@@ -181,8 +190,8 @@
         self.known.len() <= MAX_DIRECT_PEERS
     }
 
-    /// Tells whether no VM of the data centre that answers comes before `own`: it is their hub where
-    /// hubs are needed.
+    /// Returns whether no VM of the data centre that answers sorts before `own`. Where hubs are
+    /// needed, this VM is the hub of its data centre.
     #[must_use]
     pub fn is_first(&self, own: &str, centre: &str, now: Millis) -> bool {
         self.hub(centre, now)
@@ -194,8 +203,9 @@
         self.known.iter().find(of_centre)
     }
 
-    /// Yields by how much the pause between two exchanges grows, so that a hub has at most some
-    /// hundred messages a second: once more for each [`LEAVES_AT_FULL_RATE`] VMs of a data centre.
+    /// Returns the factor by which the pause between two exchanges grows, so that a hub handles at
+    /// most some hundred messages a second. It grows by one for each [`LEAVES_AT_FULL_RATE`] VMs of
+    /// the largest data centre.
     #[must_use]
     pub fn pause_factor(&self) -> u32 {
         let mut centres: Vec<&str> = self.known.iter().map(|peer| peer.centre.as_str()).collect();
@@ -204,7 +214,7 @@
         u32::try_from(largest.unwrap_or(0) / LEAVES_AT_FULL_RATE).unwrap_or(u32::MAX) + 1
     }
 
-    /// Tells whom the VM named exchanges with.
+    /// Returns the part of the VM `own` in the exchange.
     #[must_use]
     pub fn exchange_role(&self, own: &str, centre: &str, now: Millis) -> ExchangeRole {
         if self.is_direct() {
@@ -216,12 +226,13 @@
         ExchangeRole::Leaf
     }
 
-    /// Yields the VMs that the VM named starts an exchange with. Of two that both would, the one
-    /// whose name comes first does.
+    /// Returns the VMs with which the VM `own` starts an exchange. Where VMs exchange pairwise, the
+    /// one whose name sorts first starts.
     ///
-    /// A VM hears only those that it exchanges with. Did it ask no silent ones, nobody would ever learn
-    /// which VM has become another data centre's hub, and the leaves of a hub that was silent for a
-    /// moment would stay with its deputy, which has stepped back and tells them nothing of others.
+    /// A VM hears only those that it exchanges with. If silent ones weren't probed, nobody would
+    /// learn which VM has become another data centre's hub. The leaves of a hub that was silent for
+    /// a moment would stay with its deputy, which has stepped back and sends them no figures of
+    /// other VMs.
     #[must_use]
     pub fn exchange_targets(&self, own: &str, centre: &str, now: Millis) -> Vec<Peer> {
         let role = self.exchange_role(own, centre, now);
@@ -245,7 +256,7 @@
         asked.into_iter().cloned().collect()
     }
 
-    /// Names the data centres of the others.
+    /// Returns the data centres of the other VMs.
     fn centres(&self) -> Vec<&str> {
         let mut centres: Vec<&str> = self.known.iter().map(|peer| peer.centre.as_str()).collect();
         centres.sort_unstable();
@@ -253,7 +264,8 @@
         centres
     }
 
-    /// Yields a data centre's hub among the VMs that `counts` names, and the silent VMs before it.
+    /// Finds the hub of a data centre among the VMs that `counts` selects, and the silent VMs
+    /// before it.
     fn find_hub(&self, centre: &str, counts: impl Fn(&str) -> bool, now: Millis) -> HubSearch<'_> {
         let known = self.known.iter();
         let mut counted = known.filter(|peer| peer.centre == centre && counts(&peer.vm));
@@ -269,14 +281,15 @@
     }
 }
 
-/// A data centre's VMs in the order of their names, up to its hub.
+/// The VMs of a data centre in the order of their names, up to its hub.
 struct HubSearch<'a> {
     silent: Vec<&'a Peer>,
     hub: Option<&'a Peer>,
 }
 
 impl<'a> HubSearch<'a> {
-    /// Yields the silent VMs that are asked now: the first [`PROBED_SILENT`], and one in turn.
+    /// Returns the silent VMs that are probed now: the first [`PROBED_SILENT`], and one chosen by
+    /// the time.
     fn probed(&self, now: Millis) -> impl Iterator<Item = &'a Peer> {
         let turn = pseudo_random_index(now, self.silent.len());
         let silent = self.silent.iter().copied().enumerate();
@@ -284,16 +297,17 @@
         tried.map(|(_, peer)| peer)
     }
 
-    /// Tells whether a VM that has these before it, all silent, tries those of other data centres now:
-    /// the more there are, the more seldom. When a hub dies, for a moment all its leaves take
-    /// themselves for hubs, and all at once would ask the same VMs of each other data centre.
+    /// Returns whether a VM that has only silent VMs before it probes the silent VMs of other data
+    /// centres now. The more VMs are before it, the more rarely it does. When a hub dies, all its
+    /// leaves consider themselves hubs for a moment, and would otherwise probe the same VMs of each
+    /// other data centre at once.
     fn probes_other_centres(&self, now: Millis) -> bool {
         pseudo_random_index(now, self.silent.len()) < PROBED_SILENT
     }
 }
 
-/// Draws a number below `count`. Drawn by the time, as a count of rounds could skip the same VMs again
-/// and again.
+/// Returns a pseudo-random number below `count`, derived from the time. A counter of rounds could
+/// skip the same VMs again and again.
 fn pseudo_random_index(now: Millis, count: usize) -> usize {
     let number = xxh3_64(&now.as_u64().to_le_bytes());
     usize::try_from(number % count.max(1) as u64).unwrap_or(0)
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -42,8 +42,9 @@
     assert_eq!(peers.exchange_role("vm-000", "a", NOW), ExchangeRole::Hub);
 }
 
-/// A hub freezes. Its data centre's VMs no longer hear of others' requests and would all pick the
-/// same idle runner; the next VM takes over within a second, and steps back when it is heard again.
+/// A hub freezes. The VMs of its data centre no longer learn of other VMs' requests and would all
+/// pick the same idle runner. The next VM takes over within a second, and steps back when the hub
+/// is heard again.
 #[test]
 fn a_silent_hub_is_passed_over() {
     let mut peers = peers(MAX_DIRECT_PEERS + 60);
@@ -62,8 +63,9 @@
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000"]);
 }
 
-/// A hub dies, and its leaves have never heard each other. Did each ask all that come before it, or
-/// all at once those of other data centres, a hub's death would cost messages by the square of the VMs.
+/// A hub dies, and its leaves have never heard each other. If each leaf asked all VMs that sort
+/// before it, or if all leaves asked those of other data centres at once, the death of a hub would
+/// cost messages by the square of the number of VMs.
 #[test]
 fn leaves_without_a_hub_ask_few() {
     let peers = peers(MAX_DIRECT_PEERS + 60);
@@ -86,8 +88,8 @@
     assert!(peers.peer("vm-000").is_none());
 }
 
-/// One VM reads the runners' entries for all. It is cut off or killed: the next one by name takes
-/// over within a second, before what the others know is stale.
+/// One VM reads the runners' entries for all and is cut off or killed. The next one by name takes
+/// over within a second, before the knowledge of the other VMs is stale.
 #[test]
 fn one_vm_reads_for_all_and_the_next_takes_over() {
     let mut peers = peers(6);
@@ -101,9 +103,10 @@
     assert!(!peers.is_reader("vm-003", later));
 }
 
-/// A runner's entry goes while the VM that reads the entries for all stops, and so does the next one by
-/// name. Each taken for the reader until it had been silent for a second, the others would hear of the
-/// entry more than two seconds later, and send requests to a runner that has gone.
+/// A runner's entry is removed while the VM that reads the entries for all stops, and so does the
+/// next one by name. If each were considered the reader until it had been silent for a second, the
+/// other VMs would learn of the removal more than two seconds later, and send requests to a runner
+/// that is gone.
 #[test]
 fn readers_that_stop_are_not_waited_for() {
     let mut peers = peers(6);
--- a/crates/relay/src/probe.rs
+++ b/crates/relay/src/probe.rs
@@ -1,4 +1,4 @@
-//! What the balancer and scrapers ask: whether the VM takes clients, and its figures.
+//! Answers probes of the balancer and scrapers: whether the VM takes clients, and its metrics.
 
 use hyper::Response;
 use hyper::StatusCode;
@@ -9,7 +9,7 @@
 use crate::memory;
 use crate::node::Node;
 
-/// Answers whether the VM takes clients; the path doesn't matter, as nothing else is asked there.
+/// Answers whether the VM takes clients. Ignores the path, because nothing else is asked there.
 #[must_use]
 pub fn ready(node: &Node) -> Response<Body> {
     if node.is_ready() {
@@ -18,11 +18,11 @@
     answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
 }
 
-/// Answers with the figures.
+/// Answers with the metrics.
 #[must_use]
 pub fn metrics(node: &Node, door: &Door) -> Response<Body> {
-    // Taken before the others: the lock would else be held until the whole list is built, and
-    // asking whether the VM is ready takes it again.
+    // Taken before the array is built: otherwise the lock would be held until the array is
+    // complete, and `is_ready` locks it again.
     let load = node.fleet().load(node.clock.now());
     let answers = node.work.answers() as u64;
     let gauges = [
--- a/crates/relay/src/reachability.rs
+++ b/crates/relay/src/reachability.rs
@@ -1,9 +1,9 @@
-//! Whether runners can be reached, tried beside the traffic.
+//! Probes whether runners can be reached, independently of requests.
 //!
-//! In a partition each request that meets an unreachable runner loses the time of a connection, and
-//! one on a kept connection its outcome. So a runner to which a connection broke is tried again
-//! here, not by requests; and where it doesn't answer at all, the other runners of its data centre
-//! are tried at once, as the cause is often common to them.
+//! In a partition, each request to an unreachable runner loses the time of a connection attempt,
+//! and the outcome of a request on a kept connection stays unknown. So a runner to which a
+//! connection broke is retried by probes instead of requests. If it doesn't answer at all, the
+//! other runners of its data centre are probed at once, because they often share the cause.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use crate::fleet::runner::Target;
 use crate::node::Node;
 
-/// Notes that a connection to a runner broke or could not be made, and tries it again. Others that
-/// are kept to it may hang in the same way, so they are dropped.
+/// Records that a connection to a runner failed or broke, and probes the runner. Closes the other
+/// kept connections to it, because they may hang in the same way.
 pub fn note_broken(node: &Arc<Node>, id: &str, address: SocketAddr) {
     if let Some(target) = mark_unreachable(node, id, address) {
         tokio::spawn(probe_and_neighbours(node.clone(), target));
     }
 }
 
-/// Marks a runner as one that can't be reached; yields where to try it again if that is news, which
-/// is logged.
+/// Marks a runner as unreachable. If it was reachable before, logs that and returns the address to
+/// probe.
 fn mark_unreachable(node: &Node, id: &str, address: SocketAddr) -> Option<Target> {
     node.runner_client.forget(address);
     let now = node.clock.now();
@@ -37,7 +37,7 @@
     Some(target)
 }
 
-/// Tries the runners that are known to be unreachable once more.
+/// Probes all runners that are marked unreachable.
 pub fn retry(node: &Arc<Node>) {
     let targets = node.fleet().unreachable();
     for target in targets {
@@ -46,7 +46,8 @@
     }
 }
 
-/// Tries a runner whose connection broke; where nothing answers there, those around it as well.
+/// Probes a runner whose connection broke. If nothing answers, probes the quiet runners of its data
+/// centre as well.
 async fn probe_and_neighbours(node: Arc<Node>, target: Target) {
     if probe(&node, &target).await != Outcome::Silent {
         return;
@@ -74,7 +75,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Connected,
-    /// Something answered that there is nobody.
+    /// The connection was refused or broke, so something answered.
     Refused,
     /// Nothing answered.
     Silent,
--- a/crates/relay/src/register.rs
+++ b/crates/relay/src/register.rs
@@ -1,4 +1,4 @@
-//! A VM's own entry in the key-value service, by which the others find it.
+//! Maintains a VM's own entry in the key-value service, by which the other VMs find it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::node::Node;
 use crate::subject;
 
-/// How long a VM's entry lasts without renewal. Long beside a short outage of the service, as a VM
-/// that is dead costs its peers only unanswered messages.
+/// How long a VM's entry lasts without renewal. Long compared to a short outage of the service,
+/// because a dead VM costs its peers only unanswered messages.
 pub const LEASE_TTL: Millis = Millis::new(8_000);
-/// How often the entry is renewed: three times within its lease.
+/// Interval of renewals: three times within the lease.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(2_500);
 
 /// Keeps this VM's entry in the key-value service for as long as it is polled.
--- a/crates/relay/src/roster.rs
+++ b/crates/relay/src/roster.rs
@@ -1,8 +1,8 @@
 //! The runners' entries as they were read, for VMs that don't read them from the key-value service.
 //!
-//! The entries change with each heartbeat, so a watch of every VM would cost the service a call a
-//! VM every few hundred milliseconds. One VM of a data centre watches and passes changes that
-//! matter on; a VM that is cut off from the service, or turned away, still learns of them.
+//! The entries change with each heartbeat, so if every VM watched them, each watch would cost the
+//! service a call every few hundred milliseconds. Instead, one VM watches and forwards the changes
+//! that matter. A VM that is cut off from the service, or refused by it, still learns of them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,23 +10,23 @@
 /// All entries at one revision of the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// The revision of the last change that mattered.
+    /// Revision of the last significant change.
     pub revision: u64,
-    /// The entries' bytes by runner, in the order of their ids.
+    /// The encoded entries by runner, sorted by id.
     pub entries: Vec<(String, Vec<u8>)>,
 }
 
-/// Whether a change of an entry matters to other VMs.
+/// Whether other VMs need to learn of a change of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// Only a heartbeat.
     Heartbeat,
-    /// A runner that appears, leaves or is gone.
+    /// A runner appeared, began to leave or is gone.
     Significant,
 }
 
 impl Roster {
-    /// Notes an entry.
+    /// Adds or updates an entry.
     pub fn set(&mut self, id: &str, bytes: &[u8], revision: u64, kind: ChangeKind) {
         match self.find(id) {
             Ok(at) => self.entries[at].1 = bytes.to_vec(),
@@ -35,7 +35,7 @@
         self.note_change(revision, kind);
     }
 
-    /// Notes that an entry is gone.
+    /// Removes an entry.
     pub fn remove(&mut self, id: &str, revision: u64) {
         if let Ok(at) = self.find(id) {
             self.entries.remove(at);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Drops the entries that a list of the key-value service lacks; `listed` is in the order of ids.
+    /// Removes the entries that are missing in a list of the key-value service; `listed` is sorted.
     pub fn retain_listed(&mut self, listed: &[String], revision: u64) {
         let before = self.entries.len();
         self.entries
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Notes that the entries are all that there were at a revision.
+    /// Records that the entries were complete at a revision.
     ///
-    /// A VM that starts has no entry that could tell it of a removal just before. Were its knowledge
-    /// as old as its newest entry, it would take over what another VM knew before the removal, and
-    /// the runner that is gone would get requests until it ends.
+    /// A VM that starts has no entry that reveals a removal just before its start. If its revision
+    /// were that of its newest entry, it would accept the older entries that another VM had before
+    /// the removal, and the removed runner would get requests until it ends.
     pub fn raise_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -1,4 +1,8 @@
-//! What a process that stops refuses, so that its end cuts no request off that another VM could serve.
+//! Decides which requests a stopping process refuses, so that its end doesn't cut off requests that
+//! another VM could serve.
+//!
+//! Two moments of a stop matter here. From the send deadline on, no runner gets a request that may
+//! outlast the process. At the answer deadline, the last answers have to go out.
 
 use std::future::Future;
 
@@ -13,12 +17,12 @@
 
 use crate::node::Node;
 
-/// Refuses a request that may be under way until after the process's end: it would be cut off, and
-/// another VM can serve it. `ends` is when the request is over at the latest.
+/// Refuses a new request that may outlast the process: it would be cut off, and another VM can
+/// serve it. `ends` is when the request is over at the latest.
 ///
 /// # Errors
 ///
-/// Refuses where the process stops and ends before the request.
+/// Fails if the process is stopping and ends before the request.
 pub fn admit(node: &Node, ends: Instant) -> Result<(), Refusal> {
     match node.stop() {
         Some(stop) if outlasts(node, stop, ends) => Err(refusal(node, stop, ends)),
@@ -26,12 +30,13 @@
     }
 }
 
-/// Tells whether a request that no runner has may still be passed on. One that came before the stop
-/// and may outlast the process isn't from the last call on.
+/// Checks whether a request that no runner has may still be sent to a runner. From the send
+/// deadline on, a request that was accepted before the stop isn't sent any more if it may outlast
+/// the process.
 ///
 /// # Errors
 ///
-/// Refuses where it may not.
+/// Fails if the request may not be sent.
 pub fn allow_send(node: &Node, ends: Instant) -> Result<(), Refusal> {
     match node.stop() {
         Some(stop) if node.clock.now() >= stop.last_call() => admit(node, ends),
@@ -39,24 +44,26 @@
     }
 }
 
-/// Tells whether a request that a runner may have run may still be passed on to another one, which it may
-/// under the same condition as [`allow_send`] has.
+/// Checks whether a request that a runner may have run may be sent to another one, under the
+/// condition of [`allow_send`].
 ///
 /// # Errors
 ///
-/// Fails where it may not. Not with [`Code::ShuttingDown`]: its status promises that nothing has run.
+/// Fails if it may not be sent. The code isn't [`Code::ShuttingDown`], whose status promises that
+/// nothing has run.
 pub fn allow_retry(node: &Node, ends: Instant) -> Result<(), Refusal> {
     allow_send(node, ends)
         .map_err(|refusal| Refusal::new(Code::EndpointFailed, &refusal.message).ran(Ran::Unknown))
 }
 
-/// Waits for `work` that a request needs before a runner has it, at most until the last call where the
-/// process stops and the request may outlast it, and until the last moment where it shouldn't. Cut off
-/// by the process's end, its caller couldn't know that it has not run.
+/// Waits for `work` that a request needs before a runner gets it. If the process is stopping, waits
+/// at most until the send deadline if the request may outlast the process, and until the answer
+/// deadline otherwise. If the process's end cut the request off, its caller couldn't know that it
+/// has not run.
 ///
 /// # Errors
 ///
-/// Refuses when that is over.
+/// Fails at that deadline.
 pub async fn with_send_deadline<T>(
     node: &Node,
     ends: Instant,
@@ -69,12 +76,13 @@
     }
 }
 
-/// Waits for `work` that a runner may have, at most until the process's last answers have to go out. Cut
-/// off by the process's end, its caller would see a closed connection and have no code to go by.
+/// Waits for `work` that a runner may have, at most until the answer deadline. If the process's end
+/// cut the request off, its caller would see a closed connection without any result code.
 ///
 /// # Errors
 ///
-/// Fails at that moment. Not with [`Code::ShuttingDown`]: its status promises that nothing has run.
+/// Fails at the answer deadline. The code isn't [`Code::ShuttingDown`], whose status promises that
+/// nothing has run.
 pub async fn with_answer_deadline<T>(
     node: &Node,
     work: impl Future<Output = T>,
@@ -86,7 +94,7 @@
     }
 }
 
-/// Waits until the process's last answers have to go out; yields that of a request which may have run.
+/// Waits for the answer deadline and returns the refusal of a request that may have run.
 async fn wait_for_answer_deadline(node: &Node) -> Refusal {
     let stop = node.stopping().await;
     let left = stop.last().since(node.clock.now());
@@ -94,7 +102,8 @@
     Refusal::new(Code::OutcomeUnknown, "the VM is shutting down").ran(Ran::Unknown)
 }
 
-/// Waits for the last call, or for the last moment where the request should be over before that.
+/// Waits for the send deadline, or for the answer deadline if the request should be over before the
+/// process ends. Returns the refusal of a request that has not run.
 async fn wait_for_send_deadline(node: &Node, ends: Instant) -> Refusal {
     let stop = node.stopping().await;
     let at = if outlasts(node, stop, ends) {
--- a/crates/relay/src/shutdown/tests.rs
+++ b/crates/relay/src/shutdown/tests.rs
@@ -16,7 +16,7 @@
 use super::with_send_deadline;
 use crate::node::Node;
 
-/// The last call comes after 1.1 s of it, and its last moment after 1.6 s.
+/// Of this, the send deadline is after 1.1 s, and the answer deadline after 1.6 s.
 const GRACE: Millis = Millis::new(2_000);
 
 fn node() -> Arc<Node> {
@@ -32,8 +32,9 @@
     Instant::now() + Duration::from_millis(ms)
 }
 
-// A turn came before the stop and waits for VMs with a disk that don't answer, for longer than the
-// process has. Its caller must hear before the end that no runner has had it.
+// A turn was accepted before the stop and waits for VMs with a disk that don't answer, for longer
+// than the process has. Its caller must learn before the end of the process that no runner got the
+// turn.
 #[tokio::test]
 async fn what_waits_at_the_last_call_is_told_that_it_has_not_run() {
     let node = node();
@@ -50,8 +51,8 @@
     assert!(node.clock.now() < stop.last());
 }
 
-// What is over before the process is, isn't given up, stop or no stop: refused, its caller would lose
-// an answer that it could have had.
+// Work that is over before the process ends isn't abandoned, whether the process is stopping or
+// not. If it were refused, its caller would lose an answer that it could have had.
 #[rstest]
 #[case::that_ends_in_time(1_000)]
 #[case::while_nothing_stops(20_000)]
@@ -70,8 +71,8 @@
     assert_eq!(allow_send(&node, ends), Ok(()));
 }
 
-// A runner turns a request away just before the process ends. Passed on to the next one, it would be
-// cut off there and its outcome be unknown; nobody has run it yet, so it is refused.
+// A runner refuses a request just before the process ends. If it were sent to another runner, it
+// would be cut off there with an unknown outcome. Nobody has run it yet, so it is refused.
 #[tokio::test]
 async fn nothing_is_passed_on_after_the_last_call() {
     let node = node();
@@ -83,9 +84,10 @@
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
-// A turn waits for VMs with a disk for longer than the time that it has, and the process ends meanwhile. It
-// isn't given up at the last call, as it should have been over by then; cut off at the end, its caller
-// wouldn't know that no runner has had it.
+// A turn waits for VMs with a disk for longer than the time that it has, and the process ends
+// meanwhile. It isn't abandoned at the send deadline, because it should have been over before the
+// process ends. If it were cut off at that end, its caller wouldn't know that no runner got the
+// turn.
 #[tokio::test]
 async fn what_should_have_been_over_is_told_at_the_last_moment() {
     let node = node();
--- a/crates/relay/src/subject.rs
+++ b/crates/relay/src/subject.rs
@@ -1,4 +1,5 @@
-//! What a VM has to know of the key-value service's keys, and where it learns of it.
+//! The groups of keys in the key-value service that a VM follows, and where it learns of their
+//! changes.
 
 use adapter::keys;
 use adapter::kv::Freshness;
@@ -8,13 +9,13 @@
 
 /// How long a watch waits at the service for a change.
 const WATCH_TIMEOUT: Millis = Millis::new(20_000);
-/// How long a watch of the runners does. Heartbeats alone change no entry, so that in quiet minutes
-/// nothing comes; each return, also an empty one, tells that what is known is current. With the
-/// pause it stays below the age at which other VMs take the knowledge for stale and read the
-/// entries themselves, all of them at once.
+/// The same for a watch of the runners. Heartbeats alone change no entry, so in quiet minutes no
+/// change arrives, but each return of the watch, also an empty one, shows that the known entries
+/// are current. Together with the pause between watches it stays below the age at which other VMs
+/// consider their knowledge stale and all read the entries themselves at once.
 const RUNNERS_WATCH_TIMEOUT: Millis = Millis::new(500);
 
-/// What is followed.
+/// A group of keys that a VM follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// The operators' configuration.
@@ -26,7 +27,7 @@
 }
 
 impl Subject {
-    /// Names what its keys begin with.
+    /// Returns the prefix of the group's keys.
     #[must_use]
     pub const fn prefix(self) -> &'static str {
         match self {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Yields how long a watch waits at the service for a change.
+    /// Returns how long a watch waits at the service for a change.
     #[must_use]
     pub const fn watch_timeout(self) -> Millis {
         match self {
@@ -49,16 +50,17 @@
 /// Where a VM learns of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// It watches the key-value service.
+    /// By watching the key-value service.
     Store,
-    /// It reads a copy there now and then, which may be seconds old and costs a tenth.
+    /// By reading a copy at the service now and then. The copy may be seconds old and a read costs
+    /// a tenth.
     Copy,
-    /// Other VMs tell it.
+    /// From messages of other VMs.
     Peers,
 }
 
 impl Source {
-    /// Yields how fresh what is read there has to be.
+    /// Returns how fresh the entries that are read must be.
     #[must_use]
     pub const fn freshness(self) -> Freshness {
         match self {
@@ -68,13 +70,14 @@
     }
 }
 
-/// Decides where a VM learns of a subject: `place` is the VM's among those that tell each other,
-/// `reads` whether it reads the runners for all, `stale` whether what others told is too old.
+/// Decides where a VM learns of a subject. `role` is the VM's part in the exchange, `is_reader`
+/// whether it reads the runners for the other VMs, and `stale` whether the information from other
+/// VMs is too old.
 ///
-/// In a large deployment a watch of every VM for every subject would be most of what the service is
-/// asked: each change has as many answers as there are VMs, and a VM that has a hub hears of it
-/// within two exchanges. What its hub tells is current as long as the runners' entries are, as
-/// both come in one message; when they aren't, it asks the service itself.
+/// In a large deployment, watches of every VM for every subject would be most of the service's
+/// load, as each change is answered once for each VM. A VM with a hub hears of a change within two
+/// exchanges. The configuration and the runners' entries come in the same messages, so both are
+/// current as long as the entries are. When they aren't, the VM asks the service itself.
 #[must_use]
 pub const fn source(subject: Subject, role: ExchangeRole, is_reader: bool, stale: bool) -> Source {
     match (subject, role) {
@@ -86,13 +89,13 @@
     }
 }
 
-/// Names the key of the list of VMs with a disk.
+/// Returns the key of the list of VMs with a disk.
 #[must_use]
 pub fn members_key() -> String {
     format!("{}members", keys::OWN)
 }
 
-/// Names the prefix of the VMs that take requests.
+/// Returns the prefix of the entries of VMs that take requests.
 #[must_use]
 pub fn vm_prefix() -> String {
     format!("{}vm/", keys::OWN)
--- a/crates/relay/src/subject/tests.rs
+++ b/crates/relay/src/subject/tests.rs
@@ -5,8 +5,9 @@
 use super::source;
 use crate::peers::ExchangeRole;
 
-/// A VM that watched what it can hear from others would add its answers to every change; one that
-/// relied on others after they fell silent would go on with an old configuration.
+/// If a VM watched keys that it can learn of from other VMs, its watches would add to the answers
+/// for every change. If it relied on other VMs after they fell silent, it would keep using an old
+/// configuration.
 #[rstest]
 #[case::first_reads_runners(Subject::Runners, ExchangeRole::Direct, true, false, Source::Store)]
 #[case::others_hear_of_runners(Subject::Runners, ExchangeRole::Direct, false, false, Source::Peers)]
--- a/crates/relay/src/tally.rs
+++ b/crates/relay/src/tally.rs
@@ -1,51 +1,51 @@
-//! What VMs tell each other of a runner: how many requests they have under way at it, and how many
-//! of them hold it off because requests to it broke.
+//! Figures that VMs exchange about each runner: how many requests they have in flight at it, and
+//! how many VMs hold it off because requests to it broke.
 
 use serde::Deserialize;
 use serde::Serialize;
 use wire::clock::Millis;
 
-/// How long another VM's figures hold without newer ones.
+/// How long another VM's figures are valid without an update.
 const REPORT_MAX_AGE: Millis = Millis::new(600);
 
-/// Figures of one runner, of one VM or of several that one speaks for.
+/// Figures about one runner, from one VM or summed over several VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// The runner.
+    /// Id of the runner.
     pub runner: String,
-    /// Requests under way at it.
+    /// Requests in flight at the runner.
     pub under_way: u32,
-    /// How many VMs hold it off.
+    /// Number of VMs that hold the runner off.
     pub held_off: u32,
 }
 
-/// Whose figures these are.
+/// The VMs whose figures a message contains.
 ///
-/// In a large deployment sums are passed on, and for a moment several VMs may take themselves for
-/// the hub of a data centre. Were a sum added to another one without knowing whose it is, a VM's
-/// own requests would come back to it as others' and be told again: figures that double with each
-/// exchange, and all runners that look full.
+/// In a large deployment hubs forward sums, and for a moment several VMs may consider themselves
+/// the hub of a data centre. If sums were added up regardless of their origin, a VM's own requests
+/// would come back to it as those of others and be forwarded again: the figures would double with
+/// each exchange, and all runners would look full.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Origin {
-    /// One VM's own.
+    /// A single VM.
     Vm(String),
-    /// All VMs' of a data centre.
+    /// All VMs of a data centre.
     Centre(String),
-    /// All VMs' but the one that is told. Never told on.
+    /// All VMs but the recipient. Such figures are never forwarded.
     Others,
 }
 
-/// Whom a hub tells.
+/// The recipient of a hub's message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient<'a> {
-    /// A VM of its own data centre, by name: all that it knows of the others.
+    /// A VM of the hub's data centre, by name. It gets the figures of all other VMs.
     SameCentre(&'a str),
-    /// Another hub: the sum of its data centre.
+    /// Another hub. It gets the sum of the sender's data centre.
     OtherHub,
 }
 
-/// Tells whether a hub in `centre` adds an origin's figures to its own for this recipient; `in_own_centre`
-/// tells whether a VM belongs to its data centre.
+/// Returns whether a hub in `centre` includes the figures of `origin` in a message to `recipient`.
+/// `in_own_centre` returns whether a VM belongs to the hub's data centre.
 #[must_use]
 pub fn is_forwarded(
     origin: &Origin,
@@ -61,7 +61,7 @@
     }
 }
 
-/// What other VMs told of one runner.
+/// The latest reports of other VMs about one runner.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReports(Vec<Report>);
 
@@ -74,10 +74,10 @@
 }
 
 impl PeerReports {
-    /// Takes in what is told; `None` where there is nothing at this runner.
+    /// Replaces the report of an origin; `None` removes it, as the origin has nothing to report.
     ///
-    /// What is nothing isn't kept: a hub would have a report for each runner and VM, and go through all
-    /// of them for each message.
+    /// Empty reports aren't stored: otherwise a hub would have a report for each runner and VM, and
+    /// go through all of them for each message.
     pub fn note(&mut self, origin: &Origin, tally: Option<&Tally>, now: Millis) {
         let known = self.0.iter().position(|report| report.origin == *origin);
         let report = tally.map(|tally| Report {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Adds up what was told lately by the origins that `counts` names: requests under way, and VMs
-    /// that hold the runner off.
+    /// Sums up the recent reports of the origins that `counts` selects. Returns the requests in
+    /// flight and the number of VMs that hold the runner off.
     #[must_use]
     pub fn sum(&self, now: Millis, counts: impl Fn(&Origin) -> bool) -> (u32, u32) {
         let fresh = self
@@ -110,7 +110,8 @@
         })
     }
 
-    /// Yields what all others have: the sum that a hub told, or what was heard one by one.
+    /// Returns the totals of all other VMs: those that a hub sent, or the sum of individual
+    /// reports, whichever is higher.
     #[must_use]
     pub fn all(&self, now: Millis) -> (u32, u32) {
         let told = self.sum(now, |origin| *origin == Origin::Others);
--- a/crates/relay/src/tally/tests.rs
+++ b/crates/relay/src/tally/tests.rs
@@ -21,15 +21,16 @@
     Origin::Vm(name.to_owned())
 }
 
-/// What a VM that takes itself for a hub tells another one of its data centre, which does as well.
+/// Returns what a VM that considers itself a hub sends to another one of its data centre that does
+/// as well.
 fn tell(from: &PeerReports, own: u32, to: &str) -> Tally {
     let counts = |origin: &Origin| is_forwarded(origin, Recipient::SameCentre(to), "a", |_| true);
     tally(own + from.sum(NOW, counts).0)
 }
 
-/// After a hub was killed, two VMs both take themselves for its successor and tell each other sums.
-/// If these were told on, each exchange would add a VM's own requests once more; within a second
-/// all runners would look full, and callers be refused while they are idle.
+/// After a hub was killed, two VMs both consider themselves its successor and send each other sums.
+/// If these were forwarded, each exchange would add a VM's own requests once more. Within a second
+/// all runners would look full, and callers would be refused although the runners are idle.
 #[test]
 fn two_hubs_do_not_echo_each_others_sums() {
     let (mut a, mut b) = (PeerReports::default(), PeerReports::default());
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/work.rs
@@ -1,7 +1,8 @@
-//! What a process has under way, so that its end cuts nothing off unseen.
+//! Tracks the work in progress for requests, so that the end of the process cuts nothing off
+//! without a log line.
 //!
-//! The entry of an answer lasts from the request's headers until the answer is whole or given up,
-//! however long the client stays.
+//! The entry of an answer lasts from the request's headers until the answer is complete or
+//! abandoned, however long the client stays connected.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -10,39 +11,39 @@
 
 use tokio::time::Instant;
 
-/// All that is under way.
+/// The work in progress.
 #[derive(Debug, Default)]
 pub struct Registry(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// Sorted by number, as numbers grow.
+    /// Sorted by number, because numbers only grow.
     entries: Vec<Entry>,
     next: u64,
 }
 
-/// What is done for a request.
+/// The kind of work for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Its answer.
+    /// Answering the request.
     Answer,
-    /// What it used of its program's tokens is noted.
+    /// Recording how many tokens of its program's budget the request used.
     Settlement,
 }
 
-/// A piece of work.
+/// A unit of work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     number: u64,
-    /// What is done.
+    /// Kind of the work.
     pub kind: Kind,
-    /// The request's id, as its client gave it.
+    /// The request's id as given by its client.
     pub request: String,
-    /// When it began.
+    /// When the work began.
     pub since: Instant,
 }
 
-/// Keeps an entry until dropped.
+/// Removes the entry when dropped.
 #[derive(Debug)]
 pub struct Guard {
     registry: Arc<Registry>,
@@ -50,7 +51,7 @@
 }
 
 impl Registry {
-    /// Enters work for a request.
+    /// Adds an entry for work on a request, which lasts until the guard is dropped.
     #[must_use]
     pub fn begin(self: &Arc<Self>, kind: Kind, request: &str) -> Guard {
         let mut state = self.lock();
@@ -68,13 +69,13 @@
         }
     }
 
-    /// Yields how much is under way.
+    /// Returns the number of entries.
     #[must_use]
     pub fn count(&self) -> usize {
         self.lock().entries.len()
     }
 
-    /// Yields how many answers are.
+    /// Returns the number of answers in progress.
     #[must_use]
     pub fn answers(&self) -> usize {
         let state = self.lock();
@@ -82,7 +83,7 @@
         answers.filter(|entry| entry.kind == Kind::Answer).count()
     }
 
-    /// Yields what is under way, the oldest first.
+    /// Returns all entries, oldest first.
     #[must_use]
     pub fn entries(&self) -> Vec<Entry> {
         self.lock().entries.clone()
