--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -25,8 +25,8 @@
     let handler = |_request| std::future::ready(hyper::Response::new(Body::whole("")));
     let idle = Duration::from_mins(1);
     let listening = tokio::spawn(listen::run(listener, door.clone(), idle, handler));
-    let (stops, shuts) = (node.clone(), door.clone());
-    let drained = tokio::spawn(async move { run(&stops, &shuts, listening).await });
+    let (stopping_node, stopping_door) = (node.clone(), door.clone());
+    let drained = tokio::spawn(async move { run(&stopping_node, &stopping_door, listening).await });
     Stopping {
         node,
         door,
@@ -58,7 +58,7 @@
 /// without sending anything. If each open connection were waited for, the listener would stay open
 /// to the last moment and the next process would serve seconds later.
 #[tokio::test]
-async fn connections_that_bring_nothing_hold_no_listener_open() {
+async fn idle_connections_do_not_keep_the_listener_open() {
     let process = stopping(Millis::new(6_000)).await;
     let address = process.address;
     let callers = tokio::spawn(async move {
--- a/crates/relay/src/exchange/incoming.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -30,8 +30,8 @@
         replace_entries(node, &received.vm, entries);
     }
     if received.roster >= node.roster().revision {
-        let at = now.since(Millis::new(received.roster_age));
-        node.note_runners_current(at);
+        let current_at = now.since(Millis::new(received.roster_age));
+        node.note_runners_current(current_at);
     }
 }
 
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -116,8 +116,8 @@
 
     /// Finds a runner by id.
     pub fn runner(&mut self, id: &str) -> Option<&mut Runner> {
-        let at = self.find(id).ok()?;
-        Some(&mut self.runners[at])
+        let index = self.find(id).ok()?;
+        Some(&mut self.runners[index])
     }
 
     /// Returns all runners.
@@ -129,15 +129,16 @@
     /// Adds or updates a runner's entry. `memory` is the memory of its engine in tokens.
     pub fn set(&mut self, id: &str, entry: Entry, memory: u64) -> Change {
         match self.find(id) {
-            Err(at) => {
-                self.runners.insert(at, Runner::new(id, entry, memory));
+            Err(index) => {
+                self.runners.insert(index, Runner::new(id, entry, memory));
                 Change::Appeared
             }
-            Ok(at) => {
-                let runner = &mut self.runners[at];
+            Ok(index) => {
+                let runner = &mut self.runners[index];
                 runner.missing_since = None;
                 let restarted = runner.entry.born != entry.born;
-                let leaves = runner.entry.state == State::Ready && entry.state == State::Draining;
+                let starts_draining =
+                    runner.entry.state == State::Ready && entry.state == State::Draining;
                 if restarted {
                     // A restarted process has lost its caches and all other state.
                     let reports = std::mem::take(&mut runner.peer_reports);
@@ -148,7 +149,7 @@
                     return Change::Appeared;
                 }
                 runner.entry = entry;
-                if leaves {
+                if starts_draining {
                     Change::Draining
                 } else {
                     Change::Unchanged
@@ -160,8 +161,8 @@
     /// Removes a runner.
     pub fn remove(&mut self, id: &str) -> Change {
         match self.find(id) {
-            Ok(at) => {
-                self.runners.remove(at);
+            Ok(index) => {
+                self.runners.remove(index);
                 Change::Removed
             }
             Err(_) => Change::Unchanged,
@@ -212,7 +213,7 @@
     pub fn note_tallies(&mut self, origin: &Origin, tallies: &[Tally], now: Millis) {
         for runner in &mut self.runners {
             let found = tallies.binary_search_by(|tally| tally.runner.cmp(&runner.id));
-            let tally = found.ok().map(|at| &tallies[at]);
+            let tally = found.ok().map(|index| &tallies[index]);
             runner.peer_reports.note(origin, tally, now);
         }
     }
@@ -230,8 +231,8 @@
             }
         };
         let tallies = self.runners.iter().map(tally);
-        let tells = |tally: &Tally| tally.under_way > 0 || tally.held_off > 0;
-        tallies.filter(tells).collect()
+        let has_figures = |tally: &Tally| tally.under_way > 0 || tally.held_off > 0;
+        tallies.filter(has_figures).collect()
     }
 }
 
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -31,17 +31,17 @@
         let Some(first) = prompt.first() else {
             return;
         };
-        let at = self.find_demand(service).unwrap_or_else(|at| {
+        let index = self.find_demand(service).unwrap_or_else(|index| {
             let new = (service.to_owned(), Demand::default());
-            self.demand.insert(at, new);
-            at
+            self.demand.insert(index, new);
+            index
         });
-        self.demand[at].1.note(first.id, now);
+        self.demand[index].1.note(first.id, now);
     }
 
     fn demand(&self, service: &str) -> Option<&Demand> {
-        let at = self.find_demand(service).ok()?;
-        Some(&self.demand[at].1)
+        let index = self.find_demand(service).ok()?;
+        Some(&self.demand[index].1)
     }
 
     fn find_demand(&self, service: &str) -> Result<usize, usize> {
@@ -57,11 +57,11 @@
             .iter()
             .filter(|runner| runner.entry.service == request.service);
         let paces = of_service.map(|runner| runner.pace.at(request.now));
-        let first = match request.engine {
+        let default = match request.engine {
             Some(_) => DEFAULT_PACE_MS,
             None => DEFAULT_PLAIN_PACE_MS,
         };
-        pace::middle(paces, first)
+        pace::middle(paces, default)
     }
 
     /// Chooses a runner; `None` if the service has no eligible one.
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -18,8 +18,8 @@
 
 /// Returns how long a runner gets nothing after a failure. `before` is the number of earlier
 /// failures since the last success.
-pub(super) fn hold_off_span(before: u32) -> Millis {
-    let doubled = FIRST_HOLD_OFF.as_u64() << before.min(8);
+pub(super) fn hold_off_span(earlier_failures: u32) -> Millis {
+    let doubled = FIRST_HOLD_OFF.as_u64() << earlier_failures.min(8);
     Millis::new(doubled).min(MAX_HOLD_OFF)
 }
 
@@ -48,11 +48,11 @@
     /// [`QUIET_AFTER`].
     #[must_use]
     pub fn quiet_runners(&self, centre: &str, now: Millis) -> Vec<Target> {
-        let around = self.runners.iter().filter(|runner| {
+        let quiet = self.runners.iter().filter(|runner| {
             runner.entry.centre == centre
                 && !runner.unreachable
                 && now.since(runner.last_contact) >= QUIET_AFTER
         });
-        around.map(Runner::target).collect()
+        quiet.map(Runner::target).collect()
     }
 }
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -117,14 +117,14 @@
         let known = self.own_requests + others;
         // The runner's own report counts if it is higher than what is known here: another VM that
         // can't reach this one has requests there, too.
-        let told = self
+        let reported = self
             .load
             .filter(|(_, at)| request.now.since(*at) < REPORTED_LOAD_MAX_AGE);
-        let told = told.map_or(0, |(load, _)| load.running + load.waiting);
+        let reported = reported.map_or(0, |(load, _)| load.running + load.waiting);
         let busy = if self.full_until > request.now {
             known.max(self.entry.slots + 2)
         } else {
-            known.max(told)
+            known.max(reported)
         };
         let speed = 1_000.0 / self.pace.at(request.now).drawn_to(median_pace);
         Candidate {
--- a/crates/relay/src/fleet/tests.rs
+++ b/crates/relay/src/fleet/tests.rs
@@ -56,8 +56,8 @@
 
 fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::default();
-    for at in 0..count {
-        let id = format!("i-{at}");
+    for number in 0..count {
+        let id = format!("i-{number}");
         fleet.set(&id, entry(State::Ready), ENGINE.memory_tokens);
     }
     fleet
@@ -410,9 +410,9 @@
 #[test]
 fn runner_that_appears_in_a_burst_gets_its_share() {
     let mut fleet = fleet(6);
-    for at in 0..6 {
+    for number in 0..6 {
         let runner = fleet
-            .runner(&format!("i-{at}"))
+            .runner(&format!("i-{number}"))
             .expect("the runner is known");
         for _ in 0..8 {
             runner.note_success(100, Millis::new(500), NOW);
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -254,8 +254,8 @@
     /// Returns the age of the list of runners.
     #[must_use]
     pub fn runners_age(&self) -> Millis {
-        let at = Millis::new(self.runners_current_at.load(Ordering::Relaxed));
-        self.clock.now().since(at)
+        let current_at = Millis::new(self.runners_current_at.load(Ordering::Relaxed));
+        self.clock.now().since(current_at)
     }
 
     /// Records that the configuration in force was current at `now`.
@@ -272,16 +272,16 @@
         if self.source(Subject::Config) == Source::Peers {
             return self.runners_age();
         }
-        let at = Millis::new(self.config_current_at.load(Ordering::Relaxed));
-        self.clock.now().since(at)
+        let current_at = Millis::new(self.config_current_at.load(Ordering::Relaxed));
+        self.clock.now().since(current_at)
     }
 
     /// Returns whether entries of running runners may have lapsed since the list of runners was
     /// last current. An entry lapses when it can't be renewed for some heartbeats.
     #[must_use]
     pub fn may_have_lapsed(&self) -> bool {
-        let renewed = Millis::new(self.settings.heartbeat.as_u64() * ENTRY_LIFETIME_HEARTBEATS);
-        self.runners_age() > renewed
+        let certain_for = Millis::new(self.settings.heartbeat.as_u64() * ENTRY_LIFETIME_HEARTBEATS);
+        self.runners_age() > certain_for
     }
 
     /// Returns whether the list of runners is too old to rely on.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -99,14 +99,14 @@
     /// Adds or updates a VM. A new VM counts as just heard, so that it is asked.
     pub fn set(&mut self, vm: &str, centre: &str, address: SocketAddr, now: Millis) {
         match self.find(vm) {
-            Ok(at) => {
-                let peer = &mut self.known[at];
+            Ok(index) => {
+                let peer = &mut self.known[index];
                 peer.address = address;
                 centre.clone_into(&mut peer.centre);
                 peer.lapsed_at = None;
             }
-            Err(at) => self.known.insert(
-                at,
+            Err(index) => self.known.insert(
+                index,
                 Peer {
                     vm: vm.to_owned(),
                     centre: centre.to_owned(),
@@ -134,13 +134,13 @@
     /// Finds a VM by name.
     #[must_use]
     pub fn peer(&self, vm: &str) -> Option<&Peer> {
-        self.find(vm).ok().map(|at| &self.known[at])
+        self.find(vm).ok().map(|index| &self.known[index])
     }
 
     /// Records the state that a VM reported.
     pub fn note_status(&mut self, vm: &str, status: PeerStatus, now: Millis) {
-        if let Ok(at) = self.find(vm) {
-            let peer = &mut self.known[at];
+        if let Ok(index) = self.find(vm) {
+            let peer = &mut self.known[index];
             peer.last_heard = now;
             peer.lifecycle = status.lifecycle;
             peer.roster = status.roster;
@@ -150,8 +150,8 @@
 
     /// Records that a VM's entry has lapsed.
     pub fn mark_lapsed(&mut self, vm: &str, now: Millis) {
-        if let Ok(at) = self.find(vm) {
-            self.known[at].lapsed_at.get_or_insert(now);
+        if let Ok(index) = self.find(vm) {
+            self.known[index].lapsed_at.get_or_insert(now);
         }
     }
 
@@ -181,9 +181,9 @@
     /// hear only their hub and would all read at once.
     #[must_use]
     pub fn is_reader(&self, own: &str, now: Millis) -> bool {
-        let goes_on = |peer: &Peer| !self.is_direct() || peer.lifecycle == Lifecycle::Stays;
-        let mut before = self.known.iter().take_while(|peer| peer.vm.as_str() < own);
-        !before.any(|peer| peer.answers(now) && goes_on(peer))
+        let keeps_running = |peer: &Peer| !self.is_direct() || peer.lifecycle == Lifecycle::Stays;
+        let mut earlier = self.known.iter().take_while(|peer| peer.vm.as_str() < own);
+        !earlier.any(|peer| peer.answers(now) && keeps_running(peer))
     }
 
     fn is_direct(&self) -> bool {
@@ -240,16 +240,16 @@
         if role == ExchangeRole::Direct {
             asked.extend(self.known.iter().filter(|peer| peer.vm.as_str() > own));
         } else {
-            let before = self.find_hub(centre, |vm| vm < own, now);
-            asked.extend(before.probed(now));
-            asked.extend(before.hub);
+            let own_search = self.find_hub(centre, |vm| vm < own, now);
+            asked.extend(own_search.probed(now));
+            asked.extend(own_search.hub);
             if role == ExchangeRole::Hub {
-                let others = self.centres().into_iter().filter(|of| *of != centre);
-                for other in others.map(|of| self.find_hub(of, |_| true, now)) {
-                    if before.probes_other_centres(now) {
-                        asked.extend(other.probed(now));
+                let others = self.centres().into_iter().filter(|other| *other != centre);
+                for search in others.map(|other| self.find_hub(other, |_| true, now)) {
+                    if own_search.probes_other_centres(now) {
+                        asked.extend(search.probed(now));
                     }
-                    asked.extend(other.hub);
+                    asked.extend(search.hub);
                 }
             }
         }
@@ -291,10 +291,10 @@
     /// Returns the silent VMs that are probed now: the first [`PROBED_SILENT`], and one chosen by
     /// the time.
     fn probed(&self, now: Millis) -> impl Iterator<Item = &'a Peer> {
-        let turn = pseudo_random_index(now, self.silent.len());
+        let extra = pseudo_random_index(now, self.silent.len());
         let silent = self.silent.iter().copied().enumerate();
-        let tried = silent.filter(move |(at, _)| *at < PROBED_SILENT || *at == turn);
-        tried.map(|(_, peer)| peer)
+        let probed = silent.filter(move |(index, _)| *index < PROBED_SILENT || *index == extra);
+        probed.map(|(_, peer)| peer)
     }
 
     /// Returns whether a VM that has only silent VMs before it probes the silent VMs of other data
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -10,9 +10,9 @@
 
 fn peers(count: usize) -> Peers {
     let mut peers = Peers::default();
-    for at in 0..count {
-        let centre = ["a", "b", "c"][at % 3];
-        let vm = format!("vm-{at:03}");
+    for number in 0..count {
+        let centre = ["a", "b", "c"][number % 3];
+        let vm = format!("vm-{number:03}");
         peers.set(&vm, centre, ([127, 0, 0, 1], 7000).into(), NOW);
     }
     peers
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn few_vms_exchange_with_each_other_once_a_pair() {
+fn few_vms_exchange_pairwise() {
     let peers = peers(6);
     assert_eq!(
         peers.exchange_role("vm-000", "a", NOW),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn many_vms_exchange_over_their_hubs() {
+fn many_vms_exchange_through_hubs() {
     let peers = peers(MAX_DIRECT_PEERS + 60);
     assert_eq!(asked(&peers, "vm-030", "a", NOW), ["vm-000"]);
     assert_eq!(asked(&peers, "vm-000", "a", NOW), ["vm-001", "vm-002"]);
@@ -46,11 +46,11 @@
 /// pick the same idle runner. The next VM takes over within a second, and steps back when the hub
 /// is heard again.
 #[test]
-fn a_silent_hub_is_passed_over() {
+fn silent_hub_is_skipped() {
     let mut peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
-    for at in 1..MAX_DIRECT_PEERS + 60 {
-        peers.note_status(&format!("vm-{at:03}"), PeerStatus::default(), later);
+    for number in 1..MAX_DIRECT_PEERS + 60 {
+        peers.note_status(&format!("vm-{number:03}"), PeerStatus::default(), later);
     }
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000", "vm-003"]);
     assert_eq!(peers.exchange_role("vm-003", "a", later), ExchangeRole::Hub);
@@ -67,18 +67,18 @@
 /// before it, or if all leaves asked those of other data centres at once, the death of a hub would
 /// cost messages by the square of the number of VMs.
 #[test]
-fn leaves_without_a_hub_ask_few() {
+fn leaves_without_a_hub_ask_few_vms() {
     let peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
-    for at in 1..MAX_DIRECT_PEERS + 60 {
-        let own = format!("vm-{at:03}");
-        let asked = asked(&peers, &own, ["a", "b", "c"][at % 3], later);
+    for number in 1..MAX_DIRECT_PEERS + 60 {
+        let own = format!("vm-{number:03}");
+        let asked = asked(&peers, &own, ["a", "b", "c"][number % 3], later);
         assert!(asked.len() <= 9, "{own}: {asked:?}");
     }
 }
 
 #[test]
-fn a_vm_whose_entry_has_lapsed_is_forgotten_later() {
+fn vm_with_a_lapsed_entry_is_forgotten_after_a_while() {
     let mut peers = peers(3);
     peers.mark_lapsed("vm-000", NOW);
     assert!(peers.is_first("vm-003", "a", NOW));
@@ -91,7 +91,7 @@
 /// One VM reads the runners' entries for all and is cut off or killed. The next one by name takes
 /// over within a second, before the knowledge of the other VMs is stale.
 #[test]
-fn one_vm_reads_for_all_and_the_next_takes_over() {
+fn next_vm_takes_over_from_a_silent_reader() {
     let mut peers = peers(6);
     assert!(peers.is_reader("vm-000", NOW));
     assert!(!peers.is_reader("vm-001", NOW));
@@ -108,14 +108,14 @@
 /// other VMs would learn of the removal more than two seconds later, and send requests to a runner
 /// that is gone.
 #[test]
-fn readers_that_stop_are_not_waited_for() {
+fn stopping_readers_are_skipped() {
     let mut peers = peers(6);
-    let stops = PeerStatus {
+    let stopping = PeerStatus {
         lifecycle: Lifecycle::Stops,
         ..PeerStatus::default()
     };
     for vm in ["vm-000", "vm-001"] {
-        peers.note_status(vm, stops, NOW);
+        peers.note_status(vm, stopping, NOW);
     }
     assert!(peers.is_reader("vm-002", NOW));
     assert!(!peers.is_reader("vm-003", NOW));
--- a/crates/relay/src/roster.rs
+++ b/crates/relay/src/roster.rs
@@ -29,16 +29,16 @@
     /// Adds or updates an entry.
     pub fn set(&mut self, id: &str, bytes: &[u8], revision: u64, kind: ChangeKind) {
         match self.find(id) {
-            Ok(at) => self.entries[at].1 = bytes.to_vec(),
-            Err(at) => self.entries.insert(at, (id.to_owned(), bytes.to_vec())),
+            Ok(index) => self.entries[index].1 = bytes.to_vec(),
+            Err(index) => self.entries.insert(index, (id.to_owned(), bytes.to_vec())),
         }
         self.note_change(revision, kind);
     }
 
     /// Removes an entry.
     pub fn remove(&mut self, id: &str, revision: u64) {
-        if let Ok(at) = self.find(id) {
-            self.entries.remove(at);
+        if let Ok(index) = self.find(id) {
+            self.entries.remove(index);
             self.note_change(revision, ChangeKind::Significant);
         }
     }
--- a/crates/relay/src/roster/tests.rs
+++ b/crates/relay/src/roster/tests.rs
@@ -2,7 +2,7 @@
 use super::Roster;
 
 #[test]
-fn heartbeats_are_no_news_for_other_vms() {
+fn heartbeats_keep_the_revision() {
     let mut roster = Roster::default();
     roster.set("i-2", b"ready", 5, ChangeKind::Significant);
     roster.set("i-1", b"ready", 6, ChangeKind::Significant);
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -106,12 +106,12 @@
 /// process ends. Returns the refusal of a request that has not run.
 async fn wait_for_send_deadline(node: &Node, ends: Instant) -> Refusal {
     let stop = node.stopping().await;
-    let at = if outlasts(node, stop, ends) {
+    let deadline = if outlasts(node, stop, ends) {
         stop.last_call()
     } else {
         stop.last()
     };
-    let left = at.since(node.clock.now());
+    let left = deadline.since(node.clock.now());
     sleep(left.as_duration()).await;
     refusal(node, stop, ends)
 }
--- a/crates/relay/src/shutdown/tests.rs
+++ b/crates/relay/src/shutdown/tests.rs
@@ -36,7 +36,7 @@
 // than the process has. Its caller must learn before the end of the process that no runner got the
 // turn.
 #[tokio::test]
-async fn what_waits_at_the_last_call_is_told_that_it_has_not_run() {
+async fn request_waiting_at_the_send_deadline_is_refused_as_not_run() {
     let node = node();
     let stopping = node.clone();
     tokio::spawn(async move {
@@ -54,10 +54,10 @@
 // Work that is over before the process ends isn't abandoned, whether the process is stopping or
 // not. If it were refused, its caller would lose an answer that it could have had.
 #[rstest]
-#[case::that_ends_in_time(1_000)]
-#[case::while_nothing_stops(20_000)]
+#[case::request_ends_in_time(1_000)]
+#[case::process_is_not_stopping(20_000)]
 #[tokio::test]
-async fn nothing_is_given_up_without_need(#[case] ends_ms: u64) {
+async fn request_that_can_finish_is_not_abandoned(#[case] ends_ms: u64) {
     let node = node();
     let ends = in_ms(ends_ms);
     if ends_ms < GRACE.as_u64() {
@@ -74,7 +74,7 @@
 // A runner refuses a request just before the process ends. If it were sent to another runner, it
 // would be cut off there with an unknown outcome. Nobody has run it yet, so it is refused.
 #[tokio::test]
-async fn nothing_is_passed_on_after_the_last_call() {
+async fn nothing_is_sent_after_the_send_deadline() {
     let node = node();
     let ends = in_ms(20_000);
     node.begin_stop();
@@ -89,12 +89,12 @@
 // process ends. If it were cut off at that end, its caller wouldn't know that no runner got the
 // turn.
 #[tokio::test]
-async fn what_should_have_been_over_is_told_at_the_last_moment() {
+async fn overdue_request_is_refused_at_the_answer_deadline() {
     let node = node();
     let stop = node.begin_stop();
     let waited = with_send_deadline(&node, in_ms(1_000), pending::<()>());
-    let told = timeout(GRACE.as_duration(), waited).await;
-    let refusal = told.expect("it is told before the end").unwrap_err();
+    let refused = timeout(GRACE.as_duration(), waited).await;
+    let refusal = refused.expect("it is refused before the end").unwrap_err();
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
     assert!(node.clock.now() >= stop.last());
     assert!(node.clock.now() < stop.ends());
--- a/crates/relay/src/subject/tests.rs
+++ b/crates/relay/src/subject/tests.rs
@@ -9,9 +9,15 @@
 /// for every change. If it relied on other VMs after they fell silent, it would keep using an old
 /// configuration.
 #[rstest]
-#[case::first_reads_runners(Subject::Runners, ExchangeRole::Direct, true, false, Source::Store)]
-#[case::others_hear_of_runners(Subject::Runners, ExchangeRole::Direct, false, false, Source::Peers)]
-#[case::unless_they_are_stale(Subject::Runners, ExchangeRole::Leaf, false, true, Source::Store)]
+#[case::reader_watches_runners(Subject::Runners, ExchangeRole::Direct, true, false, Source::Store)]
+#[case::others_learn_runners_from_peers(
+    Subject::Runners,
+    ExchangeRole::Direct,
+    false,
+    false,
+    Source::Peers
+)]
+#[case::stale_runners_are_read(Subject::Runners, ExchangeRole::Leaf, false, true, Source::Store)]
 #[case::few_vms_watch_the_configuration(
     Subject::Config,
     ExchangeRole::Direct,
@@ -19,17 +25,35 @@
     false,
     Source::Store
 )]
-#[case::a_hub_watches_it(Subject::Config, ExchangeRole::Hub, true, false, Source::Store)]
-#[case::a_leaf_hears_of_it(Subject::Config, ExchangeRole::Leaf, false, false, Source::Peers)]
-#[case::unless_its_hub_is_silent(Subject::Config, ExchangeRole::Leaf, false, true, Source::Store)]
-#[case::a_leaf_reads_copies(Subject::Own, ExchangeRole::Leaf, false, false, Source::Copy)]
-#[case::a_hub_watches_own_keys(Subject::Own, ExchangeRole::Hub, true, false, Source::Store)]
-fn subjects_are_learnt_from(
+#[case::hub_watches_the_configuration(
+    Subject::Config,
+    ExchangeRole::Hub,
+    true,
+    false,
+    Source::Store
+)]
+#[case::leaf_learns_the_configuration_from_its_hub(
+    Subject::Config,
+    ExchangeRole::Leaf,
+    false,
+    false,
+    Source::Peers
+)]
+#[case::leaf_with_a_silent_hub_watches(
+    Subject::Config,
+    ExchangeRole::Leaf,
+    false,
+    true,
+    Source::Store
+)]
+#[case::leaf_reads_copies_of_own_keys(Subject::Own, ExchangeRole::Leaf, false, false, Source::Copy)]
+#[case::hub_watches_own_keys(Subject::Own, ExchangeRole::Hub, true, false, Source::Store)]
+fn source_of_each_subject(
     #[case] subject: Subject,
     #[case] role: ExchangeRole,
-    #[case] first: bool,
+    #[case] is_reader: bool,
     #[case] stale: bool,
     #[case] expected: Source,
 ) {
-    assert_eq!(source(subject, role, first, stale), expected);
+    assert_eq!(source(subject, role, is_reader, stale), expected);
 }
--- a/crates/relay/src/tally.rs
+++ b/crates/relay/src/tally.rs
@@ -87,9 +87,9 @@
             at: now,
         });
         match (known, report) {
-            (Some(at), Some(report)) => self.0[at] = report,
-            (Some(at), None) => {
-                self.0.swap_remove(at);
+            (Some(index), Some(report)) => self.0[index] = report,
+            (Some(index), None) => {
+                self.0.swap_remove(index);
             }
             (None, Some(report)) => self.0.push(report),
             (None, None) => {}
@@ -114,9 +114,9 @@
     /// reports, whichever is higher.
     #[must_use]
     pub fn all(&self, now: Millis) -> (u32, u32) {
-        let told = self.sum(now, |origin| *origin == Origin::Others);
-        let heard = self.sum(now, |origin| *origin != Origin::Others);
-        (told.0.max(heard.0), told.1.max(heard.1))
+        let from_hub = self.sum(now, |origin| *origin == Origin::Others);
+        let one_by_one = self.sum(now, |origin| *origin != Origin::Others);
+        (from_hub.0.max(one_by_one.0), from_hub.1.max(one_by_one.1))
     }
 }
 
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/work.rs
@@ -100,8 +100,8 @@
         let found = state
             .entries
             .binary_search_by_key(&self.number, |entry| entry.number);
-        if let Ok(at) = found {
-            state.entries.remove(at);
+        if let Ok(index) = found {
+            state.entries.remove(index);
         }
     }
 }
