--- a/crates/relay/examples/fleet/main.rs
+++ b/crates/relay/examples/fleet/main.rs
@@ -1,6 +1,6 @@
-//! Plays fleets of doubling sizes without sockets and prints how soon all VMs agree, and what each
-//! sends and gets for control, by mechanism. The same seed gives the same figures, but for processor
-//! time, which is that of the machine that plays.
+//! Simulates fleets of doubling sizes without sockets. Prints how soon all VMs agree, and the
+//! control traffic of each VM by mechanism. The same seed gives the same figures, except for
+//! processor time, which depends on the machine that runs the simulation.
 
 #[path = "../../tests/fleet_model/mod.rs"]
 mod fleet_model;
@@ -20,7 +20,7 @@
 use fleet_model::world::Size;
 use measure::Figures;
 
-/// The smallest fleet.
+/// Number of VMs of the smallest fleet.
 const SMALLEST: usize = 12;
 
 fn main() {
@@ -29,11 +29,11 @@
     let runners: usize = number(&matches, "runners");
     let figures: Vec<Figures> = sizes(vms)
         .into_iter()
-        .map(|of| {
-            eprintln!("{of} VMs");
-            measure::play(Size {
-                vms: of,
-                runners: (runners * of / vms).max(1),
+        .map(|size| {
+            eprintln!("{size} VMs");
+            measure::simulate(Size {
+                vms: size,
+                runners: (runners * size / vms).max(1),
                 centres: number(&matches, "centres"),
                 under_way: number(&matches, "under-way"),
                 seed: number(&matches, "seed"),
@@ -58,12 +58,12 @@
             .value_parser(value_parser!(usize))
     };
     Command::new("fleet")
-        .about("Plays the fleet without sockets, at doubling sizes up to --vms")
+        .about("Simulates the fleet without sockets, at doubling sizes up to --vms")
         .arg(number("vms", "300").help("VMs of the largest fleet"))
         .arg(number("runners", "600").help("Runners of the largest fleet; smaller ones have fewer"))
         .arg(number("centres", "4").help("Data centres"))
         .arg(number("under-way", "60").help("Requests that each VM has under way"))
-        .arg(number("seed", "1").help("What all is drawn from"))
+        .arg(number("seed", "1").help("Seed of all random choices"))
         .arg(
             Arg::new("json")
                 .long("json")
@@ -84,10 +84,10 @@
     T::try_from(number).unwrap_or_else(|_| panic!("--{name} is too large"))
 }
 
-/// Yields the sizes to play: doubling ones, and the largest.
-fn sizes(most: usize) -> Vec<usize> {
+/// Returns the sizes to simulate: doubling ones, then the largest.
+fn sizes(largest: usize) -> Vec<usize> {
     let doubled = std::iter::successors(Some(SMALLEST), |size| Some(size * 2));
-    let mut sizes: Vec<usize> = doubled.take_while(|size| *size < most).collect();
-    sizes.push(most);
+    let mut sizes: Vec<usize> = doubled.take_while(|size| *size < largest).collect();
+    sizes.push(largest);
     sizes
 }
--- a/crates/relay/examples/fleet/measure.rs
+++ b/crates/relay/examples/fleet/measure.rs
@@ -1,121 +1,136 @@
-//! Plays one fleet: a quiet time in which is counted, then what happens to fleets.
+//! Simulates one fleet: measures idle traffic first, then how soon all VMs learn of changes.
 
-use crate::fleet_model::count::Mechanism;
+use crate::fleet_model::traffic::Mechanism;
 use crate::fleet_model::world::Size;
 use crate::fleet_model::world::World;
 
-/// How long a fleet has to settle after its start, in milliseconds.
-const SETTLES: u64 = 10_000;
-/// How long is counted, in seconds.
-const COUNTED: u32 = 10;
-/// How long agreement is waited for, in milliseconds.
-const MOST: u64 = 60_000;
-/// Requests by which a VM's count is recognised at others.
-const MARK: u32 = 1_000;
+/// How long a fleet settles after its start, in milliseconds.
+const SETTLE_MS: u64 = 10_000;
+/// How long traffic is measured, in seconds.
+const MEASURED_SECONDS: u32 = 10;
+/// How long to wait for agreement, in milliseconds.
+const AGREEMENT_TIMEOUT_MS: u64 = 60_000;
+/// A number of requests that is high enough to recognise one VM's requests in the counts of other
+/// VMs.
+const MARKER_REQUESTS: u32 = 1_000;
 
-/// The figures of one size.
+/// Figures of one fleet size.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Runners.
+    /// Number of runners.
     pub runners: usize,
-    /// How long it took until all VMs agreed, by what happened; `None` where they didn't.
+    /// Time until all VMs agreed after each event, in milliseconds; `None` if they didn't.
     pub agreed: Vec<(&'static str, Option<u64>)>,
-    /// Messages and bytes a VM and second, on average.
+    /// Mean messages and bytes per VM and second, by mechanism.
     pub mechanisms: Vec<(&'static str, f64, f64)>,
-    /// Bytes a VM and second, on average.
+    /// Mean bytes per VM and second.
     pub mean_bytes: f64,
-    /// Bytes a second of the VM with most.
-    pub most_bytes: f64,
-    /// Exchanges a second that the VM which is asked most serves.
-    pub most_asked: f64,
-    /// VMs that asked the same one within a second, at most.
+    /// Bytes per second of the VM with the most.
+    pub max_bytes: f64,
+    /// Exchanges per second of the VM that serves the most.
+    pub max_exchanges_served: f64,
+    /// The most VMs that started an exchange with the same VM within a second.
     pub askers: usize,
-    /// Processor time on building and reading messages, in per cent of a core: on average, and of the
-    /// VM with most.
+    /// Processor time of building and reading messages, in per cent of a core: the mean, and that
+    /// of the VM with the most.
     pub processor: (f64, f64),
-    /// Runners that left and were put back.
-    pub returns: usize,
+    /// Number of times that a VM used a runner again that had left.
+    pub readmissions: usize,
 }
 
-/// Plays a fleet.
+/// Simulates a fleet.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts of a run stay far below 2^52"
 )]
-pub fn play(size: Size) -> Figures {
+pub fn simulate(size: Size) -> Figures {
     let mut world = World::new(size);
-    let started = world.run_until(MOST, |world| world.disagreeing().is_empty());
-    world.run(SETTLES);
+    let started = world.run_until(AGREEMENT_TIMEOUT_MS, |world| {
+        world.disagreeing_vms().is_empty()
+    });
+    world.run(SETTLE_MS);
     world.clear_counts();
-    world.run(u64::from(COUNTED) * 1_000);
-    let seconds = f64::from(COUNTED);
+    world.run(u64::from(MEASURED_SECONDS) * 1_000);
+    let seconds = f64::from(MEASURED_SECONDS);
     let vms = size.vms as f64;
-    let counts: Vec<_> = world.vms.iter().map(|vm| vm.count.clone()).collect();
-    let mechanisms = Mechanism::ALL.map(|of| {
-        let messages: u64 = counts.iter().map(|count| count.sum(of).messages).sum();
-        let bytes: u64 = counts.iter().map(|count| count.sum(of).bytes).sum();
+    let traffic: Vec<_> = world.vms.iter().map(|vm| vm.traffic.clone()).collect();
+    let mechanisms = Mechanism::ALL.map(|mechanism| {
+        let messages: u64 = traffic.iter().map(|vm| vm.sum(mechanism).messages).sum();
+        let bytes: u64 = traffic.iter().map(|vm| vm.sum(mechanism).bytes).sum();
         let each = vms * seconds;
-        (of.name(), messages as f64 / each, bytes as f64 / each)
+        (
+            mechanism.name(),
+            messages as f64 / each,
+            bytes as f64 / each,
+        )
     });
-    let bytes = counts.iter().map(|count| count.bytes() as f64 / seconds);
-    let spent = counts
+    let bytes = traffic.iter().map(|vm| vm.bytes() as f64 / seconds);
+    let processor = traffic
+        .iter()
+        .map(|vm| vm.processor_time.as_secs_f64() / seconds * 100.0);
+    let exchanges = traffic
         .iter()
-        .map(|count| count.spent.as_secs_f64() / seconds * 100.0);
-    let asked = counts.iter().map(|count| count.asked as f64 / seconds);
+        .map(|vm| vm.exchanges_served as f64 / seconds);
     let mut figures = Figures {
         vms: size.vms,
         runners: size.runners,
         agreed: vec![("start", started)],
         mechanisms: mechanisms.into(),
         mean_bytes: bytes.clone().sum::<f64>() / vms,
-        most_bytes: bytes.fold(0.0, f64::max),
-        most_asked: asked.fold(0.0, f64::max),
+        max_bytes: bytes.fold(0.0, f64::max),
+        max_exchanges_served: exchanges.fold(0.0, f64::max),
         askers: 0,
-        processor: (spent.clone().sum::<f64>() / vms, spent.fold(0.0, f64::max)),
-        returns: 0,
+        processor: (
+            processor.clone().sum::<f64>() / vms,
+            processor.fold(0.0, f64::max),
+        ),
+        readmissions: 0,
     };
-    figures.agreed.extend(happen(&mut world));
-    let askers = world.vms.iter().map(|vm| vm.count.most_askers);
+    figures.agreed.extend(measure_changes(&mut world));
+    let askers = world.vms.iter().map(|vm| vm.traffic.max_askers);
     figures.askers = askers.max().unwrap_or(0);
-    figures.returns = world.returns.len();
+    figures.readmissions = world.readmissions.len();
     figures
 }
 
-/// Has things happen one after the other; yields how long each took until all VMs knew.
-fn happen(world: &mut World) -> Vec<(&'static str, Option<u64>)> {
-    world.configure();
-    let config = world.run_until(MOST, World::agree_on_config);
-    let leaves = world.leave_runner(0);
-    let left = world.run_until(MOST, |world| world.agree_to_drop(&leaves));
-    let comes = world.enter_runner();
-    let came = world.run_until(MOST, |world| world.agree_to_use(&comes));
-    let counted = count(world, &comes);
-    let hub_config = after_hub_dies(world);
-    let hub_counted = count(world, &comes);
+/// Makes changes one after the other and returns how long it took for each until all VMs knew.
+fn measure_changes(world: &mut World) -> Vec<(&'static str, Option<u64>)> {
+    world.write_config();
+    let config = world.run_until(AGREEMENT_TIMEOUT_MS, World::agree_on_config);
+    let leaving = world.drain_runner(0);
+    let left = world.run_until(AGREEMENT_TIMEOUT_MS, |world| world.agree_to_drop(&leaving));
+    let joining = world.add_runner();
+    let joined = world.run_until(AGREEMENT_TIMEOUT_MS, |world| world.agree_to_use(&joining));
+    let counted = time_until_counted(world, &joining);
+    let hub_config = config_after_hub_death(world);
+    let hub_counted = time_until_counted(world, &joining);
     vec![
         ("config", config),
         ("runner left", left),
-        ("runner came", came),
+        ("runner came", joined),
         ("counts", counted),
         ("config, hub killed", hub_config),
         ("counts, hub killed", hub_counted),
     ]
 }
 
-/// Kills the first VM, just as a configuration comes.
-fn after_hub_dies(world: &mut World) -> Option<u64> {
+/// Kills the first VM just before a new configuration. Returns how long it took until all VMs had
+/// it.
+fn config_after_hub_death(world: &mut World) -> Option<u64> {
     world.kill(0);
-    world.configure();
-    world.run_until(MOST, World::agree_on_config)
+    world.write_config();
+    world.run_until(AGREEMENT_TIMEOUT_MS, World::agree_on_config)
 }
 
-/// Has the last VM begin many requests; yields how long it took until all VMs knew.
-fn count(world: &mut World, runner: &str) -> Option<u64> {
+/// Gives the last VM many requests and returns how long it took until all VMs knew.
+fn time_until_counted(world: &mut World, runner: &str) -> Option<u64> {
     let last = world.vms.len() - 1;
-    world.set_requests(last, runner, 2 * MARK);
-    let known = world.run_until(MOST, |world| world.counting_less(runner, MARK).is_empty());
+    world.set_requests(last, runner, 2 * MARKER_REQUESTS);
+    let known = world.run_until(AGREEMENT_TIMEOUT_MS, |world| {
+        world.vms_counting_less(runner, MARKER_REQUESTS).is_empty()
+    });
     world.set_requests(last, runner, 0);
     world.run(3_000);
     known
--- a/crates/relay/examples/fleet/plot.rs
+++ b/crates/relay/examples/fleet/plot.rs
@@ -1,4 +1,4 @@
-//! Draws bytes a VM and second over the fleet's size, a line a mechanism.
+//! Plots bytes per VM and second over the size of the fleet, one line per mechanism.
 
 use std::error::Error;
 use std::path::Path;
@@ -17,14 +17,14 @@
 
 use crate::measure::Figures;
 
-/// Pixels, across and down.
+/// Width and height in pixels.
 const PIXELS: (u32, u32) = (900, 560);
 
 /// Writes the plot.
 ///
 /// # Errors
 ///
-/// Fails where the file can't be written.
+/// Fails if the file can't be written.
 #[expect(clippy::cast_precision_loss, reason = "a fleet has some hundred VMs")]
 pub fn draw(figures: &[Figures], path: &Path) -> Result<(), Box<dyn Error>> {
     let (Some(first), Some(last)) = (figures.first(), figures.last()) else {
@@ -32,10 +32,10 @@
     };
     let area = SVGBackend::new(path, PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = figures.iter().map(|of| of.mean_bytes).fold(1.0, f64::max);
+    let most = figures.iter().map(|row| row.mean_bytes).fold(1.0, f64::max);
     let across = (first.vms as f64)..(last.vms as f64 + 1.0);
     let mut chart = ChartBuilder::on(&area)
-        .caption("bytes a VM and second, by mechanism", ("sans-serif", 18))
+        .caption("bytes per VM and second, by mechanism", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(72)
@@ -45,7 +45,7 @@
         let color = Palette99::pick(at).mix(1.0);
         let points = figures
             .iter()
-            .map(|of| (of.vms as f64, of.mechanisms[at].2));
+            .map(|row| (row.vms as f64, row.mechanisms[at].2));
         let points = points.filter(|(_, bytes)| *bytes >= 1.0);
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
--- a/crates/relay/examples/fleet/table.rs
+++ b/crates/relay/examples/fleet/table.rs
@@ -1,4 +1,4 @@
-//! Prints what was measured.
+//! Renders the figures as text or JSON.
 
 use std::fmt::Write;
 
@@ -7,11 +7,11 @@
 
 use crate::measure::Figures;
 
-/// Renders tables.
+/// Renders the figures as text tables.
 pub fn text(figures: &[Figures]) -> String {
     let mut text = String::from("until all VMs agree, in ms\n");
-    for of in figures {
-        let agreed = of.agreed.iter().map(|(name, span)| {
+    for row in figures {
+        let agreed = row.agreed.iter().map(|(name, span)| {
             let span = span.map_or_else(|| "never".to_owned(), |span| span.to_string());
             format!("{name} {span}")
         });
@@ -20,39 +20,39 @@
             &mut text,
             &format!(
                 "{:>4} VMs, {:>4} runners: {}",
-                of.vms,
-                of.runners,
+                row.vms,
+                row.runners,
                 agreed.join(", ")
             ),
         );
     }
-    line(&mut text, "\nmessages / bytes a VM and second, quiet");
-    for of in figures {
-        let parts = of.mechanisms.iter();
+    line(&mut text, "\nmessages / bytes per VM and second, idle");
+    for row in figures {
+        let parts = row.mechanisms.iter();
         let parts = parts.map(|(name, messages, bytes)| format!("{name} {messages:.2}/{bytes:.0}"));
         let parts: Vec<String> = parts.collect();
         line(
             &mut text,
-            &format!("{:>4} VMs: {}", of.vms, parts.join(", ")),
+            &format!("{:>4} VMs: {}", row.vms, parts.join(", ")),
         );
     }
     line(
         &mut text,
-        "\na VM, quiet: bytes/s mean and most, exchanges/s most, % of a core mean and most; askers within a second, returns",
+        "\nper VM, idle: bytes/s mean and max, exchanges/s max, % of a core mean and max; most askers within a second, runners used again after leaving",
     );
-    for of in figures {
+    for row in figures {
         line(
             &mut text,
             &format!(
                 "{:>4} VMs: {:.0} {:.0}, {:.0}, {:.2} {:.2}; {}, {}",
-                of.vms,
-                of.mean_bytes,
-                of.most_bytes,
-                of.most_asked,
-                of.processor.0,
-                of.processor.1,
-                of.askers,
-                of.returns
+                row.vms,
+                row.mean_bytes,
+                row.max_bytes,
+                row.max_exchanges_served,
+                row.processor.0,
+                row.processor.1,
+                row.askers,
+                row.readmissions
             ),
         );
     }
@@ -64,33 +64,33 @@
     let _written = writeln!(text, "{line}");
 }
 
-/// Renders JSON.
+/// Renders the figures as JSON.
 pub fn json(figures: &[Figures]) -> Value {
     figures.iter().map(object).collect()
 }
 
-fn object(of: &Figures) -> Value {
-    let agreed = of.agreed.iter();
+fn object(row: &Figures) -> Value {
+    let agreed = row.agreed.iter();
     let agreed: Vec<Value> = agreed
         .map(|(name, span)| json!({ "event": name, "ms": span }))
         .collect();
-    let mechanisms = of.mechanisms.iter();
+    let mechanisms = row.mechanisms.iter();
     let mechanisms: Vec<Value> = mechanisms
         .map(|(name, messages, bytes)| {
             json!({ "mechanism": name, "messages_s": messages, "bytes_s": bytes })
         })
         .collect();
     json!({
-        "vms": of.vms,
-        "runners": of.runners,
+        "vms": row.vms,
+        "runners": row.runners,
         "agreed": agreed,
         "mechanisms": mechanisms,
-        "mean_bytes_s": of.mean_bytes,
-        "most_bytes_s": of.most_bytes,
-        "most_asked_s": of.most_asked,
-        "askers": of.askers,
-        "mean_processor_percent": of.processor.0,
-        "most_processor_percent": of.processor.1,
-        "returns": of.returns,
+        "mean_bytes_s": row.mean_bytes,
+        "most_bytes_s": row.max_bytes,
+        "most_asked_s": row.max_exchanges_served,
+        "askers": row.askers,
+        "mean_processor_percent": row.processor.0,
+        "most_processor_percent": row.processor.1,
+        "returns": row.readmissions,
     })
 }
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -43,7 +43,7 @@
     // then.
     door.shut.cancel();
     if timeout(LISTENER_CLOSE_TIMEOUT, listener).await.is_err() {
-        log::warn!("text=\"the listener for clients doesn't close\"");
+        log::warn!("text=\"the listener for clients did not close in time\"");
     }
     wait_until(|| stop.is_over(node.clock.now(), activity(node, door))).await;
     log_cut(&node.work.entries());
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -48,11 +48,11 @@
 enum Fault {
     #[display("{_0}")]
     Client(client::Fault),
-    #[display("can't be encoded: {_0}")]
+    #[display("the message can't be encoded: {_0}")]
     Encode(rmp_serde::encode::Error),
-    #[display("can't be read: {_0}")]
+    #[display("the answer can't be decoded: {_0}")]
     Decode(rmp_serde::decode::Error),
-    #[display("can't be sent: {_0}")]
+    #[display("the HTTP request can't be built: {_0}")]
     Http(hyper::http::Error),
 }
 
@@ -94,7 +94,7 @@
     match timeout(TIMEOUT, ask(&node, &peer)).await {
         Ok(Ok(message)) => incoming::apply(&node, message),
         Ok(Err(fault)) => log::debug!("peer {}: {fault}", peer.vm),
-        Err(_) => log::debug!("peer {}: no answer in time", peer.vm),
+        Err(_) => log::debug!("peer {}: exchange timed out", peer.vm),
     }
 }
 
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -127,7 +127,7 @@
 fn refusal(node: &Node, stop: Stop, ends: Instant) -> Refusal {
     let now = node.clock.now();
     let detail = format!(
-        "stopping for {}, ends in {}, may need {}",
+        "the VM has been stopping for {}, ends in {}, and the request may need {}",
         now.since(stop.begun()),
         stop.left(now),
         time_needed(ends)
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -1,21 +1,22 @@
-//! The fleet at size: dozens of VMs that agree on runners and configuration while hubs die, halves
-//! can't hear each other, VMs are added and all restart. Fixed seeds; the verdict never varies.
+//! Tests dozens of VMs that have to agree on runners and configuration while hubs die, halves can't
+//! reach each other, VMs are added and all VMs restart. Seeds are fixed, so the results are
+//! deterministic.
 
-use fleet_model::network::End;
+use fleet_model::network::Host;
 use fleet_model::world::Size;
 use fleet_model::world::World;
 use rstest::rstest;
 
 mod fleet_model;
 
-/// How soon a leaving runner has to be free of new calls and a configuration in force, in
-/// milliseconds.
-const BOUND: u64 = 2_000;
-/// How long a VM has to have had contact before the bounds hold for it, in milliseconds.
-const CONTACT: u64 = 3_000;
-/// How long VMs need to be on the list of each other: the service's copies are two seconds old, and
-/// with some dozens of VMs they are read every few seconds.
-const LISTED: u64 = 8_000;
+/// Time within which a leaving runner has to stop getting new calls and a configuration has to be
+/// in force, in milliseconds.
+const BOUND_MS: u64 = 2_000;
+/// How long a VM needs contact with the others before the bounds apply to it, in milliseconds.
+const CONTACT_MS: u64 = 3_000;
+/// How long VMs need to learn of each other, in milliseconds: the service's copies are up to two
+/// seconds old, and with some dozens of VMs they are read every few seconds.
+const LISTED_MS: u64 = 8_000;
 const CENTRES: usize = 3;
 
 fn fleet(vms: usize, seed: u64) -> World {
@@ -26,221 +27,229 @@
         under_way: 8,
         seed,
     });
-    world.run(LISTED);
-    assert_eq!(world.disagreeing(), [""; 0]);
+    world.run(LISTED_MS);
+    assert_eq!(world.disagreeing_vms(), [""; 0]);
     world
 }
 
-/// A configuration, a runner that leaves and one that comes.
+/// A new configuration, a runner that leaves and one that joins.
 struct Changes {
-    leaves: String,
-    comes: String,
+    leaving: String,
+    joining: String,
 }
 
 impl Changes {
-    fn make(world: &mut World, leaves: usize) -> Self {
-        world.configure();
+    fn apply(world: &mut World, leaving: usize) -> Self {
+        world.write_config();
         Self {
-            leaves: world.leave_runner(leaves),
-            comes: world.enter_runner(),
+            leaving: world.drain_runner(leaving),
+            joining: world.add_runner(),
         }
     }
 
     fn are_known(&self, world: &World) -> bool {
         world.agree_on_config()
-            && world.agree_to_drop(&self.leaves)
-            && world.agree_to_use(&self.comes)
+            && world.agree_to_drop(&self.leaving)
+            && world.agree_to_use(&self.joining)
     }
 
-    /// Fails where not all living VMs know of them within `most` milliseconds.
-    fn assert_known(&self, world: &mut World, most: u64) {
-        let known = world.run_until(most, |world| self.are_known(world));
+    /// Fails unless all running VMs know of the changes within `max_ms`.
+    fn assert_known(&self, world: &mut World, max_ms: u64) {
+        let known = world.run_until(max_ms, |world| self.are_known(world));
         let at = world.since_start();
         assert!(
             known.is_some(),
             "at {at}: config {} leaves {} comes {}",
             world.agree_on_config(),
-            world.agree_to_drop(&self.leaves),
-            world.agree_to_use(&self.comes)
+            world.agree_to_drop(&self.leaving),
+            world.agree_to_use(&self.joining)
         );
     }
 }
 
-/// Fails where a runner that left was put back, or a VM was asked by more than those that may within
-/// a second: those of its data centre, and as many others while data centres look for their hubs.
-fn assert_sound(world: &World) {
-    assert_eq!(world.returns, [], "runners that left are used again");
+/// Fails if a VM used a runner again that had left, or if too many VMs started exchanges with the
+/// same VM within a second. Allowed are those of its data centre, and as many others while data
+/// centres look for their hubs.
+fn assert_invariants(world: &World) {
+    assert_eq!(world.readmissions, [], "runners that left are used again");
     let of_centre = world.vms.len().div_ceil(CENTRES);
     for vm in &world.vms {
-        let askers = vm.count.most_askers;
+        let askers = vm.traffic.max_askers;
         assert!(askers <= 2 * of_centre, "{}: {askers} askers", vm.name);
     }
 }
 
-/// Fails where a VM's requests aren't known to all others within [`BOUND`].
-fn assert_counted(world: &mut World, vm: usize) {
+/// Fails unless all other VMs learn of a VM's requests within [`BOUND_MS`].
+fn assert_requests_known(world: &mut World, vm: usize) {
     let runner = "r-0029";
     world.set_requests(vm, runner, 2_000);
-    let all = world.run_until(BOUND, |world| world.counting_less(runner, 1_000).is_empty());
-    assert!(all.is_some(), "{:?}", world.counting_less(runner, 1_000));
+    let known = world.run_until(BOUND_MS, |world| {
+        world.vms_counting_less(runner, 1_000).is_empty()
+    });
+    assert!(
+        known.is_some(),
+        "{:?}",
+        world.vms_counting_less(runner, 1_000)
+    );
     world.set_requests(vm, runner, 0);
-    world.run(BOUND);
-    assert_eq!(world.counting(runner, 1_000), [""; 0]);
+    world.run(BOUND_MS);
+    assert_eq!(world.vms_counting(runner, 1_000), [""; 0]);
 }
 
-/// A configuration changes, a runner leaves and one comes, just as a hub is killed, one after the
-/// other. Its VMs hear nothing for a second, then another one takes over. None may use what is gone
-/// for longer than on a quiet day.
+/// Kills hubs one after the other, each just before a configuration changes, one runner leaves and
+/// another one joins. The hub's leaves hear nothing for a second until another VM takes over. The
+/// bounds hold nevertheless.
 #[rstest]
 fn hubs_are_killed_one_after_the_other(#[values(1, 2, 3)] seed: u64) {
     let mut world = fleet(48, seed);
     for hub in 0..4 {
         world.kill(hub);
-        let changes = Changes::make(&mut world, hub);
-        changes.assert_known(&mut world, BOUND);
-        world.run(BOUND);
-        world.remove_runner(&changes.leaves);
+        let changes = Changes::apply(&mut world, hub);
+        changes.assert_known(&mut world, BOUND_MS);
+        world.run(BOUND_MS);
+        world.remove_runner(&changes.leaving);
     }
-    world.run(LISTED);
-    assert_eq!(world.disagreeing(), [""; 0]);
-    assert_sound(&world);
+    world.run(LISTED_MS);
+    assert_eq!(world.disagreeing_vms(), [""; 0]);
+    assert_invariants(&world);
 }
 
-/// The hub of one data centre is killed, and its successor has never heard the other hubs, nor they
-/// it. Unless one of them asks, no data centre hears of the other's requests again, and each fills
-/// runners that the other has filled.
+/// The hub of one data centre is killed. Its successor and the other hubs have never heard each
+/// other. Unless one of them asks the other, no data centre learns of the other's requests again,
+/// and each sends requests to runners that the other has filled.
 #[rstest]
 fn data_centres_hear_each_other_after_a_hub_is_killed(#[values(1, 2, 3)] seed: u64) {
     let mut world = fleet(48, seed);
-    assert_counted(&mut world, 30);
+    assert_requests_known(&mut world, 30);
     world.kill(0);
-    world.run(CONTACT);
-    assert_counted(&mut world, 30);
+    world.run(CONTACT_MS);
+    assert_requests_known(&mut world, 30);
     world.kill(1);
     world.kill(3);
-    world.run(CONTACT);
-    assert_counted(&mut world, 31);
-    assert_sound(&world);
+    world.run(CONTACT_MS);
+    assert_requests_known(&mut world, 31);
+    assert_invariants(&world);
 }
 
-/// A data centre can't hear the others, nor the service; later it can. Meanwhile the others go on by
-/// the bounds, and after it all do.
+/// A data centre can reach neither the others nor the service until the partition heals. Meanwhile
+/// the bounds hold for the other data centres, and afterwards for all.
 #[rstest]
 #[case::the_first(0)]
 #[case::the_last(2)]
 fn a_data_centre_is_cut_off_and_comes_back(#[case] centre: usize, #[values(1, 2)] seed: u64) {
     let mut world = fleet(36, seed);
     let (cut, rest): (Vec<usize>, Vec<usize>) = (0..36).partition(|vm| vm % CENTRES == centre);
-    let cut: Vec<End> = cut.into_iter().map(End::Vm).collect();
-    let mut rest: Vec<End> = rest.into_iter().map(End::Vm).collect();
-    rest.push(End::Store);
-    world.cut_apart(&cut, &rest);
-    let changes = Changes::make(&mut world, 0);
+    let cut: Vec<Host> = cut.into_iter().map(Host::Vm).collect();
+    let mut rest: Vec<Host> = rest.into_iter().map(Host::Vm).collect();
+    rest.push(Host::Store);
+    world.cut_both_ways(&cut, &rest);
+    let changes = Changes::apply(&mut world, 0);
     let outside = |world: &World| {
         let of_rest = |vm: &usize| vm % CENTRES != centre;
-        world.living().filter(of_rest).all(|vm| {
+        world.running_vms().filter(of_rest).all(|vm| {
             let process = world.vms[vm].process.as_ref();
-            process.is_some_and(|process| !process.uses(&changes.leaves))
+            process.is_some_and(|process| !process.uses(&changes.leaving))
         })
     };
-    assert!(world.run_until(BOUND, outside).is_some());
+    assert!(world.run_until(BOUND_MS, outside).is_some());
     world.run(20_000);
-    world.remove_runner(&changes.leaves);
+    world.remove_runner(&changes.leaving);
     world.network.heal();
-    changes.assert_known(&mut world, CONTACT + BOUND);
-    Changes::make(&mut world, 1).assert_known(&mut world, BOUND);
-    world.run(LISTED);
-    assert_counted(&mut world, centre + 15);
-    assert_sound(&world);
+    changes.assert_known(&mut world, CONTACT_MS + BOUND_MS);
+    Changes::apply(&mut world, 1).assert_known(&mut world, BOUND_MS);
+    world.run(LISTED_MS);
+    assert_requests_known(&mut world, centre + 15);
+    assert_invariants(&world);
 }
 
-/// VMs of each data centre can't hear the other half, while all hear the service. Both halves go on
-/// by the bounds, and when they hear each other again, none puts a runner back that left.
+/// One half of the VMs of each data centre can't reach the other half, while all reach the service.
+/// The bounds hold for both halves. When the partition heals, no VM uses a runner again that has
+/// left.
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
 fn halves_that_cannot_hear_each_other(#[case] both: bool, #[values(1, 2)] seed: u64) {
     let mut world = fleet(36, seed);
-    let half = |odd: usize| -> Vec<End> {
+    let half = |odd: usize| -> Vec<Host> {
         let of_half = (0..36).filter(|vm| (vm / CENTRES) % 2 == odd);
-        of_half.map(End::Vm).collect()
+        of_half.map(Host::Vm).collect()
     };
-    world.cut_off(&half(0), &half(1));
+    world.cut_one_way(&half(0), &half(1));
     if both {
-        world.cut_off(&half(1), &half(0));
+        world.cut_one_way(&half(1), &half(0));
     }
-    for leaves in 0..3 {
-        let changes = Changes::make(&mut world, leaves);
-        changes.assert_known(&mut world, BOUND);
+    for leaving in 0..3 {
+        let changes = Changes::apply(&mut world, leaving);
+        changes.assert_known(&mut world, BOUND_MS);
         world.run(3_000);
-        world.remove_runner(&changes.leaves);
+        world.remove_runner(&changes.leaving);
     }
     world.network.heal();
-    Changes::make(&mut world, 3).assert_known(&mut world, BOUND);
-    world.run(LISTED);
-    assert_counted(&mut world, 20);
-    assert_sound(&world);
+    Changes::apply(&mut world, 3).assert_known(&mut world, BOUND_MS);
+    world.run(LISTED_MS);
+    assert_requests_known(&mut world, 20);
+    assert_invariants(&world);
 }
 
-/// A few VMs that all ask each other become dozens, ten at a time, and for seconds some think that
-/// they are few while others already have hubs.
+/// A few VMs that exchange pairwise grow to dozens, ten at a time. For seconds, some VMs consider
+/// the deployment small while others already have hubs.
 #[rstest]
 fn vms_are_added_by_tens(#[values(1, 2, 3)] seed: u64) {
     let mut world = fleet(8, seed);
-    for leaves in 0..4 {
+    for leaving in 0..4 {
         world.add(10);
         world.run(1_000);
-        let changes = Changes::make(&mut world, leaves);
-        changes.assert_known(&mut world, BOUND);
+        let changes = Changes::apply(&mut world, leaving);
+        changes.assert_known(&mut world, BOUND_MS);
         world.run(1_000);
-        world.remove_runner(&changes.leaves);
+        world.remove_runner(&changes.leaving);
     }
-    world.run(2 * LISTED);
-    assert_eq!(world.disagreeing(), [""; 0]);
-    assert_counted(&mut world, 47);
-    assert_sound(&world);
+    world.run(2 * LISTED_MS);
+    assert_eq!(world.disagreeing_vms(), [""; 0]);
+    assert_requests_known(&mut world, 47);
+    assert_invariants(&world);
 }
 
-/// All processes end and start at once. Each knows nothing, and what the first ones hear of each
-/// other mustn't bring a runner back that was removed while all were away.
+/// All processes end and restart at once, knowing nothing. What the first ones learn from each
+/// other must not bring back a runner that was removed while all were down.
 #[rstest]
 fn all_are_restarted_at_once(#[values(1, 2, 3)] seed: u64) {
     let mut world = fleet(48, seed);
-    let leaves = world.leave_runner(5);
+    let removed = world.drain_runner(5);
     for vm in 0..48 {
         world.kill(vm);
     }
     world.run(300);
-    world.remove_runner(&leaves);
+    world.remove_runner(&removed);
     for vm in 0..48 {
         world.start(vm);
     }
     world.run(200);
-    let changes = Changes::make(&mut world, 6);
-    changes.assert_known(&mut world, BOUND);
-    assert!(world.agree_to_drop(&leaves));
-    world.run(LISTED);
-    assert_counted(&mut world, 40);
-    assert_sound(&world);
+    let changes = Changes::apply(&mut world, 6);
+    changes.assert_known(&mut world, BOUND_MS);
+    assert!(world.agree_to_drop(&removed));
+    world.run(LISTED_MS);
+    assert_requests_known(&mut world, 40);
+    assert_invariants(&world);
 }
 
-/// What a VM sends in a second, on average: messages and bytes.
-fn sent(vms: usize) -> (f64, f64) {
+/// Returns the mean messages and bytes that a VM sends in a second.
+fn sent_per_second(vms: usize) -> (f64, f64) {
     let mut world = fleet(vms, 1);
     world.clear_counts();
     world.run(5_000);
     let mean = |sum: u64| f64::from(u32::try_from(sum).expect("some megabytes")) / 5.0;
-    let messages: u64 = world.vms.iter().map(|vm| vm.count.messages()).sum();
-    let bytes: u64 = world.vms.iter().map(|vm| vm.count.bytes()).sum();
+    let messages: u64 = world.vms.iter().map(|vm| vm.traffic.messages()).sum();
+    let bytes: u64 = world.vms.iter().map(|vm| vm.traffic.bytes()).sum();
     let vms = f64::from(u32::try_from(vms).expect("some hundred"));
     (mean(messages) / vms, mean(bytes) / vms)
 }
 
-/// With twice as many VMs at the same runners a VM sends no more, so that the whole doesn't grow
-/// with the square of their number.
+/// With four times as many VMs at the same runners, a VM sends no more, so the total doesn't grow
+/// with the square of the number of VMs.
 #[test]
 fn what_a_vm_sends_does_not_grow_with_their_number() {
-    let (few, many) = (sent(24), sent(96));
+    let (few, many) = (sent_per_second(24), sent_per_second(96));
     assert!(many.0 <= few.0 * 1.25, "messages {few:?} {many:?}");
     assert!(many.1 <= few.1 * 1.25, "bytes {few:?} {many:?}");
 }
--- a/crates/relay/tests/fleet_model/mod.rs
+++ b/crates/relay/tests/fleet_model/mod.rs
@@ -1,19 +1,20 @@
-//! A model of the fleet: VMs with the product's own state of what they tell each other, a stand-in
-//! of the key-value service in memory, and messages by a seeded queue that delays, drops and cuts.
+//! A simulated fleet: VMs with the product's own code for exchanging messages, an in-memory
+//! stand-in for the key-value service, and a seeded queue of messages that are delayed, dropped and
+//! cut off.
 //!
-//! There are no sockets and no tasks, and the time is played, so that hundreds of VMs fit into a
-//! test and the same seed gives the same run. Shared by the example `fleet` and the tests.
+//! It uses neither sockets nor tasks, and its time is simulated, so hundreds of VMs fit into a test
+//! and the same seed gives the same run. Shared by the example `fleet` and the tests.
 
 #![allow(
     dead_code,
     reason = "the example and the tests each use a part of the model"
 )]
 
-pub mod count;
 pub mod network;
-pub mod play;
 pub mod queue;
+pub mod simulate;
 pub mod store;
+pub mod traffic;
 pub mod view;
 pub mod vm;
 pub mod world;
--- a/crates/relay/tests/fleet_model/network.rs
+++ b/crates/relay/tests/fleet_model/network.rs
@@ -1,66 +1,65 @@
-//! The ways between VMs, and to the key-value service: how long a message takes, and whether it
-//! arrives.
+//! The network between VMs and the key-value service: how long messages take, and whether they
+//! arrive.
 
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Of a thousand messages, so many come late.
-const LATE: u32 = 10;
+/// Number of messages in a thousand that are late.
+const LATE_PER_MILLE: u32 = 10;
 
-/// An end of a way.
+/// A sender or recipient of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// A VM.
+pub enum Host {
+    /// A VM, by number.
     Vm(usize),
     /// The key-value service.
     Store,
 }
 
-/// VMs that don't reach others: one way only.
+/// Messages lost between two groups of hosts, in one direction only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cut {
-    /// Whose messages are lost.
-    pub from: Vec<End>,
-    /// Where they are lost.
-    pub to: Vec<End>,
+    /// Senders whose messages are lost.
+    pub from: Vec<Host>,
+    /// Recipients that the messages don't reach.
+    pub to: Vec<Host>,
 }
 
-/// The ways.
+/// The network.
 #[derive(Debug)]
 pub struct Network {
     draws: ChaCha8Rng,
-    /// Of a thousand messages, so many are lost and sent again, as connections do.
-    pub lost: u32,
+    /// Number of messages in a thousand that are lost and retransmitted, as TCP does.
+    pub lost_per_mille: u32,
     cuts: Vec<Cut>,
 }
 
 impl Network {
-    /// Makes ways that lose so many of a thousand messages.
-    pub fn new(seed: u64, lost: u32) -> Self {
+    /// Creates a network that loses `lost_per_mille` of a thousand messages.
+    pub fn new(seed: u64, lost_per_mille: u32) -> Self {
         Self {
             draws: ChaCha8Rng::seed_from_u64(seed),
-            lost,
+            lost_per_mille,
             cuts: Vec::new(),
         }
     }
 
-    /// Cuts ways off.
+    /// Adds a cut.
     pub fn cut(&mut self, cut: Cut) {
         self.cuts.push(cut);
     }
 
-    /// Ends all cuts.
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Draws how many milliseconds a message takes; `None` where the way is
-    /// cut.
-    pub fn delay(&mut self, from: End, to: End) -> Option<u64> {
+    /// Returns a random delay of a message in milliseconds; `None` if it is cut off.
+    pub fn delay(&mut self, from: Host, to: Host) -> Option<u64> {
         let cuts = |cut: &Cut| cut.from.contains(&from) && cut.to.contains(&to);
-        let lost = self.draws.random_range(0..1_000) < self.lost;
-        let late = self.draws.random_range(0..1_000) < LATE;
+        let lost = self.draws.random_range(0..1_000) < self.lost_per_mille;
+        let late = self.draws.random_range(0..1_000) < LATE_PER_MILLE;
         let usual = self.draws.random_range(1..=4);
         let later = self.draws.random_range(20..=120);
         let again = self.draws.random_range(200..=600);
@@ -74,8 +73,8 @@
         })
     }
 
-    /// Draws a number below `most`.
-    pub fn below(&mut self, most: usize) -> usize {
-        self.draws.random_range(0..most)
+    /// Returns a random number below `bound`.
+    pub fn random_below(&mut self, bound: usize) -> usize {
+        self.draws.random_range(0..bound)
     }
 }
--- a/crates/relay/tests/fleet_model/queue.rs
+++ b/crates/relay/tests/fleet_model/queue.rs
@@ -1,4 +1,4 @@
-//! What is going to happen, in the order of time.
+//! The queue of future events, ordered by time.
 
 use std::collections::BTreeMap;
 
@@ -8,77 +8,77 @@
 use platform::edge;
 use relay::exchange::outgoing::Message;
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug)]
 pub enum Event {
-    /// Something of one process; dropped where it has ended meanwhile.
+    /// A step of one process, dropped if the process has ended since.
     Process {
-        /// Its VM.
+        /// VM of the process.
         vm: usize,
-        /// The VM's count of starts and ends.
-        life: u64,
-        /// What.
+        /// The VM's number of starts and ends when the event was queued.
+        incarnation: u64,
+        /// The step.
         step: Step,
     },
     /// A lease may have lapsed.
-    Lapse {
-        /// The VM whose entry it keeps.
+    LeaseExpires {
+        /// The VM whose entry the lease keeps.
         vm: usize,
-        /// When it lapses, unless it was renewed.
+        /// When the lease lapses unless it was renewed.
         due: u64,
     },
-    /// A watch has waited for long enough at the service.
+    /// A watch has reached its time-out at the service.
     WatchEnds(u64),
     /// The service renews its copies.
-    Copy,
+    RenewCopy,
     /// A second is over.
-    Second,
+    EndOfSecond,
 }
 
-/// Something of one process.
+/// A step of one process.
 #[derive(Debug)]
 pub enum Step {
-    /// Its next look at what it follows, by number.
+    /// The follower of this number takes its next step.
     Follow(usize),
     /// A call arrives at the service.
-    Called(Call),
-    /// The service's answer arrives, or none has come in time.
-    Returned(usize, Answer),
-    /// It starts its exchanges.
+    CallArrives(Call),
+    /// The service's answer arrives at the follower of this number, or the call times out.
+    AnswerArrives(usize, Answer),
+    /// The process starts its exchanges.
     Exchange,
     /// Another VM's exchange arrives.
-    Asked {
-        /// The other VM.
+    ExchangeArrives {
+        /// Number of the other VM.
         by: usize,
-        /// The other's count of starts and ends.
-        life: u64,
-        /// When it was sent.
+        /// The other VM's number of starts and ends when it sent the message.
+        incarnation: u64,
+        /// When the message was sent.
         sent: u64,
-        /// What it tells.
+        /// The message.
         message: Box<Message>,
     },
-    /// The answer to its exchange arrives.
-    Answered(Box<Message>),
-    /// It renews its lease.
-    Register,
-    /// It looks its runners over.
-    Sweep,
-    /// Some of its requests end and others begin.
-    Load,
+    /// The answer to the process's own exchange arrives.
+    ExchangeAnswered(Box<Message>),
+    /// The process writes its entry or renews its lease.
+    RenewLease,
+    /// The process removes runners whose entries have been missing for too long.
+    SweepRunners,
+    /// Some of the process's requests end and others begin.
+    ChangeLoad,
 }
 
 /// A call of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// What follows, by number.
+    /// Number of the follower that makes the call.
     pub follower: usize,
-    /// What is asked for.
+    /// The requested data.
     pub ask: Ask,
-    /// When no answer is waited for any more.
+    /// When the call times out.
     pub until: u64,
 }
 
-/// What is asked for.
+/// The data that a call requests.
 #[derive(Clone, Copy, Debug)]
 pub enum Ask {
     /// All entries.
@@ -87,7 +87,7 @@
     Watch(u64),
 }
 
-/// What the service answered.
+/// An answer of the service.
 #[derive(Debug)]
 pub enum Answer {
     /// All entries.
@@ -96,7 +96,7 @@
     Watched(edge::Result<News>),
 }
 
-/// The queue.
+/// The queue of events.
 #[derive(Debug, Default)]
 pub struct Queue {
     events: BTreeMap<(u64, u64), Event>,
@@ -104,13 +104,13 @@
 }
 
 impl Queue {
-    /// Puts an event at a time; events of one time stay in the order in which they were put.
+    /// Queues an event. Events of the same time keep the order in which they were queued.
     pub fn put(&mut self, at: u64, event: Event) {
         self.last += 1;
         self.events.insert((at, self.last), event);
     }
 
-    /// Takes the next event until a time, this included.
+    /// Takes the next event up to and including a time.
     pub fn take(&mut self, until: u64) -> Option<(u64, Event)> {
         let next = self.events.first_entry()?;
         let (at, _) = *next.key();
--- a/crates/relay/tests/fleet_model/play.rs
+++ b/crates/relay/tests/fleet_model/simulate.rs
@@ -1,4 +1,4 @@
-//! Plays one event: what the product's tasks do between two waits.
+//! Handles one event: runs what the product's tasks do between two waits.
 
 use std::time::Instant;
 
@@ -14,39 +14,43 @@
 use relay::subject;
 use wire::clock::Millis;
 
-use super::count::Mechanism;
-use super::network::End;
+use super::network::Host;
 use super::queue::Answer;
 use super::queue::Ask;
 use super::queue::Call;
 use super::queue::Event;
 use super::queue::Step;
 use super::store;
-use super::view::Return;
+use super::traffic::Mechanism;
+use super::view::Readmission;
 use super::vm;
 use super::vm::SUBJECTS;
 use super::vm::Vm;
 use super::world::Watch;
 use super::world::World;
 
-/// How old the service's copies get.
-const COPY: u64 = 2_000;
-/// How long a VM's requests stay the same, in milliseconds.
-const LOAD: u64 = 500;
+/// Interval at which the service renews its copies, in milliseconds.
+const COPY_INTERVAL_MS: u64 = 2_000;
+/// Interval at which a VM's requests change, in milliseconds.
+const LOAD_INTERVAL_MS: u64 = 500;
 /// Bytes of a call that renews a lease.
-const RENEWAL: usize = 64;
+const RENEWAL_BYTES: usize = 64;
 
 impl World {
-    pub(super) fn play(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Process { vm, life, step } if self.vms[vm].life == life => {
+            Event::Process {
+                vm,
+                incarnation,
+                step,
+            } if self.vms[vm].incarnation == incarnation => {
                 if self.vms[vm].process.is_some() {
-                    self.play_step(vm, step);
-                    self.look_for_returns(vm);
+                    self.handle_step(vm, step);
+                    self.record_readmissions(vm);
                 }
             }
             Event::Process { .. } => {}
-            Event::Lapse { vm, due } => self.lapse(vm, due),
+            Event::LeaseExpires { vm, due } => self.lapse(vm, due),
             Event::WatchEnds(number) => {
                 let ends = |watch: &mut Watch| watch.number == number;
                 let ended: Vec<Watch> = self.watches.extract_if(.., ends).collect();
@@ -54,43 +58,44 @@
                     self.answer_watch(watch);
                 }
             }
-            Event::Copy => {
+            Event::RenewCopy => {
                 self.store.renew_copy();
-                self.queue.put(self.now() + COPY, Event::Copy);
+                self.queue
+                    .put(self.now() + COPY_INTERVAL_MS, Event::RenewCopy);
             }
-            Event::Second => {
+            Event::EndOfSecond => {
                 for vm in &mut self.vms {
-                    vm.count.end_second();
+                    vm.traffic.end_second();
                 }
-                self.queue.put(self.now() + 1_000, Event::Second);
+                self.queue.put(self.now() + 1_000, Event::EndOfSecond);
             }
         }
     }
 
-    fn play_step(&mut self, vm: usize, step: Step) {
+    fn handle_step(&mut self, vm: usize, step: Step) {
         match step {
             Step::Follow(follower) => self.follow(vm, follower),
-            Step::Called(call) => self.serve_call(vm, call),
-            Step::Returned(follower, answer) => self.take_answer(vm, follower, answer),
+            Step::CallArrives(call) => self.serve_call(vm, call),
+            Step::AnswerArrives(follower, answer) => self.take_answer(vm, follower, answer),
             Step::Exchange => self.exchange(vm),
-            Step::Asked {
+            Step::ExchangeArrives {
                 by,
-                life,
+                incarnation,
                 sent,
                 message,
-            } => self.respond(vm, by, life, sent, *message),
-            Step::Answered(message) => {
+            } => self.respond(vm, by, incarnation, sent, *message),
+            Step::ExchangeAnswered(message) => {
                 let begin = Instant::now();
                 incoming::apply(&self.process(vm).node, *message);
-                self.vms[vm].count.spent += begin.elapsed();
+                self.vms[vm].traffic.processor_time += begin.elapsed();
             }
-            Step::Register => self.register(vm),
-            Step::Sweep => {
+            Step::RenewLease => self.register(vm),
+            Step::SweepRunners => {
                 let node = &self.process(vm).node;
                 let _gone = node.fleet().remove_missing(node.clock.now());
-                self.later(vm, Millis::from(front::SWEEP).as_u64(), Step::Sweep);
+                self.schedule(vm, Millis::from(front::SWEEP).as_u64(), Step::SweepRunners);
             }
-            Step::Load => self.change_load(vm),
+            Step::ChangeLoad => self.change_load(vm),
         }
     }
 
@@ -105,7 +110,7 @@
         let ask = match process.followers[follower].step(&node) {
             step::Step::Pause(pause) => {
                 let pause = Millis::from(pause).as_u64();
-                self.later(vm, pause, Step::Follow(follower));
+                self.schedule(vm, pause, Step::Follow(follower));
                 return;
             }
             step::Step::List(freshness) => Ask::List(freshness),
@@ -120,13 +125,13 @@
             ask,
             until: self.now() + STORE_TIMEOUT.as_u64() + waits,
         };
-        match self.network.delay(End::Vm(vm), End::Store) {
-            Some(delay) => self.later(vm, delay, Step::Called(call)),
+        match self.network.delay(Host::Vm(vm), Host::Store) {
+            Some(delay) => self.schedule(vm, delay, Step::CallArrives(call)),
             None => self.fail_call(vm, call),
         }
     }
 
-    /// Has a call fail when its time is over.
+    /// Fails a call when its time-out is over.
     fn fail_call(&mut self, vm: usize, call: Call) {
         let fault = || Fault::Unknown("no answer".to_owned());
         let answer = match call.ask {
@@ -134,7 +139,7 @@
             Ask::Watch(_) => Answer::Watched(Err(fault())),
         };
         let after = call.until - self.now();
-        self.later(vm, after, Step::Returned(call.follower, answer));
+        self.schedule(vm, after, Step::AnswerArrives(call.follower, answer));
     }
 
     fn serve_call(&mut self, vm: usize, call: Call) {
@@ -146,11 +151,11 @@
                 self.return_answer(vm, call, Answer::Listed(Ok(listing)), bytes);
             }
             Ask::Watch(after) => {
-                self.watched += 1;
+                self.watch_count += 1;
                 let watch = Watch {
-                    number: self.watched,
+                    number: self.watch_count,
                     vm,
-                    life: self.vms[vm].life,
+                    incarnation: self.vms[vm].incarnation,
                     follower: call.follower,
                     after,
                     until: call.until,
@@ -166,8 +171,8 @@
         }
     }
 
-    /// Answers the watches for which there is news.
-    pub(super) fn notify(&mut self) {
+    /// Answers the watches for which there are changes.
+    pub(super) fn answer_watches(&mut self) {
         let store = &self.store;
         let has_news =
             |watch: &mut Watch| store.has_changed(SUBJECTS[watch.follower].prefix(), watch.after);
@@ -178,7 +183,7 @@
     }
 
     fn answer_watch(&mut self, watch: Watch) {
-        if self.vms[watch.vm].life != watch.life {
+        if self.vms[watch.vm].incarnation != watch.incarnation {
             return;
         }
         let prefix = SUBJECTS[watch.follower].prefix();
@@ -193,10 +198,10 @@
     }
 
     fn return_answer(&mut self, vm: usize, call: Call, answer: Answer, bytes: usize) {
-        let of = Mechanism::of(SUBJECTS[call.follower]);
-        self.vms[vm].count.note_call(of, bytes);
-        match self.network.delay(End::Store, End::Vm(vm)) {
-            Some(delay) => self.later(vm, delay, Step::Returned(call.follower, answer)),
+        let mechanism = Mechanism::of(SUBJECTS[call.follower]);
+        self.vms[vm].traffic.note_call(mechanism, bytes);
+        match self.network.delay(Host::Store, Host::Vm(vm)) {
+            Some(delay) => self.schedule(vm, delay, Step::AnswerArrives(call.follower, answer)),
             None => self.fail_call(vm, call),
         }
     }
@@ -204,83 +209,92 @@
     fn take_answer(&mut self, vm: usize, follower: usize, answer: Answer) {
         let process = self.process(vm);
         let node = process.node.clone();
-        let follows = &mut process.followers[follower];
+        let follower_state = &mut process.followers[follower];
         let pause = match answer {
-            Answer::Listed(listed) => follows.listed(&node, listed),
-            Answer::Watched(news) => follows.watched(&node, news),
+            Answer::Listed(listed) => follower_state.listed(&node, listed),
+            Answer::Watched(news) => follower_state.watched(&node, news),
         };
         let pause = Millis::from(pause).as_u64();
-        self.later(vm, pause, Step::Follow(follower));
+        self.schedule(vm, pause, Step::Follow(follower));
     }
 
     fn exchange(&mut self, vm: usize) {
         let node = self.process(vm).node.clone();
-        let life = self.vms[vm].life;
+        let incarnation = self.vms[vm].incarnation;
         let sent = self.now();
         for peer in exchange::targets(&node) {
             let begin = Instant::now();
             let message = outgoing::message(&node, &peer.vm, peer.roster, peer.config);
-            self.vms[vm].count.spent += begin.elapsed();
-            self.vms[vm].count.note_message(&message);
+            self.vms[vm].traffic.processor_time += begin.elapsed();
+            self.vms[vm].traffic.note_message(&message);
             let other = vm::number(&peer.vm).expect("the model named it");
-            let Some(delay) = self.network.delay(End::Vm(vm), End::Vm(other)) else {
+            let Some(delay) = self.network.delay(Host::Vm(vm), Host::Vm(other)) else {
                 continue;
             };
-            let asked = Step::Asked {
+            let asked = Step::ExchangeArrives {
                 by: vm,
-                life,
+                incarnation,
                 sent,
                 message: Box::new(message),
             };
-            self.later(other, delay, asked);
+            self.schedule(other, delay, asked);
         }
         let pause = Millis::from(exchange::pause(&node)).as_u64();
-        self.later(vm, pause, Step::Exchange);
+        self.schedule(vm, pause, Step::Exchange);
     }
 
-    fn respond(&mut self, vm: usize, by: usize, life: u64, sent: u64, message: Message) {
+    fn respond(&mut self, vm: usize, by: usize, incarnation: u64, sent: u64, message: Message) {
         let node = self.process(vm).node.clone();
         let begin = Instant::now();
         let answer = exchange::respond(&node, message);
-        let count = &mut self.vms[vm].count;
-        count.spent += begin.elapsed();
-        count.note_asked(by);
-        count.note_message(&answer);
-        let Some(delay) = self.network.delay(End::Vm(vm), End::Vm(by)) else {
+        let traffic = &mut self.vms[vm].traffic;
+        traffic.processor_time += begin.elapsed();
+        traffic.note_exchange_served(by);
+        traffic.note_message(&answer);
+        let Some(delay) = self.network.delay(Host::Vm(vm), Host::Vm(by)) else {
             return;
         };
         let arrives = self.now() + delay;
         if arrives - sent > Millis::from(exchange::TIMEOUT).as_u64() {
             return;
         }
-        let step = Step::Answered(Box::new(answer));
-        self.queue
-            .put(arrives, Event::Process { vm: by, life, step });
+        let step = Step::ExchangeAnswered(Box::new(answer));
+        self.queue.put(
+            arrives,
+            Event::Process {
+                vm: by,
+                incarnation,
+                step,
+            },
+        );
     }
 
-    /// Writes the VM's entry, or renews its lease; where that has lapsed, the next time writes anew.
+    /// Writes the VM's entry, or renews its lease. If the lease has lapsed, the next call writes
+    /// the entry again.
     fn register(&mut self, vm: usize) {
-        self.vms[vm].count.note_call(Mechanism::StoreLease, RENEWAL);
-        if self.network.delay(End::Vm(vm), End::Store).is_some() {
+        self.vms[vm]
+            .traffic
+            .note_call(Mechanism::StoreLease, RENEWAL_BYTES);
+        if self.network.delay(Host::Vm(vm), Host::Store).is_some() {
             let due = self.now() + register::LEASE_TTL.as_u64();
             let lapsed = self.leases[vm] <= self.now();
-            let entered = std::mem::replace(&mut self.process(vm).entered, true);
-            if entered && lapsed {
-                self.process(vm).entered = false;
+            let registered = std::mem::replace(&mut self.process(vm).registered, true);
+            if registered && lapsed {
+                self.process(vm).registered = false;
             } else {
                 self.leases[vm] = due;
-                self.queue.put(due, Event::Lapse { vm, due });
+                self.queue.put(due, Event::LeaseExpires { vm, due });
             }
-            if !entered {
+            if !registered {
                 let value = format!("{} {}", self.vms[vm].address, self.vms[vm].centre);
                 let key = format!("{}{}", subject::vm_prefix(), self.vms[vm].name);
                 self.put(&key, value.as_bytes());
             }
         }
-        self.later(
+        self.schedule(
             vm,
             Millis::from(register::RENEW_INTERVAL).as_u64(),
-            Step::Register,
+            Step::RenewLease,
         );
     }
 
@@ -288,22 +302,22 @@
         if self.leases[vm] == due {
             let key = format!("{}{}", subject::vm_prefix(), self.vms[vm].name);
             self.store.remove(&key);
-            self.notify();
+            self.answer_watches();
         }
     }
 
-    /// Has half of a VM's requests end, and others begin at runners that it uses.
+    /// Ends half of a VM's requests and starts others at runners that it uses.
     fn change_load(&mut self, vm: usize) {
-        let most = self.size.under_way;
+        let max_requests = self.size.under_way;
         let mut under_way = std::mem::take(&mut self.process(vm).under_way);
         let ended = under_way.split_off(under_way.len() / 2);
         let used = super::view::View::of(self.process(vm)).runners;
         let begun: Vec<String> = if used.is_empty() {
             Vec::new()
         } else {
-            let draws = under_way.len()..most;
+            let draws = under_way.len()..max_requests;
             draws
-                .map(|_| used[self.network.below(used.len())].clone())
+                .map(|_| used[self.network.random_below(used.len())].clone())
                 .collect()
         };
         let node = self.process(vm).node.clone();
@@ -321,26 +335,26 @@
         drop(fleet);
         under_way.extend(begun);
         self.process(vm).under_way = under_way;
-        self.later(vm, LOAD, Step::Load);
+        self.schedule(vm, LOAD_INTERVAL_MS, Step::ChangeLoad);
     }
 
-    /// Notes a runner that left, that the VM gave no requests any more, and gives some again.
-    fn look_for_returns(&mut self, vm: usize) {
+    /// Records a runner that left, that the VM had stopped using, and that it uses again.
+    fn record_readmissions(&mut self, vm: usize) {
         let at = self.since_start();
         let Vm { name, process, .. } = &mut self.vms[vm];
         let Some(process) = process else {
             return;
         };
-        for runner in &self.left {
+        for runner in &self.departed {
             if !process.uses(runner) {
-                if process.used.remove(runner) {
-                    process.dropped.insert(runner.clone());
+                if process.used_departed.remove(runner) {
+                    process.dropped_departed.insert(runner.clone());
                 }
                 continue;
             }
-            process.used.insert(runner.clone());
-            if process.dropped.remove(runner) {
-                self.returns.push(Return {
+            process.used_departed.insert(runner.clone());
+            if process.dropped_departed.remove(runner) {
+                self.readmissions.push(Readmission {
                     vm: name.clone(),
                     runner: runner.clone(),
                     at,
--- a/crates/relay/tests/fleet_model/store.rs
+++ b/crates/relay/tests/fleet_model/store.rs
@@ -1,5 +1,5 @@
-//! The key-value service: keys with revisions, lists, changes since a revision, and copies that are
-//! seconds old.
+//! A stand-in for the key-value service: keys with revisions, lists, changes since a revision, and
+//! copies that are seconds old.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 use platform::edge::Change;
 use platform::edge::Entry;
 
-/// Bytes of an entry beside its key and value, as the service's answers have them.
-const AROUND: usize = 48;
+/// Bytes of an entry in the service's answers, apart from key and value.
+const ENTRY_OVERHEAD_BYTES: usize = 48;
 
-/// The service.
+/// The key-value service.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: u64,
     items: BTreeMap<String, Entry>,
     changes: Vec<(u64, Change)>,
     copy: BTreeMap<String, Entry>,
-    copied: u64,
+    copy_revision: u64,
 }
 
 impl Store {
@@ -48,17 +48,17 @@
         self.changes.push((self.revision, change));
     }
 
-    /// Renews the copies that reads of [`Freshness::Stale`] get.
+    /// Renews the copy that reads with [`Freshness::Stale`] get.
     pub fn renew_copy(&mut self) {
         self.copy.clone_from(&self.items);
-        self.copied = self.revision;
+        self.copy_revision = self.revision;
     }
 
-    /// Yields the entries under a prefix.
+    /// Returns the entries under a prefix.
     pub fn list(&self, prefix: &str, freshness: Freshness) -> Listing {
         let (items, revision) = match freshness {
             Freshness::Latest => (&self.items, self.revision),
-            Freshness::Stale => (&self.copy, self.copied),
+            Freshness::Stale => (&self.copy, self.copy_revision),
         };
         let under = items.range(prefix.to_owned()..);
         let under = under.take_while(|(key, _)| key.starts_with(prefix));
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Yields what changed under a prefix after a revision.
+    /// Returns the changes under a prefix after a revision.
     pub fn changes(&self, prefix: &str, after: u64) -> News {
         let first = self
             .changes
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells whether anything changed under a prefix after a revision.
+    /// Returns whether anything changed under a prefix after a revision.
     pub fn has_changed(&self, prefix: &str, after: u64) -> bool {
         matches!(self.changes(prefix, after), News::Changes { changes, .. } if !changes.is_empty())
     }
@@ -94,23 +94,23 @@
     }
 }
 
-/// Reckons the bytes of entries, values in base64.
+/// Returns the size of a list in bytes, with values in base64.
 pub fn listing_bytes(listing: &Listing) -> usize {
     listing.entries.iter().map(entry_bytes).sum()
 }
 
-/// Reckons the bytes of changes.
+/// Returns the size of changes in bytes.
 pub fn news_bytes(news: &News) -> usize {
     let News::Changes { changes, .. } = news else {
         return 0;
     };
     let bytes = |change: &Change| match change {
         Change::Set(entry) => entry_bytes(entry),
-        Change::Removed { key, .. } => AROUND + key.len(),
+        Change::Removed { key, .. } => ENTRY_OVERHEAD_BYTES + key.len(),
     };
     changes.iter().map(bytes).sum()
 }
 
 fn entry_bytes(entry: &Entry) -> usize {
-    AROUND + entry.key.len() + entry.value.len().div_ceil(3) * 4
+    ENTRY_OVERHEAD_BYTES + entry.key.len() + entry.value.len().div_ceil(3) * 4
 }
--- a/crates/relay/tests/fleet_model/count.rs
+++ b/crates/relay/tests/fleet_model/traffic.rs
@@ -1,4 +1,4 @@
-//! Messages and bytes of one VM, by what they are for.
+//! Counts the messages and bytes of one VM by their purpose.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use relay::exchange::outgoing::Message;
 use relay::subject::Subject;
 
-/// Bytes of a message's head, as the exchange of a VM of usual name has it.
-const HEAD: usize = 112;
+/// Bytes of a message's headers, as in an exchange of a VM with a name of usual length.
+const HEADER_BYTES: usize = 112;
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// An exchange between VMs: its head and the revisions in it.
+    /// An exchange between VMs: its headers and the revisions in it.
     Exchange,
-    /// Requests at each runner, in an exchange.
+    /// Figures of each runner in an exchange.
     Tallies,
-    /// The runners' entries, in an exchange.
+    /// The runners' entries in an exchange.
     Entries,
-    /// The configuration, in an exchange.
+    /// The configuration in an exchange.
     Document,
     /// Calls of the service for the configuration.
     StoreConfig,
@@ -31,7 +31,7 @@
 }
 
 impl Mechanism {
-    /// All of them, in the order in which they are counted.
+    /// All mechanisms, in the order of their counters.
     pub const ALL: [Self; 8] = [
         Self::Exchange,
         Self::Tallies,
@@ -43,7 +43,7 @@
         Self::StoreLease,
     ];
 
-    /// Yields what stands for it in tables.
+    /// Returns the name in tables.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Exchange => "exchange",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Yields what calls of the service for a subject count as.
+    /// Returns the mechanism of calls of the service for a subject.
     pub const fn of(subject: Subject) -> Self {
         match subject {
             Subject::Config => Self::StoreConfig,
@@ -67,12 +67,12 @@
     }
 }
 
-/// How many messages, and their bytes.
+/// A number of messages and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sum {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: u64,
 }
 
@@ -83,75 +83,78 @@
     }
 }
 
-/// What one VM sent to others, and got from the service.
+/// The messages that one VM sent to others, and the answers that it got from the service.
 #[derive(Clone, Debug, Default)]
-pub struct Count {
+pub struct Traffic {
     sums: [Sum; Mechanism::ALL.len()],
-    /// Exchanges that others started with it.
-    pub asked: u64,
-    /// Processor time of the machine that plays the model, spent on building and reading messages.
-    pub spent: Duration,
-    /// The most VMs that started an exchange with it within a second.
-    pub most_askers: usize,
+    /// Exchanges that other VMs started with this one.
+    pub exchanges_served: u64,
+    /// Processor time of the simulating machine for building and reading messages.
+    pub processor_time: Duration,
+    /// The most VMs that started an exchange with this one within a second.
+    pub max_askers: usize,
     askers: BTreeSet<usize>,
 }
 
-impl Count {
-    /// Yields the sum of a mechanism.
-    pub fn sum(&self, of: Mechanism) -> Sum {
-        self.sums[of as usize]
+impl Traffic {
+    /// Returns the sum of a mechanism.
+    pub fn sum(&self, mechanism: Mechanism) -> Sum {
+        self.sums[mechanism as usize]
     }
 
-    /// Yields the messages of all mechanisms; what is told within an exchange is none of its own.
+    /// Returns the messages of all mechanisms. The parts of an exchange aren't messages of their
+    /// own.
     pub fn messages(&self) -> u64 {
-        let within = [Mechanism::Tallies, Mechanism::Entries, Mechanism::Document];
-        let own = Mechanism::ALL.into_iter().filter(|of| !within.contains(of));
-        own.map(|of| self.sum(of).messages).sum()
+        let parts_of_exchange = [Mechanism::Tallies, Mechanism::Entries, Mechanism::Document];
+        let counted = Mechanism::ALL
+            .into_iter()
+            .filter(|mechanism| !parts_of_exchange.contains(mechanism));
+        counted.map(|mechanism| self.sum(mechanism).messages).sum()
     }
 
-    /// Yields the bytes of all mechanisms.
+    /// Returns the bytes of all mechanisms.
     pub fn bytes(&self) -> u64 {
         self.sums.iter().map(|sum| sum.bytes).sum()
     }
 
-    /// Notes a call of the service whose answer has so many bytes.
-    pub fn note_call(&mut self, of: Mechanism, bytes: usize) {
-        self.sums[of as usize].add(HEAD + bytes);
+    /// Records a call of the service whose answer has `bytes` bytes.
+    pub fn note_call(&mut self, mechanism: Mechanism, bytes: usize) {
+        self.sums[mechanism as usize].add(HEADER_BYTES + bytes);
     }
 
-    /// Notes a message that was sent to another VM.
+    /// Records a message to another VM.
     pub fn note_message(&mut self, message: &Message) {
-        let whole = size(message);
+        let total = size(message);
         let tallies = part(size(&message.tallies), message.tallies.is_empty());
         let entries = part(size(&message.entries), message.entries.is_none());
         let document = part(size(&message.document), message.document.is_none());
-        let rest = whole - tallies - entries - document;
-        self.sums[Mechanism::Exchange as usize].add(HEAD + rest);
+        let rest = total - tallies - entries - document;
+        self.sums[Mechanism::Exchange as usize].add(HEADER_BYTES + rest);
         let parts = [
             (Mechanism::Tallies, tallies),
             (Mechanism::Entries, entries),
             (Mechanism::Document, document),
         ];
-        for (of, bytes) in parts.into_iter().filter(|(_, bytes)| *bytes > 0) {
-            self.sums[of as usize].add(bytes);
+        for (mechanism, bytes) in parts.into_iter().filter(|(_, bytes)| *bytes > 0) {
+            self.sums[mechanism as usize].add(bytes);
         }
     }
 
-    /// Notes that another VM started an exchange.
-    pub fn note_asked(&mut self, by: usize) {
-        self.asked += 1;
+    /// Records that another VM started an exchange with this one.
+    pub fn note_exchange_served(&mut self, by: usize) {
+        self.exchanges_served += 1;
         self.askers.insert(by);
     }
 
-    /// Ends a second.
+    /// Completes a second.
     pub fn end_second(&mut self) {
-        self.most_askers = self.most_askers.max(self.askers.len());
+        self.max_askers = self.max_askers.max(self.askers.len());
         self.askers.clear();
     }
 }
 
-fn size<T: serde::Serialize>(of: &T) -> usize {
-    rmp_serde::to_vec(of)
+fn size<T: serde::Serialize>(value: &T) -> usize {
+    rmp_serde::to_vec(value)
         .expect("a message can be encoded")
         .len()
 }
--- a/crates/relay/tests/fleet_model/view.rs
+++ b/crates/relay/tests/fleet_model/view.rs
@@ -1,4 +1,4 @@
-//! What has to hold: what all VMs agree on, and what none may do.
+//! The views of runners and configuration that have to agree, and violations by VMs.
 
 use adapter::config;
 use adapter::kv::Freshness;
@@ -9,28 +9,28 @@
 use super::vm::Process;
 use super::world::World;
 
-/// A runner that left and was put back.
+/// A runner that had left and was used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Return {
-    /// The VM that did so.
+pub struct Readmission {
+    /// The VM that used it again.
     pub vm: String,
-    /// The runner.
+    /// Id of the runner.
     pub runner: String,
-    /// When, in milliseconds since the start.
+    /// Time in milliseconds since the start.
     pub at: u64,
 }
 
 /// The runners and the configuration as the service has them, or as a VM knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The runners that take requests, in the order of their ids.
+    /// Ids of the runners that take requests, sorted.
     pub runners: Vec<String>,
 }
 
 impl View {
-    /// Yields what a process knows.
+    /// Returns what a process knows.
     pub fn of(process: &Process) -> Self {
         let fleet = process.node.fleet();
         let ready = fleet.runners().iter();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Yields what the service has.
+    /// Returns what the service has.
     pub fn of_store(world: &World) -> Self {
         let config = world
             .store
--- a/crates/relay/tests/fleet_model/vm.rs
+++ b/crates/relay/tests/fleet_model/vm.rs
@@ -1,4 +1,4 @@
-//! A VM: the product's own parts of a process, driven without sockets.
+//! A VM that runs the product's own state of a process without sockets.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -15,9 +15,9 @@
 use wire::clock::Clock;
 use wire::clock::Millis;
 
-use super::count::Count;
+use super::traffic::Traffic;
 
-/// How often runners report themselves.
+/// Interval of the runners' heartbeats.
 const HEARTBEAT: Millis = Millis::new(1_200);
 /// The subjects that a process follows.
 pub const SUBJECTS: [Subject; 3] = [Subject::Config, Subject::Runners, Subject::Own];
@@ -25,65 +25,68 @@
 /// A VM.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub centre: String,
-    /// Its address.
+    /// Address of the VM.
     pub address: SocketAddr,
-    /// How often its process was started or ended; what was meant for an earlier one is dropped.
-    pub life: u64,
+    /// Number of starts and ends of its process. Events meant for an earlier incarnation are
+    /// dropped.
+    pub incarnation: u64,
     /// Its process, if one runs.
     pub process: Option<Process>,
-    /// What it sent and got.
-    pub count: Count,
+    /// Messages that the VM sent and received.
+    pub traffic: Traffic,
 }
 
 /// A process.
 #[derive(Debug)]
 pub struct Process {
-    /// The product's parts.
+    /// The product's shared state of the process.
     pub node: Arc<Node>,
-    /// What it follows, in the order of [`SUBJECTS`].
+    /// Its followers, in the order of [`SUBJECTS`].
     pub followers: Vec<Follower>,
-    /// Runners with a request of this VM.
+    /// Runners with a request of this VM, once per request.
     pub under_way: Vec<String>,
-    /// Whether it has written its entry.
-    pub entered: bool,
-    /// Runners that left, and that it still gives requests.
-    pub used: BTreeSet<String>,
-    /// Runners that left, and that it gives no requests any more.
-    pub dropped: BTreeSet<String>,
+    /// Whether the process has written its entry.
+    pub registered: bool,
+    /// Runners that have left and still get requests from this process.
+    pub used_departed: BTreeSet<String>,
+    /// Runners that have left and get no requests any more from this process.
+    pub dropped_departed: BTreeSet<String>,
 }
 
-/// Names a VM.
-pub fn name(at: usize) -> String {
-    format!("vm-{at:03}")
+/// Returns the name of a VM.
+pub fn name(number: usize) -> String {
+    format!("vm-{number:03}")
 }
 
-/// Finds a VM's number by its name.
+/// Returns the number of the VM with a name.
 pub fn number(name: &str) -> Option<usize> {
     name.strip_prefix("vm-")?.parse().ok()
 }
 
 impl Vm {
-    /// Makes a VM without a process.
-    pub fn new(at: usize, centres: usize) -> Self {
-        let [_, _, high, low] = u32::try_from(at).expect("a few hundred VMs").to_be_bytes();
+    /// Creates a VM without a process.
+    pub fn new(number: usize, centres: usize) -> Self {
+        let [_, _, high, low] = u32::try_from(number)
+            .expect("a few hundred VMs")
+            .to_be_bytes();
         let ip = IpAddr::V4(Ipv4Addr::new(10, 0, high, low));
         Self {
-            name: name(at),
-            centre: format!("dc-{}", at % centres),
+            name: name(number),
+            centre: format!("dc-{}", number % centres),
             address: SocketAddr::new(ip, PEERS),
-            life: 0,
+            incarnation: 0,
             process: None,
-            count: Count::default(),
+            traffic: Traffic::default(),
         }
     }
 
-    /// Starts its process.
+    /// Starts the VM's process.
     pub fn start(&mut self, clock: Clock) {
-        let told = fakes::settings::Vm {
+        let vm = fakes::settings::Vm {
             name: &self.name,
             centre: &self.centre,
             ip: self.address.ip(),
@@ -91,37 +94,37 @@
             store: ([10, 9, 0, 1], 2379).into(),
             disk: None,
         };
-        let text = fakes::settings::text(&told);
+        let text = fakes::settings::text(&vm);
         let mut settings = settings::parse(&text).expect("the settings can be read");
         settings.heartbeat = HEARTBEAT;
-        self.life += 1;
+        self.incarnation += 1;
         self.process = Some(Process {
             node: Node::new(settings, clock),
             followers: SUBJECTS.map(Follower::new).into(),
             under_way: Vec::new(),
-            entered: false,
-            used: BTreeSet::new(),
-            dropped: BTreeSet::new(),
+            registered: false,
+            used_departed: BTreeSet::new(),
+            dropped_departed: BTreeSet::new(),
         });
     }
 
-    /// Ends its process.
+    /// Ends the VM's process.
     pub fn kill(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.process = None;
     }
 }
 
 impl Process {
-    /// Tells whether it gives a runner new requests.
+    /// Returns whether the process gives a runner new requests.
     pub fn uses(&self, runner: &str) -> bool {
         let mut fleet = self.node.fleet();
         let found = fleet.runner(runner);
         found.is_some_and(|runner| runner.entry.state == State::Ready)
     }
 
-    /// Counts the requests that it knows of at a runner.
-    pub fn counted(&self, runner: &str) -> u32 {
+    /// Returns the number of requests at a runner that the process knows of.
+    pub fn known_requests(&self, runner: &str) -> u32 {
         let now = self.node.clock.now();
         let tallies = self.node.fleet().tallies(now, |_| true);
         let found = tallies.into_iter().find(|tally| tally.runner == runner);
--- a/crates/relay/tests/fleet_model/world.rs
+++ b/crates/relay/tests/fleet_model/world.rs
@@ -1,4 +1,4 @@
-//! The fleet, what is done to it, and how long it takes to agree.
+//! The simulated fleet, the changes made to it, and the time that it takes to agree.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,66 +10,66 @@
 use relay::subject::Subject;
 use wire::clock::Clock;
 
-use super::count::Count;
 use super::network::Cut;
-use super::network::End;
+use super::network::Host;
 use super::network::Network;
 use super::queue::Event;
 use super::queue::Queue;
 use super::queue::Step;
 use super::store::Store;
-use super::view::Return;
+use super::traffic::Traffic;
+use super::view::Readmission;
 use super::view::View;
 use super::vm::Vm;
 
-/// When the model's time begins: long after the epoch, as on machines.
-pub const BEGIN: u64 = 1_000_000_000;
-/// How long a start of many VMs takes.
-const STARTS: usize = 200;
-/// How often it is looked whether all agree.
-const LOOK: u64 = 10;
-/// The service of all runners.
+/// Start of the simulated time in milliseconds: long after the epoch, as on real machines.
+pub const START_TIME_MS: u64 = 1_000_000_000;
+/// Time over which the starts of VMs are spread, in milliseconds.
+const START_SPREAD_MS: usize = 200;
+/// How often agreement is checked, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 10;
+/// Name of the service of all runners.
 const SERVICE: &str = "models";
-/// Of a thousand messages, so many are lost.
-const LOST: u32 = 2;
+/// Number of messages in a thousand that are lost.
+const LOST_PER_MILLE: u32 = 2;
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Runners.
+    /// Number of runners.
     pub runners: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub centres: usize,
-    /// Requests that each VM has under way.
+    /// Requests that each VM has in flight.
     pub under_way: usize,
-    /// What all is drawn from.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// The fleet.
+/// The simulated fleet.
 #[derive(Debug)]
 pub struct World {
-    /// Its size at the start.
+    /// Size at the start.
     pub size: Size,
     /// The VMs.
     pub vms: Vec<Vm>,
     /// The key-value service.
     pub store: Store,
-    /// The ways.
+    /// The network.
     pub network: Network,
-    /// Runners that left and were put back.
-    pub returns: Vec<Return>,
+    /// Runners that had left and were used again.
+    pub readmissions: Vec<Readmission>,
     pub(super) queue: Queue,
     pub(super) watches: Vec<Watch>,
-    pub(super) watched: u64,
-    /// When each VM's lease lapses; 0 where it has none.
+    pub(super) watch_count: u64,
+    /// When each VM's lease lapses; 0 for a VM without a lease.
     pub(super) leases: Vec<u64>,
-    pub(super) left: BTreeSet<String>,
+    pub(super) departed: BTreeSet<String>,
     time: Arc<AtomicU64>,
     version: u64,
-    entered: usize,
+    runner_count: usize,
 }
 
 /// A watch that waits at the service.
@@ -77,56 +77,56 @@
 pub struct Watch {
     pub(super) number: u64,
     pub(super) vm: usize,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) follower: usize,
     pub(super) after: u64,
     pub(super) until: u64,
 }
 
 impl World {
-    /// Makes a fleet whose VMs all start now, with a configuration and all runners.
+    /// Creates a fleet with a configuration and all runners, whose VMs start now.
     pub fn new(size: Size) -> Self {
         let mut world = Self {
             vms: Vec::new(),
             store: Store::default(),
-            network: Network::new(size.seed, LOST),
-            returns: Vec::new(),
+            network: Network::new(size.seed, LOST_PER_MILLE),
+            readmissions: Vec::new(),
             queue: Queue::default(),
             watches: Vec::new(),
-            watched: 0,
+            watch_count: 0,
             leases: Vec::new(),
-            left: BTreeSet::new(),
-            time: Arc::new(AtomicU64::new(BEGIN)),
+            departed: BTreeSet::new(),
+            time: Arc::new(AtomicU64::new(START_TIME_MS)),
             version: 0,
-            entered: 0,
+            runner_count: 0,
             size,
         };
-        world.configure();
+        world.write_config();
         for _ in 0..size.runners {
-            world.enter_runner();
+            world.add_runner();
         }
         world.store.renew_copy();
-        world.queue.put(BEGIN + 1_000, Event::Second);
-        world.queue.put(BEGIN + 1_000, Event::Copy);
+        world.queue.put(START_TIME_MS + 1_000, Event::EndOfSecond);
+        world.queue.put(START_TIME_MS + 1_000, Event::RenewCopy);
         world.add(size.vms);
         world
     }
 
-    /// Yields the time.
+    /// Returns the current time.
     pub fn now(&self) -> u64 {
         self.time.load(Ordering::SeqCst)
     }
 
-    /// Yields the time since the start.
+    /// Returns the time since the start.
     pub fn since_start(&self) -> u64 {
-        self.now() - BEGIN
+        self.now() - START_TIME_MS
     }
 
     pub(super) fn set_now(&self, now: u64) {
         self.time.store(now, Ordering::SeqCst);
     }
 
-    /// Adds VMs, which start within [`STARTS`] milliseconds.
+    /// Adds VMs, which start within [`START_SPREAD_MS`] milliseconds.
     pub fn add(&mut self, count: usize) {
         let first = self.vms.len();
         for at in first..first + count {
@@ -138,57 +138,66 @@
 
     /// Starts a VM's process.
     pub fn start(&mut self, vm: usize) {
-        let after = self.network.below(STARTS) as u64;
+        let after = self.network.random_below(START_SPREAD_MS) as u64;
         self.vms[vm].start(Clock::Manual(self.time.clone()));
         for follower in 0..3 {
-            self.later(vm, after, Step::Follow(follower));
+            self.schedule(vm, after, Step::Follow(follower));
         }
-        for step in [Step::Exchange, Step::Register, Step::Sweep, Step::Load] {
-            self.later(vm, after, step);
+        for step in [
+            Step::Exchange,
+            Step::RenewLease,
+            Step::SweepRunners,
+            Step::ChangeLoad,
+        ] {
+            self.schedule(vm, after, step);
         }
     }
 
-    /// Kills a VM's process; its entry stays until its lease lapses.
+    /// Kills a VM's process. Its entry stays until its lease lapses.
     pub fn kill(&mut self, vm: usize) {
         self.vms[vm].kill();
     }
 
-    /// Puts a step of a VM's present process into the queue.
-    pub(super) fn later(&mut self, vm: usize, after: u64, step: Step) {
-        let life = self.vms[vm].life;
-        let event = Event::Process { vm, life, step };
+    /// Queues a step of a VM's current process.
+    pub(super) fn schedule(&mut self, vm: usize, after: u64, step: Step) {
+        let incarnation = self.vms[vm].incarnation;
+        let event = Event::Process {
+            vm,
+            incarnation,
+            step,
+        };
         self.queue.put(self.now() + after, event);
     }
 
     /// Writes the next version of the configuration.
-    pub fn configure(&mut self) {
+    pub fn write_config(&mut self) {
         self.version += 1;
         let document = store::configuration(self.version, "");
         self.put(Subject::Config.prefix(), document.as_bytes());
     }
 
-    /// Has a runner come; yields its id.
-    pub fn enter_runner(&mut self) -> String {
-        let id = format!("r-{:04}", self.entered);
-        self.write_runner(&id, self.entered, "ready");
-        self.entered += 1;
+    /// Adds a runner and returns its id.
+    pub fn add_runner(&mut self) -> String {
+        let id = format!("r-{:04}", self.runner_count);
+        self.write_runner(&id, self.runner_count, "ready");
+        self.runner_count += 1;
         id
     }
 
-    /// Has a runner tell that it leaves.
-    pub fn leave_runner(&mut self, number: usize) -> String {
+    /// Marks a runner as leaving and returns its id.
+    pub fn drain_runner(&mut self, number: usize) -> String {
         let id = format!("r-{number:04}");
         self.write_runner(&id, number, "draining");
-        self.left.insert(id.clone());
+        self.departed.insert(id.clone());
         id
     }
 
     /// Removes the entry of a runner that left.
     pub fn remove_runner(&mut self, id: &str) {
-        self.left.insert(id.to_owned());
+        self.departed.insert(id.to_owned());
         let key = format!("{}{id}", Subject::Runners.prefix());
         self.store.remove(&key);
-        self.notify();
+        self.answer_watches();
     }
 
     fn write_runner(&mut self, id: &str, number: usize, state: &str) {
@@ -202,97 +211,98 @@
 
     pub(super) fn put(&mut self, key: &str, value: &[u8]) {
         self.store.put(key, value);
-        self.notify();
+        self.answer_watches();
     }
 
-    /// Cuts the ways between two groups, both ways.
-    pub fn cut_apart(&mut self, a: &[End], b: &[End]) {
-        self.cut_off(a, b);
-        self.cut_off(b, a);
+    /// Loses all messages between two groups.
+    pub fn cut_both_ways(&mut self, a: &[Host], b: &[Host]) {
+        self.cut_one_way(a, b);
+        self.cut_one_way(b, a);
     }
 
-    /// Cuts the ways from one group to another.
-    pub fn cut_off(&mut self, from: &[End], to: &[End]) {
+    /// Loses all messages from one group to another.
+    pub fn cut_one_way(&mut self, from: &[Host], to: &[Host]) {
         self.network.cut(Cut {
             from: from.to_vec(),
             to: to.to_vec(),
         });
     }
 
-    /// Plays for so many milliseconds.
-    pub fn run(&mut self, span: u64) {
-        let end = self.now() + span;
+    /// Simulates a span of time in milliseconds.
+    pub fn run(&mut self, span_ms: u64) {
+        let end = self.now() + span_ms;
         while let Some((at, event)) = self.queue.take(end) {
             self.set_now(at);
-            self.play(event);
+            self.handle_event(event);
         }
         self.set_now(end);
     }
 
-    /// Plays until `holds`, for `most` milliseconds; yields how long it took.
-    pub fn run_until(&mut self, most: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
+    /// Simulates until `holds` is true, for at most `max_ms`. Returns how long it took.
+    pub fn run_until(&mut self, max_ms: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
         let begin = self.now();
-        while self.now() - begin <= most {
+        while self.now() - begin <= max_ms {
             if holds(self) {
                 return Some(self.now() - begin);
             }
-            self.run(LOOK);
+            self.run(POLL_INTERVAL_MS);
         }
         None
     }
 
-    /// Yields the numbers of the VMs with a process.
-    pub fn living(&self) -> impl Iterator<Item = usize> {
+    /// Returns the numbers of the VMs with a process.
+    pub fn running_vms(&self) -> impl Iterator<Item = usize> {
         let vms = self.vms.iter().enumerate();
         vms.filter(|(_, vm)| vm.process.is_some()).map(|(at, _)| at)
     }
 
-    /// Tells whether all living VMs have the last configuration in force.
+    /// Returns whether all running VMs have the latest configuration in force.
     pub fn agree_on_config(&self) -> bool {
         let processes = self.vms.iter().filter_map(|vm| vm.process.as_ref());
         let mut versions = processes.map(|process| process.node.table().version);
         versions.all(|version| version == self.version)
     }
 
-    /// Tells whether all living VMs give a runner requests.
+    /// Returns whether all running VMs give a runner requests.
     pub fn agree_to_use(&self, runner: &str) -> bool {
         let mut processes = self.vms.iter().filter_map(|vm| vm.process.as_ref());
         processes.all(|process| process.uses(runner))
     }
 
-    /// Tells whether no living VM gives a runner requests.
+    /// Returns whether no running VM gives a runner requests.
     pub fn agree_to_drop(&self, runner: &str) -> bool {
         let mut processes = self.vms.iter().filter_map(|vm| vm.process.as_ref());
         !processes.any(|process| process.uses(runner))
     }
 
-    /// Names the living VMs that see other runners than the service has, or another configuration.
-    pub fn disagreeing(&self) -> Vec<String> {
+    /// Returns the names of the running VMs whose runners or configuration differ from those of the
+    /// service.
+    pub fn disagreeing_vms(&self) -> Vec<String> {
         let view = View::of_store(self);
-        let other = |vm: &&Vm| {
+        let disagrees = |vm: &&Vm| {
             let process = vm.process.as_ref();
             process.is_some_and(|process| View::of(process) != view)
         };
-        let vms = self.vms.iter().filter(other);
+        let vms = self.vms.iter().filter(disagrees);
         vms.map(|vm| vm.name.clone()).collect()
     }
 
-    /// Names the living VMs that know of fewer requests at a runner.
-    pub fn counting_less(&self, runner: &str, requests: u32) -> Vec<String> {
-        let less = |vm: &&Vm| {
+    /// Returns the names of the running VMs that know of fewer requests at a runner.
+    pub fn vms_counting_less(&self, runner: &str, requests: u32) -> Vec<String> {
+        let counts_less = |vm: &&Vm| {
             let process = vm.process.as_ref();
-            process.is_some_and(|process| process.counted(runner) < requests)
+            process.is_some_and(|process| process.known_requests(runner) < requests)
         };
         self.vms
             .iter()
-            .filter(less)
+            .filter(counts_less)
             .map(|vm| vm.name.clone())
             .collect()
     }
 
-    /// Names the living VMs that know of so many requests at a runner.
-    pub fn counting(&self, runner: &str, requests: u32) -> Vec<String> {
-        let less = self.counting_less(runner, requests);
+    /// Returns the names of the running VMs that know of at least this many requests at a runner.
+    pub fn vms_counting(&self, runner: &str, requests: u32) -> Vec<String> {
+        let less = self.vms_counting_less(runner, requests);
         let counts = |vm: &&Vm| vm.process.is_some() && !less.contains(&vm.name);
         self.vms
             .iter()
@@ -301,7 +311,7 @@
             .collect()
     }
 
-    /// Has a VM begin, or end where `requests` is 0, so many requests at a runner.
+    /// Sets the number of a VM's requests at a runner.
     pub fn set_requests(&self, vm: usize, runner: &str, requests: u32) {
         let process = self.vms[vm].process.as_ref();
         let node = &process.expect("the VM runs").node;
@@ -312,14 +322,14 @@
             .own_requests = requests;
     }
 
-    /// Forgets what was counted.
+    /// Resets all traffic counts.
     pub fn clear_counts(&mut self) {
         for vm in &mut self.vms {
-            vm.count = Count::default();
+            vm.traffic = Traffic::default();
         }
     }
 
-    /// Counts the entries of VMs that the service has.
+    /// Returns the number of entries of VMs in the service.
     pub fn listed_vms(&self) -> usize {
         let prefix = relay::subject::vm_prefix();
         self.store.list(&prefix, Freshness::Latest).entries.len()
--- a/crates/relay/tests/reach.rs
+++ b/crates/relay/tests/reach.rs
@@ -1,4 +1,4 @@
-//! What the log tells of runners that can't be reached.
+//! Tests what is logged about unreachable runners.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -24,13 +24,13 @@
 use wire::clock::Millis;
 use wire::event::Event;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Passes lines on.
-struct Lines(mpsc::Sender<String>);
+/// A logger that sends lines to a channel.
+struct LineSender(mpsc::Sender<String>);
 
-impl Log for Lines {
+impl Log for LineSender {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.level() <= Level::Info
     }
@@ -44,13 +44,13 @@
     fn flush(&self) {}
 }
 
-/// A runner's address at which nothing answers: the queue of its listener is full.
-struct Silent {
+/// A runner at whose address nothing answers, because the queue of its listener is full.
+struct SilentRunner {
     listener: TcpListener,
     _queued: Vec<TcpStream>,
 }
 
-async fn silent() -> Silent {
+async fn silent_runner() -> SilentRunner {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let listener = socket.listen(1).expect("a listener");
@@ -58,9 +58,9 @@
     let mut queued = Vec::new();
     let connect = || timeout(Duration::from_millis(100), TcpStream::connect(address));
     while let Ok(connected) = connect().await {
-        queued.push(connected.expect("it is queued"));
+        queued.push(connected.expect("the connection is queued"));
     }
-    Silent {
+    SilentRunner {
         listener,
         _queued: queued,
     }
@@ -78,30 +78,30 @@
     }
 }
 
-/// A data centre is cut off: the runner to which a connection broke and the one beside it are silent.
-/// Both get nothing from then on. When the cut is over, both are reached again. The reader of the
-/// log who meets "can be reached again" of the second runner looks for the line that says since when
-/// it couldn't, and must find one of its own.
+/// A data centre is cut off: nothing answers at the runner to which a connection broke, nor at the
+/// one beside it, so both get no requests. When the partition heals, both are reached again. An
+/// operator who reads that the second runner can be reached again looks for the line that tells
+/// since when it couldn't, so each runner must have its own line.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_runner_that_is_reached_again_was_named_before() {
+async fn each_runner_logged_as_reachable_again_was_logged_as_unreachable() {
     let (sender, lines) = mpsc::channel();
-    log::set_boxed_logger(Box::new(Lines(sender))).expect("it is the only logger");
+    log::set_boxed_logger(Box::new(LineSender(sender))).expect("no other logger is set");
     log::set_max_level(LevelFilter::Info);
-    let runners = [silent().await, silent().await];
+    let runners = [silent_runner().await, silent_runner().await];
     let addresses = runners
         .iter()
         .map(|runner| runner.listener.local_addr().expect("an address"));
     let addresses: Vec<SocketAddr> = addresses.collect();
     let node = Node::new(
-        settings::parse(&fakes::settings::alone()).expect("it is sound"),
+        settings::parse(&fakes::settings::alone()).expect("valid settings"),
         Clock::System,
     );
-    for (at, address) in addresses.iter().enumerate() {
-        let id = format!("i-{at}");
+    for (number, address) in addresses.iter().enumerate() {
+        let id = format!("i-{number}");
         node.fleet().set(&id, entry(*address), 0);
     }
     reachability::note_broken(&node, "i-0", addresses[0]);
-    until(|| node.fleet().unreachable().len() == 2).await;
+    wait_until(|| node.fleet().unreachable().len() == 2).await;
     for runner in runners {
         tokio::spawn(async move {
             let mut accepted = Vec::new();
@@ -110,41 +110,51 @@
             }
         });
     }
-    until(|| {
+    wait_until(|| {
         reachability::retry(&node);
         node.fleet().unreachable().is_empty()
     })
     .await;
 
-    let told = tokio::task::spawn_blocking(move || until_reachable(&lines, 2));
-    let told = told.await.expect("no panic");
-    let names =
+    let logged = tokio::task::spawn_blocking(move || lines_until_reachable(&lines, 2));
+    let logged = logged.await.expect("no panic");
+    let is_event =
         |event: Event, line: &&String| line.contains(&format!("event=E{} ", event.number()));
     for id in ["i-0", "i-1"] {
-        let of_runner = told
+        let of_runner = logged
             .iter()
             .filter(|line| line.contains(&format!("runner={id} ")));
         let of_runner: Vec<&String> = of_runner.collect();
-        let count = |event| of_runner.iter().filter(|line| names(event, line)).count();
-        assert_eq!(count(Event::EndpointReachable), 1, "{id}: {told:#?}");
-        assert_eq!(count(Event::EndpointUnreachable), 1, "{id}: {told:#?}");
+        let count = |event| {
+            of_runner
+                .iter()
+                .filter(|line| is_event(event, line))
+                .count()
+        };
+        assert_eq!(count(Event::EndpointReachable), 1, "{id}: {logged:#?}");
+        assert_eq!(count(Event::EndpointUnreachable), 1, "{id}: {logged:#?}");
     }
 }
 
-async fn until(holds: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+async fn wait_until(holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "in vain");
-        sleep(LOOK).await;
+        assert!(Instant::now() < deadline, "timed out");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Yields the lines up to the one that tells of so many runners that they can be reached again.
-fn until_reachable(lines: &mpsc::Receiver<String>, runners: usize) -> Vec<String> {
+/// Returns the lines up to the one in which the last of `runners` runners can be reached again.
+fn lines_until_reachable(lines: &mpsc::Receiver<String>, runners: usize) -> Vec<String> {
     let reachable = format!("event=E{} ", Event::EndpointReachable.number());
-    let mut told: Vec<String> = Vec::new();
-    while told.iter().filter(|line| line.contains(&reachable)).count() < runners {
-        told.push(lines.recv_timeout(PATIENCE).expect("another line"));
+    let mut logged: Vec<String> = Vec::new();
+    while logged
+        .iter()
+        .filter(|line| line.contains(&reachable))
+        .count()
+        < runners
+    {
+        logged.push(lines.recv_timeout(TIMEOUT).expect("another line"));
     }
-    told
+    logged
 }
