--- a/crates/relay/examples/fleet/main.rs
+++ b/crates/relay/examples/fleet/main.rs
@@ -62,7 +62,7 @@
         .arg(number("vms", "300").help("VMs of the largest fleet"))
         .arg(number("runners", "600").help("Runners of the largest fleet; smaller ones have fewer"))
         .arg(number("centres", "4").help("Data centres"))
-        .arg(number("under-way", "60").help("Requests that each VM has under way"))
+        .arg(number("under-way", "60").help("Requests that each VM has in flight"))
         .arg(number("seed", "1").help("Seed of all random choices"))
         .arg(
             Arg::new("json")
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -49,8 +49,8 @@
             .binary_search_by(|(known, _)| known.as_str().cmp(service))
     }
 
-    /// Returns the pace that is presumed for runners of the service without measurements of their
-    /// own.
+    /// Returns the median pace of the service's runners, which is presumed for runners without
+    /// measurements of their own.
     fn median_pace(&self, request: &PlacementRequest<'_>) -> f64 {
         let of_service = self
             .runners
@@ -72,12 +72,12 @@
             .iter()
             .filter(|runner| runner.is_eligible(request))
             .collect();
-        let usable_first = |runner: &&Runner| {
+        let preferred = |runner: &&Runner| {
             !runner.is_avoided(request.now)
                 && runner.peer_reports.all(request.now).1 < MIN_HOLD_OFF_REPORTS
         };
-        if usable.iter().any(usable_first) {
-            usable.retain(usable_first);
+        if usable.iter().any(preferred) {
+            usable.retain(preferred);
         }
         let pace = self.median_pace(request);
         let usable_runners = usable.iter();
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -9,15 +9,15 @@
 /// A runner without an answer for this long is probed when another one in its data centre doesn't
 /// answer. Several times the pause between two answers of a busy runner.
 const QUIET_AFTER: Millis = Millis::new(300);
-/// How long a runner gets nothing after a request to it broke or failed, if none succeeded since.
-/// Doubles with each further one up to [`MAX_HOLD_OFF`]. A successful connection doesn't end it,
-/// because a flapping runner accepts connections while it is down.
+/// How long a runner gets nothing after a request to it broke or failed, if none was answered
+/// since. Doubles with each further one up to [`MAX_HOLD_OFF`]. A successful connection doesn't end
+/// it, because a flapping runner accepts connections while it is down.
 const FIRST_HOLD_OFF: Millis = Millis::new(250);
 /// The longest hold-off: about the time that a runner takes to come back.
 const MAX_HOLD_OFF: Millis = Millis::new(1_000);
 
-/// Returns how long a runner gets nothing after a failure. `before` is the number of earlier
-/// failures since the last success.
+/// Returns how long a runner gets nothing after a failure. `earlier_failures`
+/// counts those since the last success.
 pub(super) fn hold_off_span(earlier_failures: u32) -> Millis {
     let doubled = FIRST_HOLD_OFF.as_u64() << earlier_failures.min(8);
     Millis::new(doubled).min(MAX_HOLD_OFF)
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Sets the memory of the runner's engine, which the configuration tells.
+    /// Sets the memory of the runner's engine, which the configuration defines.
     pub(super) fn set_memory(&mut self, memory: u64) {
         if self.memory_tokens != memory {
             self.memory_tokens = memory;
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -22,7 +22,7 @@
 const LEAVES_AT_FULL_RATE: usize = 24;
 /// Number of silent VMs before a data centre's hub that are probed in each round. These are the
 /// first ones by name, because any of them becomes the hub as soon as it answers. One of the other
-/// silent VMs is probed as well, chosen anew in each round. If all were probed, the messages would
+/// silent VMs is probed as well, chosen again in each round. If all were probed, the messages would
 /// grow with the square of the number of VMs when a hub dies, because no leaf has heard another
 /// one.
 const PROBED_SILENT: usize = 2;
@@ -96,7 +96,7 @@
 }
 
 impl Peers {
-    /// Adds or updates a VM. A new VM counts as just heard, so that it is asked.
+    /// Adds or updates a VM. A new VM counts as just heard, so that exchanges with it start.
     pub fn set(&mut self, vm: &str, centre: &str, address: SocketAddr, now: Millis) {
         match self.find(vm) {
             Ok(index) => {
@@ -170,10 +170,10 @@
         self.known.retain(|peer| peer.lapsed_at.is_none_or(recent));
     }
 
-    /// Returns whether no VM that answers sorts before `own`, across all data centres. This VM
-    /// reads the runners' entries on behalf of the others. One reader in each data centre would
-    /// multiply the calls of the service by the number of data centres and give the other VMs no
-    /// more information.
+    /// Returns whether no VM that answers sorts before `own`, across all data centres. If so, this
+    /// VM reads the runners' entries on behalf of the others. One reader in each data centre would
+    /// multiply the calls of the key-value service by the number of data centres and give the other
+    /// VMs no more information.
     ///
     /// In a small deployment a VM that is stopping is skipped before it turns silent. If the next
     /// one stopped as well, waiting for the second time-out would have all VMs use a runner that
@@ -231,8 +231,8 @@
     ///
     /// A VM hears only those that it exchanges with. If silent ones weren't probed, nobody would
     /// learn which VM has become another data centre's hub. The leaves of a hub that was silent for
-    /// a moment would stay with its deputy, which has stepped back and sends them no figures of
-    /// other VMs.
+    /// a moment would stay with the VM that took over meanwhile. That VM has stepped back and sends
+    /// them no figures of other VMs.
     #[must_use]
     pub fn exchange_targets(&self, own: &str, centre: &str, now: Millis) -> Vec<Peer> {
         let role = self.exchange_role(own, centre, now);
--- a/crates/relay/src/tally/tests.rs
+++ b/crates/relay/src/tally/tests.rs
@@ -71,9 +71,9 @@
 
 #[rstest]
 #[case::leaf_gets_other_leaves(vm("x"), Recipient::SameCentre("y"), true)]
-#[case::leaf_does_not_get_itself(vm("y"), Recipient::SameCentre("y"), false)]
+#[case::no_figures_of_the_leaf_itself(vm("y"), Recipient::SameCentre("y"), false)]
 #[case::leaf_gets_other_centres(Origin::Centre("b".to_owned()), Recipient::SameCentre("y"), true)]
-#[case::leaf_does_not_get_its_centre_twice(Origin::Centre("a".to_owned()), Recipient::SameCentre("y"), false)]
+#[case::no_sum_of_own_centre(Origin::Centre("a".to_owned()), Recipient::SameCentre("y"), false)]
 #[case::leaf_gets_no_sum_of_others(Origin::Others, Recipient::SameCentre("y"), false)]
 #[case::hub_gets_vms_of_the_centre(vm("x"), Recipient::OtherHub, true)]
 #[case::hub_gets_no_remote_vms(vm("far"), Recipient::OtherHub, false)]
