--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -40,7 +40,7 @@
 /// callers wouldn't know whether their requests ran. So the listener closes while there is time to
 /// answer, and the process doesn't end any sooner for it.
 #[tokio::test]
-async fn the_listener_closes_while_there_is_time_to_answer() {
+async fn listener_closes_while_there_is_time_to_answer() {
     let process = stopping(Millis::new(2_000)).await;
     let _busy = process.node.work.begin(work::Kind::Answer, "q-1");
     process.door.shut.cancelled().await;
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -168,7 +168,7 @@
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
-fn halves_that_cannot_hear_each_other(#[case] both: bool, #[values(1, 2)] seed: u64) {
+fn halves_that_cannot_reach_each_other(#[case] both: bool, #[values(1, 2)] seed: u64) {
     let mut world = fleet(36, seed);
     let half = |odd: usize| -> Vec<Host> {
         let of_half = (0..36).filter(|vm| (vm / CENTRES) % 2 == odd);
@@ -248,7 +248,7 @@
 /// With four times as many VMs at the same runners, a VM sends no more, so the total doesn't grow
 /// with the square of the number of VMs.
 #[test]
-fn what_a_vm_sends_does_not_grow_with_their_number() {
+fn traffic_of_a_vm_does_not_grow_with_the_number_of_vms() {
     let (few, many) = (sent_per_second(24), sent_per_second(96));
     assert!(many.0 <= few.0 * 1.25, "messages {few:?} {many:?}");
     assert!(many.1 <= few.1 * 1.25, "bytes {few:?} {many:?}");
