--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -178,7 +178,7 @@
         body::read(incoming, routed.table.body_bytes),
     );
     let latest_end = stream::latest_end(&routed.route, routed.deadline);
-    match shutdown::before(node, latest_end, read).await? {
+    match shutdown::with_send_deadline(node, latest_end, read).await? {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(body::Fault::TooLong)) => Err(Refusal::new(Code::BodyTooLarge, "")),
         Ok(Err(fault)) => Err(Refusal::new(Code::ReadTimeout, &fault.to_string())),
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,8 +1,8 @@
-//! Follows what the operators and the runners write into the key-value service.
+//! Follows the keys that operators and runners write into the key-value service.
 //!
-//! What to call next and how long to wait is decided in [`step`]; here are the calls.
+//! [`step`] decides on the next call and on the pauses; this module makes the calls.
 
-mod away;
+mod outage;
 pub mod step;
 
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::follow::step::Follower;
 use crate::follow::step::Step;
 use crate::metrics::Counter;
-use crate::metrics::Span;
+use crate::metrics::Latency;
 use crate::node::Node;
 use crate::subject::Subject;
 
@@ -29,11 +29,13 @@
                 let listed = node.kv.list(subject.prefix(), freshness).await;
                 node.metrics.count(Counter::StoreCalls);
                 let took = Millis::from(begun.elapsed());
-                node.metrics.time(Span::StoreCall, took);
+                node.metrics.record(Latency::StoreCall, took);
                 follower.listed(&node, listed)
             }
             Step::Watch(revision) => {
-                let news = node.kv.changes(subject.prefix(), revision, subject.wait());
+                let news = node
+                    .kv
+                    .changes(subject.prefix(), revision, subject.watch_timeout());
                 let news = news.await;
                 node.metrics.count(Counter::StoreCalls);
                 follower.watched(&node, news)
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -27,7 +27,7 @@
 use crate::member_health::Check;
 use crate::node::Node;
 use crate::probe;
-use crate::reach;
+use crate::reachability;
 use crate::register;
 use crate::subject::Subject;
 
@@ -214,13 +214,16 @@
 async fn sweep(node: Arc<Node>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
-        node.runners.sweep();
-        node.vms.sweep();
+        node.runner_client.sweep();
+        node.vm_client.sweep();
         let now = node.clock.now();
-        let gone = node.fleet().sweep(now);
+        let gone = node.fleet().remove_missing(now);
         for id in gone {
-            fleet::log_change(&fleet::Change::Gone, &format!("runner={id} missing=true"));
+            fleet::log_change(
+                &fleet::Change::Removed,
+                &format!("runner={id} missing=true"),
+            );
         }
-        reach::retry(&node);
+        reachability::retry(&node);
     }
 }
--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -30,7 +30,7 @@
         let vms = listed.filter_map(|entry| entry.key.strip_prefix(&prefix));
         let vms: Vec<String> = vms.map(str::to_owned).collect();
         let now = node.clock.now();
-        node.peers().keep(&vms, now);
+        node.peers().mark_unlisted(&vms, now);
     }
     for entry in listing.entries {
         change(node, subject, edge::Change::Set(entry));
@@ -38,7 +38,7 @@
     // An empty list may come from a service that has lost all entries, so the roster's revision
     // stays and other VMs keep their entries.
     if is_first && !node.roster().entries.is_empty() {
-        node.roster().raise(listing.revision);
+        node.roster().raise_revision(listing.revision);
     }
 }
 
@@ -52,9 +52,9 @@
     ids.sort();
     if listing.revision >= node.roster().revision {
         drop_missing(node, &ids, "listed=false");
-        node.roster().keep(&ids, listing.revision);
+        node.roster().retain_listed(&ids, listing.revision);
     }
-    node.set_runners_at(node.clock.now());
+    node.note_runners_current(node.clock.now());
 }
 
 /// Drops the runners that aren't listed; `source` says in the log where the list came from.
@@ -69,9 +69,9 @@
         node.fleet().note_missing(listed, now);
         return;
     }
-    let gone = node.fleet().keep(listed);
+    let gone = node.fleet().remove_unlisted(listed);
     for id in gone {
-        fleet::log_change(&fleet::Change::Gone, &format!("runner={id} {source}"));
+        fleet::log_change(&fleet::Change::Removed, &format!("runner={id} {source}"));
     }
 }
 
@@ -87,7 +87,7 @@
         (Subject::Own, edge::Change::Removed { key, .. }) => {
             if let Some(vm) = key.strip_prefix(&subject::vm_prefix()) {
                 let now = node.clock.now();
-                node.peers().lapse(vm, now);
+                node.peers().mark_lapsed(vm, now);
             }
         }
         (Subject::Config, edge::Change::Removed { .. }) => {}
@@ -113,7 +113,7 @@
     if node.set_table(Table::new(config, bytes)) {
         let table = node.table();
         node.fleet()
-            .learn_memory(|service| table.memory_tokens(service));
+            .set_memory(|service| table.memory_tokens(service));
         log::info!(
             "event=E{} text=\"{}\" revision={version} before={before} routes={routes}",
             Event::RevisionApplied.number(),
@@ -146,8 +146,8 @@
     );
     let change = set_runner(node, &id, decoded);
     let weight = match change {
-        fleet::Change::Same => roster::Weight::Heartbeat,
-        _ => roster::Weight::Matters,
+        fleet::Change::Unchanged => roster::ChangeKind::Heartbeat,
+        _ => roster::ChangeKind::Significant,
     };
     node.roster().set(&id, &entry.value, entry.revision, weight);
     fleet::log_change(&change, &line);
@@ -168,7 +168,7 @@
 }
 
 fn system_entry(node: &Arc<Node>, entry: &Entry) {
-    if entry.key == subject::list_key() {
+    if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
             Err(fault) => log::error!("text=\"can't decode the member list\" fault=\"{fault}\""),
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -25,13 +25,13 @@
 use wire::event::Event;
 
 use crate::fleet;
-use crate::fleet::Chosen;
-use crate::fleet::Want;
+use crate::fleet::ChosenRunner;
+use crate::fleet::PlacementRequest;
 use crate::metrics::Counter;
+use crate::metrics::Latency;
 use crate::metrics::Outcome;
-use crate::metrics::Span;
 use crate::node::Node;
-use crate::reach;
+use crate::reachability;
 use crate::refuse::RequestInfo;
 use crate::stream;
 use crate::table::Table;
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The runner.
-    pub runner: Chosen,
+    pub runner: ChosenRunner,
     /// When the attempt was sent.
     pub sent_at: Instant,
     node: Arc<Node>,
@@ -91,7 +91,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if let Some(runner) = self.node.fleet().runner(&self.runner.id) {
-            runner.own = runner.own.saturating_sub(1);
+            runner.own_requests = runner.own_requests.saturating_sub(1);
         }
     }
 }
@@ -137,7 +137,9 @@
     /// Records the time from the request's arrival until it was sent to the runner that answers.
     pub fn record_wait(&self, attempt: &Attempt) {
         let waited = attempt.sent_at.saturating_duration_since(self.arrived);
-        self.node.metrics.time(Span::Wait, Millis::from(waited));
+        self.node
+            .metrics
+            .record(Latency::Wait, Millis::from(waited));
     }
 
     /// Returns the details of this request that go with a refusal.
@@ -154,9 +156,9 @@
 
     /// Chooses a runner that is not in `not`.
     #[must_use]
-    pub fn choose(&self, not: &[String]) -> Option<Chosen> {
+    pub fn choose(&self, excluded: &[String]) -> Option<ChosenRunner> {
         let engine = self.table.engine(&self.service);
-        let want = Want {
+        let want = PlacementRequest {
             service: &self.service,
             engine,
             prompt: &self.prompt,
@@ -167,11 +169,11 @@
                 1
             },
             salt: rand::rng().next_u64(),
-            not,
+            excluded,
             centre: &self.node.settings.centre,
-            away: match self.route.kind {
-                Kind::AtMostOnce => fleet::AWAY_ONCE,
-                Kind::Idempotent | Kind::Stream => fleet::AWAY,
+            remote_cost_ms: match self.route.kind {
+                Kind::AtMostOnce => fleet::REMOTE_COST_AT_MOST_ONCE_MS,
+                Kind::Idempotent | Kind::Stream => fleet::REMOTE_COST_MS,
             },
             now: self.node.clock.now(),
         };
@@ -182,7 +184,7 @@
     /// `deadline`.
     pub async fn send(
         &self,
-        runner: Chosen,
+        runner: ChosenRunner,
         payload: Payload,
         last_event: Option<u64>,
         deadline: Instant,
@@ -202,7 +204,7 @@
             Ok(uri) => *request.uri_mut() = uri,
             Err(fault) => return SendOutcome::Unknown(format!("the path isn't a URI: {fault}")),
         }
-        let sent = self.node.runners.send(runner.address, request);
+        let sent = self.node.runner_client.send(runner.address, request);
         let Ok(sent) = timeout_at(deadline, sent).await else {
             return SendOutcome::TimedOut;
         };
@@ -210,7 +212,7 @@
             Ok(reply) => self.classify_reply(reply, attempt).await,
             Err(fault) => {
                 let runner = &attempt.runner;
-                reach::note_broken(&self.node, &runner.id, runner.address);
+                reachability::note_broken(&self.node, &runner.id, runner.address);
                 match fault {
                     client::Fault::Silent(_) | client::Fault::NotSent(_) => {
                         self.log_retry(&runner.id, &fault.to_string());
@@ -222,13 +224,13 @@
         }
     }
 
-    fn begin_attempt(&self, runner: Chosen) -> Attempt {
+    fn begin_attempt(&self, runner: ChosenRunner) -> Attempt {
         let now = self.node.clock.now();
         {
             let mut fleet = self.node.fleet();
             fleet.note_demand(&self.service, &self.prompt, now);
             if let Some(known) = fleet.runner(&runner.id) {
-                known.own += 1;
+                known.own_requests += 1;
                 known.note_prompt(&self.prompt, now);
             }
         }
@@ -250,8 +252,8 @@
             runner.slots,
             self.call.prompt_tokens,
             runner.cached,
-            runner.cost,
-            runner.among,
+            runner.cost_ms,
+            runner.candidates,
             self.node.runners_age().as_u64(),
             self.age().as_u64(),
             self.time_left().as_u64()
@@ -275,7 +277,7 @@
             reply.body.keep_for(span.as_duration());
         }
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
-            runner.note_heard(now);
+            runner.note_answer(now);
             if let Some(load) = answer_headers.load {
                 runner.note_load(load, now);
             }
@@ -296,7 +298,7 @@
         self.node.metrics.count(Counter::TurnedAway);
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
             if wrong_runner {
-                runner.note_elsewhere(now);
+                runner.note_address_taken(now);
             } else {
                 runner.note_full(now);
             }
@@ -347,7 +349,7 @@
     /// Logs that the caller left before its answer was complete.
     pub fn log_caller_gone(&self, events: u64) {
         let kind = Some(self.route.kind);
-        self.node.metrics.end(kind, Outcome::Gone);
+        self.node.metrics.count_outcome(kind, Outcome::Gone);
         log::info!(
             "event=E{} text=\"{}\" request={} program={} route={} events={events} ms={}",
             Event::CallerGone.number(),
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of a process share.
+//! State that the parts of a process share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,102 +32,106 @@
 use crate::turns::Cache;
 use crate::work;
 
-/// How long a call of the key-value service may take: well above its usual few milliseconds, also
-/// where it is fifty times slower, and short enough that a lost answer is noticed within the time
-/// in which a configuration has to be in force.
+/// How long a call of the key-value service may take. Calls usually take a few milliseconds; this
+/// is enough even when the service is fifty times slower, and short enough to notice a lost answer
+/// within the time in which a configuration has to be in force.
 pub const STORE_TIMEOUT: Millis = Millis::new(900);
-/// How long a connection to a runner or VM may take: data centres are a few milliseconds apart.
-const CONNECT: Duration = Duration::from_millis(250);
-/// How long sent bytes may go unacknowledged before the connection counts as dead: above a packet
-/// that is sent again twice (after 0.2 and 0.4 s). In a partition everything on kept connections
-/// hangs for this long before anyone knows.
-const SILENCE: Duration = Duration::from_millis(650);
-/// How long an unused connection to a runner is kept. Runners that close sooner say so.
-const KEEP: Duration = Duration::from_secs(4);
-/// How long a connection rests after an answer; a second answer of a faulty runner comes within
-/// some milliseconds.
-const REST: Duration = Duration::from_millis(5);
-/// The most unused connections to a runner: more than the requests that one VM has at it.
-const IDLE: usize = 24;
-/// How old a VM's knowledge of the runners may be before it reads their entries itself: a little
-/// over half of the time in which a leaving runner has to be free of new calls.
-const STALE: Millis = Millis::new(1_200);
-/// Heartbeats of a runner within which its entry doesn't lapse; three of silence end it.
-const RENEWED: u64 = 2;
-/// How long after its start a VM lets requests wait for what it has yet to learn. All of it takes
-/// under 0.2 s where the others are there (measured after a loss of all power); one that takes
-/// longer has something to wait for that may not come, and refuses.
-const START: Duration = Duration::from_millis(800);
-/// How often a waiting request looks again: a fraction of the time that a client's next try takes.
-const LOOK: Duration = Duration::from_millis(5);
-/// The share of the process's memory for turns at hand, as a divisor.
-const TURNS_SHARE: u64 = 6;
+/// Timeout for connecting to a runner or VM. Data centres are a few milliseconds apart.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long sent bytes may stay unacknowledged before the connection counts as dead. Longer than
+/// two retransmissions of a packet (after 0.2 and 0.4 s). In a partition, requests on kept
+/// connections hang for this long before the failure is noticed.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(650);
+/// How long an unused connection to a runner is kept. Runners that close connections sooner
+/// announce it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long a connection stays unused after an answer. A faulty runner that sends a second answer
+/// sends it within some milliseconds.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
+/// The most unused connections kept to a runner. More than the requests that one VM has in flight
+/// at a runner.
+const MAX_IDLE_CONNECTIONS: usize = 24;
+/// Age of a VM's knowledge of the runners above which it reads their entries itself. A little over
+/// half of the time in which a leaving runner has to stop getting new calls.
+const RUNNERS_MAX_AGE: Millis = Millis::new(1_200);
+/// Number of heartbeats for which a runner's entry is certain not to lapse. It lapses after three
+/// missed heartbeats.
+const ENTRY_LIFETIME_HEARTBEATS: u64 = 2;
+/// How long after its start a VM lets requests wait for information that it still lacks. With the
+/// other VMs up, it has everything in under 0.2 s, also after a power loss of all VMs. If it takes
+/// longer, the missing information may never come, so requests are refused.
+const START_WAIT: Duration = Duration::from_millis(800);
+/// How often a waiting request polls. A fraction of the time until a client's next attempt.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Divisor of the process's memory that gives the size of the turn cache.
+const TURN_CACHE_DIVISOR: u64 = 6;
 
-/// A process's parts.
+/// Shared state of a process.
 #[derive(Debug)]
 pub struct Node {
-    /// The settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// The time.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Connections to runners.
-    pub runners: Arc<Client>,
-    /// Connections to other VMs.
-    pub vms: Arc<Client>,
-    /// The platform's key-value service.
+    /// Client for connections to runners.
+    pub runner_client: Arc<Client>,
+    /// Client for connections to other VMs.
+    pub vm_client: Arc<Client>,
+    /// Client of the platform's key-value service.
     pub kv: Kv,
-    /// The VMs with a disk.
+    /// Client of the VMs with a disk.
     pub replicas: Replicas,
-    /// Other VMs of the same role.
+    /// The other VMs that take requests.
     pub peers: Mutex<Peers>,
-    /// Turns at hand.
+    /// Cache of turns.
     pub turns: Mutex<Cache>,
-    /// The figures.
+    /// Counters and histograms.
     pub metrics: Metrics,
     started: Instant,
     table: Mutex<Arc<Table>>,
     fleet: Mutex<Fleet>,
     roster: Mutex<Roster>,
-    /// Set once the process stops.
+    /// Set once the process begins to stop.
     stop: watch::Sender<Option<Stop>>,
     /// Whether enough VMs with a disk answer.
     member_health: Mutex<MemberHealth>,
-    /// Held while a doubt of that is settled.
+    /// Held while a doubt about whether enough VMs with a disk answer is being checked.
     pub suspicion_check: tokio::sync::Mutex<()>,
-    /// When the runners' list was last known to be current.
-    runners_at: AtomicU64,
-    /// When the configuration in force was last known to be current.
-    config_at: AtomicU64,
-    /// What is under way.
-    pub work: Arc<work::Register>,
+    /// When the list of runners was last known to be current, in milliseconds.
+    runners_current_at: AtomicU64,
+    /// When the configuration in force was last known to be current, in milliseconds.
+    config_current_at: AtomicU64,
+    /// Work in progress.
+    pub work: Arc<work::Registry>,
 }
 
 impl Node {
-    /// Makes a process's parts.
+    /// Creates the state of a process that knows no runners, routes or other VMs yet.
     #[must_use]
     pub fn new(settings: Settings, clock: Clock) -> Arc<Self> {
         let limits = Limits {
-            connect: CONNECT,
-            silence: SILENCE,
-            keep: KEEP,
-            rest: REST,
-            idle: IDLE,
+            connect: CONNECT_TIMEOUT,
+            silence: UNACKED_TIMEOUT,
+            keep: IDLE_TIMEOUT,
+            rest: REUSE_DELAY,
+            idle: MAX_IDLE_CONNECTIONS,
         };
-        let runners = Client::new(limits);
-        let vms = Client::new(Limits {
+        let runner_client = Client::new(limits);
+        let vm_client = Client::new(Limits {
             rest: Duration::ZERO,
             ..limits
         });
-        let kv = Kv::new(vms.clone(), settings.store, STORE_TIMEOUT);
-        let replicas = Replicas::new(vms.clone(), &settings.centre, settings.losses);
-        let turns = usize::try_from(settings.memory_bytes / TURNS_SHARE).unwrap_or(usize::MAX);
+        let kv = Kv::new(vm_client.clone(), settings.store, STORE_TIMEOUT);
+        let replicas = Replicas::new(vm_client.clone(), &settings.centre, settings.losses);
+        let cache_bytes =
+            usize::try_from(settings.memory_bytes / TURN_CACHE_DIVISOR).unwrap_or(usize::MAX);
         Arc::new(Self {
-            runners,
-            vms,
+            runner_client,
+            vm_client,
             kv,
             replicas,
             peers: Mutex::default(),
-            turns: Mutex::new(Cache::new(turns)),
+            turns: Mutex::new(Cache::new(cache_bytes)),
             metrics: Metrics::default(),
             started: Instant::now(),
             table: Mutex::default(),
@@ -136,15 +140,15 @@
             stop: watch::Sender::default(),
             member_health: Mutex::default(),
             suspicion_check: tokio::sync::Mutex::default(),
-            runners_at: AtomicU64::new(0),
-            config_at: AtomicU64::new(0),
+            runners_current_at: AtomicU64::new(0),
+            config_current_at: AtomicU64::new(0),
             work: Arc::default(),
             settings,
             clock,
         })
     }
 
-    /// Yields the routes in force.
+    /// Returns the routes in force.
     #[must_use]
     pub fn table(&self) -> Arc<Table> {
         self.table
@@ -153,55 +157,57 @@
             .clone()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force unless one that is as new or newer already is. Returns whether
+    /// it did.
     pub fn set_table(&self, table: Table) -> bool {
-        let mut own = self.table.lock().unwrap_or_else(PoisonError::into_inner);
-        if own.loaded && table.version <= own.version {
+        let mut current = self.table.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.loaded && table.version <= current.version {
             return false;
         }
-        *own = Arc::new(table);
+        *current = Arc::new(table);
         true
     }
 
-    /// Yields the runners.
+    /// Locks the runners.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields the runners' entries.
+    /// Locks the runners' entries.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         self.roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields the turns at hand.
+    /// Locks the cache of turns.
     pub fn turns(&self) -> MutexGuard<'_, Cache> {
         self.turns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Yields the other VMs.
+    /// Locks the other VMs.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits just after the process's start until `known` holds; at other times, or where it takes
-    /// too long, returns at once.
+    /// Waits shortly after the process's start until `known` holds. Returns at once at any other
+    /// time, and gives up at `until` or when the start phase is over.
     ///
-    /// After a loss of all power the clients' tries come within the first tens of milliseconds, and
-    /// each refusal would use one of the few tries up that a turn has.
+    /// After a power loss of all VMs, clients retry within the first tens of milliseconds, and each
+    /// refusal would use up one of the few attempts that a turn has.
     pub async fn wait_at_start(&self, known: impl Fn(&Self) -> bool, until: Instant) {
-        let until = until.min(self.started + START);
+        let until = until.min(self.started + START_WAIT);
         while !known(self) && Instant::now() < until {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Tells whether a configuration and runners are known.
+    /// Returns whether a configuration and at least one runner are known.
     #[must_use]
     pub fn can_route(&self) -> bool {
         self.table().loaded && !self.fleet().runners().is_empty()
     }
 
-    /// Notes that the process stops from now on, and yields how.
+    /// Marks the process as stopping and returns the schedule of the stop. A second call returns
+    /// the schedule of the first.
     pub fn begin_stop(&self) -> Stop {
         let begun = Stop::new(self.clock.now(), self.settings.grace);
         let stop = self.stop().unwrap_or(begun);
@@ -209,16 +215,16 @@
         stop
     }
 
-    /// Yields how the process stops, if it does.
+    /// Returns the schedule of the stop if the process is stopping.
     #[must_use]
     pub fn stop(&self) -> Option<Stop> {
         *self.stop.borrow()
     }
 
-    /// Waits until the process stops, and yields how.
+    /// Waits until the process begins to stop and returns the schedule of the stop.
     pub async fn stopping(&self) -> Stop {
-        let mut told = self.stop.subscribe();
-        let stop = match told.wait_for(Option::is_some).await {
+        let mut receiver = self.stop.subscribe();
+        let stop = match receiver.wait_for(Option::is_some).await {
             Ok(stop) => *stop,
             Err(_) => None,
         };
@@ -228,75 +234,78 @@
         }
     }
 
-    /// Yields whether enough VMs with a disk answer.
+    /// Locks the state that tells whether enough VMs with a disk answer.
     pub fn member_health(&self) -> MutexGuard<'_, MemberHealth> {
         self.member_health
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether turns can be served, as far as the VMs with a disk go.
+    /// Returns whether enough VMs with a disk answer for turns to be served.
     #[must_use]
     pub fn can_serve_turns(&self) -> bool {
         self.member_health().serves_turns()
     }
 
-    /// Notes that the runners' list is current.
-    pub fn set_runners_at(&self, now: Millis) {
-        self.runners_at.fetch_max(now.as_u64(), Ordering::Relaxed);
+    /// MemberHealth that the list of runners was current at `now`.
+    pub fn note_runners_current(&self, now: Millis) {
+        self.runners_current_at
+            .fetch_max(now.as_u64(), Ordering::Relaxed);
     }
 
-    /// Yields how old the runners' list is.
+    /// Returns the age of the list of runners.
     #[must_use]
     pub fn runners_age(&self) -> Millis {
-        let at = Millis::new(self.runners_at.load(Ordering::Relaxed));
-        self.clock.now().since(at)
+        let current_at = Millis::new(self.runners_current_at.load(Ordering::Relaxed));
+        self.clock.now().since(current_at)
     }
 
-    /// Notes that the configuration in force is current.
-    pub fn set_config_at(&self, now: Millis) {
-        self.config_at.fetch_max(now.as_u64(), Ordering::Relaxed);
+    /// MemberHealth that the configuration in force was current at `now`.
+    pub fn note_config_current(&self, now: Millis) {
+        self.config_current_at
+            .fetch_max(now.as_u64(), Ordering::Relaxed);
     }
 
-    /// Yields how long ago the VM last heard that its configuration is current: from the key-value
-    /// service, or from its hub, whose messages tell of both the configuration and the runners.
+    /// Returns how long ago the VM last learned that its configuration is current: from the
+    /// key-value service, or from its hub, whose messages cover both the configuration and the
+    /// runners.
     #[must_use]
     pub fn config_age(&self) -> Millis {
         if self.source(Subject::Config) == Source::Peers {
             return self.runners_age();
         }
-        let at = Millis::new(self.config_at.load(Ordering::Relaxed));
-        self.clock.now().since(at)
+        let current_at = Millis::new(self.config_current_at.load(Ordering::Relaxed));
+        self.clock.now().since(current_at)
     }
 
-    /// Tells whether entries of runners that live may have lapsed since the runners' list was current:
-    /// one does that couldn't be renewed for some heartbeats.
+    /// Returns whether entries of running runners may have lapsed since the list of runners was
+    /// last current. An entry lapses when it can't be renewed for some heartbeats.
     #[must_use]
     pub fn may_have_lapsed(&self) -> bool {
-        let renewed = Millis::new(self.settings.heartbeat.as_u64() * RENEWED);
-        self.runners_age() > renewed
+        let certain_for = Millis::new(self.settings.heartbeat.as_u64() * ENTRY_LIFETIME_HEARTBEATS);
+        self.runners_age() > certain_for
     }
 
-    /// Tells whether the runners' list is too old to rely on.
+    /// Returns whether the list of runners is too old to rely on.
     #[must_use]
     fn is_runners_list_stale(&self) -> bool {
-        self.runners_age() > STALE
+        self.runners_age() > RUNNERS_MAX_AGE
     }
 
-    /// Yields where this VM learns of a subject now.
+    /// Returns where this VM currently learns of a subject.
     #[must_use]
     pub fn source(&self, subject: Subject) -> Source {
         let now = self.clock.now();
         let settings = &self.settings;
-        let (place, reads) = {
+        let (role, is_reader) = {
             let peers = self.peers();
-            let place = peers.place(&settings.vm, &settings.centre, now);
-            (place, peers.is_reader(&settings.vm, now))
+            let role = peers.exchange_role(&settings.vm, &settings.centre, now);
+            (role, peers.is_reader(&settings.vm, now))
         };
-        subject::source(subject, place, reads, self.is_runners_list_stale())
+        subject::source(subject, role, is_reader, self.is_runners_list_stale())
     }
 
-    /// Tells whether the process can serve what clients ask.
+    /// Returns whether the process can serve clients' requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let table = self.table();
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -1,115 +1,124 @@
 use wire::clock::Millis;
 
-use super::Course;
-use super::DIRECT;
+use super::ExchangeRole;
+use super::Lifecycle;
+use super::MAX_DIRECT_PEERS;
+use super::PeerStatus;
 use super::Peers;
-use super::Place;
-use super::Told;
 
 const NOW: Millis = Millis::new(10_000);
 
 fn peers(count: usize) -> Peers {
     let mut peers = Peers::default();
-    for at in 0..count {
-        let centre = ["a", "b", "c"][at % 3];
-        let vm = format!("vm-{at:03}");
+    for number in 0..count {
+        let centre = ["a", "b", "c"][number % 3];
+        let vm = format!("vm-{number:03}");
         peers.set(&vm, centre, ([127, 0, 0, 1], 7000).into(), NOW);
     }
     peers
 }
 
 fn asked(peers: &Peers, own: &str, centre: &str, now: Millis) -> Vec<String> {
-    let asked = peers.to_ask(own, centre, now).into_iter();
+    let asked = peers.exchange_targets(own, centre, now).into_iter();
     asked.map(|peer| peer.vm).collect()
 }
 
 #[test]
-fn few_vms_exchange_with_each_other_once_a_pair() {
+fn few_vms_exchange_pairwise() {
     let peers = peers(6);
-    assert_eq!(peers.place("vm-000", "a", NOW), Place::Direct);
+    assert_eq!(
+        peers.exchange_role("vm-000", "a", NOW),
+        ExchangeRole::Direct
+    );
     assert_eq!(asked(&peers, "vm-003", "a", NOW), ["vm-004", "vm-005"]);
     assert!(asked(&peers, "vm-005", "c", NOW).is_empty());
 }
 
 #[test]
-fn many_vms_exchange_over_their_hubs() {
-    let peers = peers(DIRECT + 60);
+fn many_vms_exchange_through_hubs() {
+    let peers = peers(MAX_DIRECT_PEERS + 60);
     assert_eq!(asked(&peers, "vm-030", "a", NOW), ["vm-000"]);
     assert_eq!(asked(&peers, "vm-000", "a", NOW), ["vm-001", "vm-002"]);
-    assert_eq!(peers.place("vm-000", "a", NOW), Place::Hub);
+    assert_eq!(peers.exchange_role("vm-000", "a", NOW), ExchangeRole::Hub);
 }
 
-/// A hub freezes. Its data centre's VMs no longer hear of others' requests and would all pick the
-/// same idle runner; the next VM takes over within a second, and steps back when it is heard again.
+/// A hub freezes. The VMs of its data centre no longer learn of other VMs' requests and would all
+/// pick the same idle runner. The next VM takes over within a second, and steps back when the hub
+/// is heard again.
 #[test]
-fn a_silent_hub_is_passed_over() {
-    let mut peers = peers(DIRECT + 60);
+fn silent_hub_is_skipped() {
+    let mut peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
-    for at in 1..DIRECT + 60 {
-        peers.hear(&format!("vm-{at:03}"), Told::default(), later);
+    for number in 1..MAX_DIRECT_PEERS + 60 {
+        peers.note_status(&format!("vm-{number:03}"), PeerStatus::default(), later);
     }
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000", "vm-003"]);
-    assert_eq!(peers.place("vm-003", "a", later), Place::Hub);
+    assert_eq!(peers.exchange_role("vm-003", "a", later), ExchangeRole::Hub);
     assert!(asked(&peers, "vm-003", "a", later).contains(&"vm-000".to_owned()));
-    peers.hear("vm-000", Told::default(), later);
-    assert_eq!(peers.place("vm-003", "a", later), Place::Leaf);
+    peers.note_status("vm-000", PeerStatus::default(), later);
+    assert_eq!(
+        peers.exchange_role("vm-003", "a", later),
+        ExchangeRole::Leaf
+    );
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000"]);
 }
 
-/// A hub dies, and its leaves have never heard each other. Did each ask all that come before it, or
-/// all at once those of other data centres, a hub's death would cost messages by the square of the VMs.
+/// A hub dies, and its leaves have never heard each other. If each leaf asked all VMs that sort
+/// before it, or if all leaves asked those of other data centres at once, the death of a hub would
+/// cost messages by the square of the number of VMs.
 #[test]
-fn leaves_without_a_hub_ask_few() {
-    let peers = peers(DIRECT + 60);
+fn leaves_without_a_hub_ask_few_vms() {
+    let peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
-    for at in 1..DIRECT + 60 {
-        let own = format!("vm-{at:03}");
-        let asked = asked(&peers, &own, ["a", "b", "c"][at % 3], later);
+    for number in 1..MAX_DIRECT_PEERS + 60 {
+        let own = format!("vm-{number:03}");
+        let asked = asked(&peers, &own, ["a", "b", "c"][number % 3], later);
         assert!(asked.len() <= 9, "{own}: {asked:?}");
     }
 }
 
 #[test]
-fn a_vm_whose_entry_has_lapsed_is_forgotten_later() {
+fn vm_with_a_lapsed_entry_is_forgotten_after_a_while() {
     let mut peers = peers(3);
-    peers.lapse("vm-000", NOW);
+    peers.mark_lapsed("vm-000", NOW);
     assert!(peers.is_first("vm-003", "a", NOW));
-    peers.sweep(Millis::new(15_000));
+    peers.forget_lapsed(Millis::new(15_000));
     assert!(peers.peer("vm-000").is_some());
-    peers.sweep(Millis::new(21_000));
+    peers.forget_lapsed(Millis::new(21_000));
     assert!(peers.peer("vm-000").is_none());
 }
 
-/// One VM reads the runners' entries for all. It is cut off or killed: the next one by name takes
-/// over within a second, before what the others know is stale.
+/// One VM reads the runners' entries for all and is cut off or killed. The next one by name takes
+/// over within a second, before the knowledge of the other VMs is stale.
 #[test]
-fn one_vm_reads_for_all_and_the_next_takes_over() {
+fn next_vm_takes_over_from_a_silent_reader() {
     let mut peers = peers(6);
     assert!(peers.is_reader("vm-000", NOW));
     assert!(!peers.is_reader("vm-001", NOW));
     let later = Millis::new(11_100);
     for vm in ["vm-002", "vm-003"] {
-        peers.hear(vm, Told::default(), later);
+        peers.note_status(vm, PeerStatus::default(), later);
     }
     assert!(peers.is_reader("vm-001", later), "the first is silent");
     assert!(!peers.is_reader("vm-003", later));
 }
 
-/// A runner's entry goes while the VM that reads the entries for all stops, and so does the next one by
-/// name. Each taken for the reader until it had been silent for a second, the others would hear of the
-/// entry more than two seconds later, and send requests to a runner that has gone.
+/// A runner's entry is removed while the VM that reads the entries for all stops, and so does the
+/// next one by name. If each were considered the reader until it had been silent for a second, the
+/// other VMs would learn of the removal more than two seconds later, and send requests to a runner
+/// that is gone.
 #[test]
-fn readers_that_stop_are_not_waited_for() {
+fn stopping_readers_are_skipped() {
     let mut peers = peers(6);
-    let stops = Told {
-        course: Course::Stops,
-        ..Told::default()
+    let stopping = PeerStatus {
+        lifecycle: Lifecycle::Stops,
+        ..PeerStatus::default()
     };
     for vm in ["vm-000", "vm-001"] {
-        peers.hear(vm, stops, NOW);
+        peers.note_status(vm, stopping, NOW);
     }
     assert!(peers.is_reader("vm-002", NOW));
     assert!(!peers.is_reader("vm-003", NOW));
-    peers.hear("vm-000", Told::default(), NOW);
+    peers.note_status("vm-000", PeerStatus::default(), NOW);
     assert!(!peers.is_reader("vm-002", NOW), "the first is back");
 }
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -22,8 +22,8 @@
 use crate::job::Attempt;
 use crate::job::Job;
 use crate::job::SendOutcome;
+use crate::metrics::Latency;
 use crate::metrics::Outcome;
-use crate::metrics::Span;
 use crate::refuse;
 use crate::shutdown;
 use crate::work;
@@ -58,7 +58,7 @@
             );
         }
     });
-    match shutdown::by_the_end(&shared.node, receiver).await {
+    match shutdown::with_answer_deadline(&shared.node, receiver).await {
         Ok(Ok(response)) => response,
         Ok(Err(_)) => refuse::task_died(&shared.node, &shared.call.id),
         Err(refusal) => refuse(&shared, &refusal),
@@ -85,7 +85,7 @@
         job,
         finished: false,
     };
-    let answer = shutdown::by_the_end(&job.node, run_attempts(job)).await;
+    let answer = shutdown::with_answer_deadline(&job.node, run_attempts(job)).await;
     guard.finished = true;
     match answer {
         Ok(Ok(response)) => response,
@@ -106,9 +106,9 @@
             return Err(refuse::timed_out(possible_runs));
         }
         if possible_runs == 0 {
-            shutdown::pass_on(&job.node, job.latest_end())?;
+            shutdown::allow_send(&job.node, job.latest_end())?;
         } else {
-            shutdown::try_again(&job.node, job.latest_end())?;
+            shutdown::allow_retry(&job.node, job.latest_end())?;
         }
         let Some(runner) = job.choose(&excluded) else {
             return Err(refuse::no_runner(possible_runs));
@@ -178,13 +178,13 @@
     if !job::is_runner_failure(head.status)
         && let Some(runner) = job.node.fleet().runner(&attempt.runner.id)
     {
-        runner.note_done(1, span, now);
+        runner.note_success(1, span, now);
     }
     job.node
         .metrics
-        .end(Some(job.route.kind), Outcome::Answered);
+        .count_outcome(Some(job.route.kind), Outcome::Answered);
     job.record_wait(&attempt);
-    job.node.metrics.time(Span::Whole, job.age());
+    job.node.metrics.record(Latency::WholeAnswer, job.age());
     job.log_answered(&attempt.runner.id, head.status.as_u16(), 0, None);
     Ok(answer::forwarded(
         head.status,
--- a/crates/relay/src/refuse.rs
+++ b/crates/relay/src/refuse.rs
@@ -71,8 +71,8 @@
         Ran::No => Outcome::Refused,
         Ran::Unknown | Ran::Yes => Outcome::Failed,
     };
-    node.metrics.end(info.kind, outcome);
-    node.metrics.refuse(refusal.code);
+    node.metrics.count_outcome(info.kind, outcome);
+    node.metrics.count_refusal(refusal.code);
     let RequestInfo {
         request,
         program,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -41,8 +41,8 @@
 use crate::job::SendOutcome;
 use crate::metrics::Break;
 use crate::metrics::Counter;
+use crate::metrics::Latency;
 use crate::metrics::Outcome;
-use crate::metrics::Span;
 use crate::refuse;
 use crate::shutdown;
 use crate::work;
@@ -148,13 +148,13 @@
     account: Option<Account>,
 ) -> Result<(Reply, Attempt, History), Refusal> {
     let prepared = prepare(job, account);
-    let history = shutdown::before(&job.node, job.latest_end(), prepared).await??;
-    job.node.metrics.time(Span::Prepare, job.age());
+    let history = shutdown::with_send_deadline(&job.node, job.latest_end(), prepared).await??;
+    job.node.metrics.record(Latency::Prepare, job.age());
     let mut excluded = Vec::new();
     let mut possible_runs = 0;
     let last_event = job.call.last_event;
     let opened = find_runner(job, &history, &mut excluded, &mut possible_runs, last_event);
-    let (reply, attempt) = shutdown::by_the_end(&job.node, opened).await??;
+    let (reply, attempt) = shutdown::with_answer_deadline(&job.node, opened).await??;
     job.record_wait(&attempt);
     Ok((reply, attempt, history))
 }
@@ -187,9 +187,9 @@
             break;
         }
         if *possible_runs == 0 {
-            shutdown::pass_on(&job.node, job.latest_end())?;
+            shutdown::allow_send(&job.node, job.latest_end())?;
         } else {
-            shutdown::try_again(&job.node, job.latest_end())?;
+            shutdown::allow_retry(&job.node, job.latest_end())?;
         }
         let Some(runner) = job.choose(excluded) else {
             return Err(refuse::no_runner(*possible_runs));
@@ -286,11 +286,11 @@
             }
             job.node
                 .metrics
-                .time(Span::Sync, Millis::from(keep_started.elapsed()));
-            job.node.metrics.time(Span::Whole, job.age());
+                .record(Latency::Sync, Millis::from(keep_started.elapsed()));
+            job.node.metrics.record(Latency::WholeAnswer, job.age());
             job.node
                 .metrics
-                .end(Some(job.route.kind), Outcome::Answered);
+                .count_outcome(Some(job.route.kind), Outcome::Answered);
             // A caller that has left needs no end.
             let _gone = state.parts.send(Part::End).await;
             job.log_answered(&state.runner, status, state.events, state.first_event_after);
@@ -422,7 +422,7 @@
             let engine = job.table.engine(&job.service);
             let tokens = engine.map_or(1, |engine| engine.event_tokens) * (events - 1);
             let first_event_at = state.first_event_at.unwrap_or_else(Instant::now);
-            runner.note_done(tokens, Millis::from(first_event_at.elapsed()), now);
+            runner.note_success(tokens, Millis::from(first_event_at.elapsed()), now);
         }
         StreamEnd::Complete | StreamEnd::CallerGone | StreamEnd::TimedOut => {}
     }
@@ -459,7 +459,7 @@
             if state.first_event_after.is_none() {
                 let age = job.age();
                 state.first_event_after = Some(age);
-                job.node.metrics.time(Span::First, age);
+                job.node.metrics.record(Latency::FirstEvent, age);
             }
             state.first_event_at.get_or_insert_with(Instant::now);
             state.events += 1;
@@ -548,8 +548,10 @@
 }
 
 fn log_broken(job: &Job, state: &StreamState, cause: Break, why: &str) {
-    job.node.metrics.end(Some(job.route.kind), Outcome::Failed);
-    job.node.metrics.break_off(cause);
+    job.node
+        .metrics
+        .count_outcome(Some(job.route.kind), Outcome::Failed);
+    job.node.metrics.count_break(cause);
     log::warn!(
         "event=E{} text=\"{}\" request={} program={} route={} runner={} events={} first_ms={} ms={} why=\"{why}\"",
         Event::StreamBroken.number(),
--- a/crates/relay/src/subject/tests.rs
+++ b/crates/relay/src/subject/tests.rs
@@ -3,32 +3,57 @@
 use super::Source;
 use super::Subject;
 use super::source;
-use crate::peers::Place;
+use crate::peers::ExchangeRole;
 
-/// A VM that watched what it can hear from others would add its answers to every change; one that
-/// relied on others after they fell silent would go on with an old configuration.
+/// If a VM watched keys that it can learn of from other VMs, its watches would add to the answers
+/// for every change. If it relied on other VMs after they fell silent, it would keep using an old
+/// configuration.
 #[rstest]
-#[case::first_reads_runners(Subject::Runners, Place::Direct, true, false, Source::Store)]
-#[case::others_hear_of_runners(Subject::Runners, Place::Direct, false, false, Source::Peers)]
-#[case::unless_they_are_stale(Subject::Runners, Place::Leaf, false, true, Source::Store)]
+#[case::reader_watches_runners(Subject::Runners, ExchangeRole::Direct, true, false, Source::Store)]
+#[case::others_learn_runners_from_peers(
+    Subject::Runners,
+    ExchangeRole::Direct,
+    false,
+    false,
+    Source::Peers
+)]
+#[case::stale_runners_are_read(Subject::Runners, ExchangeRole::Leaf, false, true, Source::Store)]
 #[case::few_vms_watch_the_configuration(
     Subject::Config,
-    Place::Direct,
+    ExchangeRole::Direct,
+    false,
+    false,
+    Source::Store
+)]
+#[case::hub_watches_the_configuration(
+    Subject::Config,
+    ExchangeRole::Hub,
+    true,
     false,
+    Source::Store
+)]
+#[case::leaf_learns_the_configuration_from_its_hub(
+    Subject::Config,
+    ExchangeRole::Leaf,
+    false,
+    false,
+    Source::Peers
+)]
+#[case::leaf_with_a_silent_hub_watches(
+    Subject::Config,
+    ExchangeRole::Leaf,
     false,
+    true,
     Source::Store
 )]
-#[case::a_hub_watches_it(Subject::Config, Place::Hub, true, false, Source::Store)]
-#[case::a_leaf_hears_of_it(Subject::Config, Place::Leaf, false, false, Source::Peers)]
-#[case::unless_its_hub_is_silent(Subject::Config, Place::Leaf, false, true, Source::Store)]
-#[case::a_leaf_reads_copies(Subject::Own, Place::Leaf, false, false, Source::Copy)]
-#[case::a_hub_watches_own_keys(Subject::Own, Place::Hub, true, false, Source::Store)]
-fn subjects_are_learnt_from(
+#[case::leaf_reads_copies_of_own_keys(Subject::Own, ExchangeRole::Leaf, false, false, Source::Copy)]
+#[case::hub_watches_own_keys(Subject::Own, ExchangeRole::Hub, true, false, Source::Store)]
+fn source_of_each_subject(
     #[case] subject: Subject,
-    #[case] place: Place,
-    #[case] first: bool,
+    #[case] role: ExchangeRole,
+    #[case] is_reader: bool,
     #[case] stale: bool,
     #[case] expected: Source,
 ) {
-    assert_eq!(source(subject, place, first, stale), expected);
+    assert_eq!(source(subject, role, is_reader, stale), expected);
 }
