--- a/crates/journal/src/snapshot/progress.rs
+++ b/crates/journal/src/snapshot/progress.rs
@@ -9,8 +9,8 @@
 use super::Index;
 use super::KnownIndex;
 
-/// The number of batches after which an image may be due. A takeover then reads about this many
-/// small keys, which takes tens of milliseconds with range reads.
+/// The number of batches after which an image may be due. In a takeover, reading this many small
+/// keys takes tens of milliseconds with range reads.
 const BATCHES_BEFORE_IMAGE: u64 = 256;
 
 /// The keys that a new index has superseded.
