--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -247,7 +247,7 @@
         self.member_health().serves_turns()
     }
 
-    /// MemberHealth that the list of runners was current at `now`.
+    /// Records that the list of runners was current at `now`.
     pub fn note_runners_current(&self, now: Millis) {
         self.runners_current_at
             .fetch_max(now.as_u64(), Ordering::Relaxed);
@@ -260,7 +260,7 @@
         self.clock.now().since(current_at)
     }
 
-    /// MemberHealth that the configuration in force was current at `now`.
+    /// Records that the configuration in force was current at `now`.
     pub fn note_config_current(&self, now: Millis) {
         self.config_current_at
             .fetch_max(now.as_u64(), Ordering::Relaxed);
