--- a/crates/relay/src/account.rs
+++ b/crates/relay/src/account.rs
@@ -40,7 +40,7 @@
     Some(Account {
         program: Key::of(program),
         turn: Key::of(&job.call.id),
-        most: u32::try_from(job.call.most_tokens).unwrap_or(u32::MAX),
+        most: u32::try_from(job.call.max_tokens).unwrap_or(u32::MAX),
         budget: job.call.budget?,
     })
 }
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -5,7 +5,7 @@
 
 use adapter::kv::Freshness;
 use adapter::kv::Listing;
-use adapter::kv::News;
+use adapter::kv::Update;
 use platform::edge;
 
 use crate::follow::away::Away;
@@ -125,12 +125,12 @@
     }
 
     /// Takes the answer to [`Step::Watch`] in; yields how long to wait before the next step.
-    pub fn watched(&mut self, node: &Arc<Node>, news: edge::Result<News>) -> Duration {
+    pub fn watched(&mut self, node: &Arc<Node>, news: edge::Result<Update>) -> Duration {
         let Phase::Watch(revision) = self.phase else {
             return Duration::ZERO;
         };
         match news {
-            Ok(News::Changes {
+            Ok(Update::Changes {
                 changes,
                 revision: next,
             }) => {
@@ -141,7 +141,7 @@
                 }
                 self.pause_between(node)
             }
-            Ok(News::Dropped) => {
+            Ok(Update::HistoryDropped) => {
                 self.phase = Phase::Broken;
                 Duration::ZERO
             }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -6,8 +6,8 @@
 use adapter::config::Kind;
 use adapter::config::Route;
 use adapter::header;
+use adapter::header::Additions;
 use adapter::header::Call;
-use adapter::header::Onward;
 use bytes::Bytes;
 use hyper::HeaderMap;
 use hyper::Method;
@@ -161,7 +161,7 @@
             prompt: &self.prompt,
             prompt_tokens: self.call.prompt_tokens,
             output_tokens: if engine.is_some() {
-                self.call.most_tokens
+                self.call.max_tokens
             } else {
                 1
             },
@@ -187,15 +187,15 @@
     ) -> Sent {
         let attempt = self.begin(runner);
         let runner = &attempt.runner;
-        let onward = Onward {
-            left: Millis::from(self.until.saturating_duration_since(Instant::now())),
+        let additions = Additions {
+            time_left: Millis::from(self.until.saturating_duration_since(Instant::now())),
             instance: &runner.id,
             priority: self.priority(),
             last_event,
         };
         let mut request = Request::new(payload);
         *request.method_mut() = self.method.clone();
-        *request.headers_mut() = header::onward(&self.headers, &onward);
+        *request.headers_mut() = header::forwarded(&self.headers, &additions);
         match self.path.parse() {
             Ok(uri) => *request.uri_mut() = uri,
             Err(fault) => return Sent::Unknown(format!("the path can't be sent: {fault}")),
@@ -265,7 +265,7 @@
     async fn judge(&self, mut reply: Reply, attempt: Attempt) -> Sent {
         let said = header::answer(&reply.head.headers);
         let now = self.node.clock.now();
-        if let Some(span) = said.keeps_idle {
+        if let Some(span) = said.idle_timeout {
             // Closed a second earlier than the runner does, so that no request meets its close.
             let span = Millis::new(span.as_u64().saturating_sub(1_000)).min(KEEP_TOLD);
             reply.body.keep_for(span.as_duration());
@@ -332,7 +332,7 @@
     /// Yields how urgent the engines should take the request: 0 goes first.
     fn priority(&self) -> Option<u8> {
         self.table.engine(&self.service)?;
-        Some((1 + 2 * self.route.rank.min(3)).min(9))
+        Some((1 + 2 * self.route.priority.min(3)).min(9))
     }
 
     /// Logs that the client left before its answer was whole.
@@ -358,12 +358,12 @@
             Event::RequestAnswered.text(),
             self.call.id,
             self.call.program.as_deref().unwrap_or_default(),
-            self.call.line.as_deref().unwrap_or_default(),
+            self.call.session.as_deref().unwrap_or_default(),
             self.route.name,
             self.table.version,
             told(first),
             self.age().as_u64(),
-            self.call.finish.unwrap_or_default().as_u64()
+            self.call.finish_within.unwrap_or_default().as_u64()
         );
     }
 }
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -119,7 +119,7 @@
             ..limits
         });
         let kv = Kv::new(vms.clone(), settings.store, STORE_TIMEOUT);
-        let replicas = Replicas::new(vms.clone(), &settings.centre, settings.losses);
+        let replicas = Replicas::new(vms.clone(), &settings.centre, settings.tolerated_losses);
         let turns = usize::try_from(settings.memory_bytes / TURNS_SHARE).unwrap_or(usize::MAX);
         Arc::new(Self {
             runners,
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -142,7 +142,7 @@
     if !more {
         return job.until;
     }
-    let aim = job.route.aim.as_duration().max(Duration::from_millis(20));
+    let aim = job.route.slo.as_duration().max(Duration::from_millis(20));
     job.until.min(Instant::now() + aim * PATIENCE)
 }
 
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -7,7 +7,7 @@
 use adapter::keys;
 use adapter::kv::Freshness;
 use adapter::kv::Kv;
-use adapter::kv::News;
+use adapter::kv::Update;
 use adapter::settings::Settings;
 use hyper::StatusCode;
 use link::client::Client;
@@ -104,7 +104,7 @@
         http,
         platform: Arc::new(kv.clone()),
         key: subject::list_key(),
-        losses: settings.losses,
+        losses: settings.tolerated_losses,
         clock: clock.clone(),
         phase: phase.clone(),
     };
@@ -216,7 +216,7 @@
 /// Watches until the request comes or the watch breaks off; tells whether it came.
 async fn watch_for_request(kv: &Kv, key: &str, revision: u64) -> bool {
     let mut revision = revision;
-    while let Ok(News::Changes {
+    while let Ok(Update::Changes {
         changes,
         revision: next,
     }) = kv.changes(key, revision, WAIT).await
--- a/crates/relay/tests/fleet_model/queue.rs
+++ b/crates/relay/tests/fleet_model/queue.rs
@@ -4,7 +4,7 @@
 
 use adapter::kv::Freshness;
 use adapter::kv::Listing;
-use adapter::kv::News;
+use adapter::kv::Update;
 use platform::edge;
 use relay::exchange::tell::Message;
 
@@ -93,7 +93,7 @@
     /// All entries.
     Listed(edge::Result<Listing>),
     /// Changes.
-    Watched(edge::Result<News>),
+    Watched(edge::Result<Update>),
 }
 
 /// The queue.
--- a/crates/relay/tests/fleet_model/store.rs
+++ b/crates/relay/tests/fleet_model/store.rs
@@ -5,7 +5,7 @@
 
 use adapter::kv::Freshness;
 use adapter::kv::Listing;
-use adapter::kv::News;
+use adapter::kv::Update;
 use platform::edge::Change;
 use platform::edge::Entry;
 
@@ -69,13 +69,13 @@
     }
 
     /// Yields what changed under a prefix after a revision.
-    pub fn changes(&self, prefix: &str, after: u64) -> News {
+    pub fn changes(&self, prefix: &str, after: u64) -> Update {
         let first = self
             .changes
             .partition_point(|(revision, _)| *revision <= after);
         let later = self.changes[first..].iter().map(|(_, change)| change);
         let under = later.filter(|change| key(change).starts_with(prefix));
-        News::Changes {
+        Update::Changes {
             changes: under.cloned().collect(),
             revision: self.revision,
         }
@@ -83,7 +83,7 @@
 
     /// Tells whether anything changed under a prefix after a revision.
     pub fn has_changed(&self, prefix: &str, after: u64) -> bool {
-        matches!(self.changes(prefix, after), News::Changes { changes, .. } if !changes.is_empty())
+        matches!(self.changes(prefix, after), Update::Changes { changes, .. } if !changes.is_empty())
     }
 }
 
@@ -100,8 +100,8 @@
 }
 
 /// Reckons the bytes of changes.
-pub fn news_bytes(news: &News) -> usize {
-    let News::Changes { changes, .. } = news else {
+pub fn news_bytes(news: &Update) -> usize {
+    let Update::Changes { changes, .. } = news else {
         return 0;
     };
     let bytes = |change: &Change| match change {
