--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -6,8 +6,8 @@
 use adapter::config::Kind;
 use adapter::config::Route;
 use adapter::header;
+use adapter::header::Additions;
 use adapter::header::Call;
-use adapter::header::Onward;
 use bytes::Bytes;
 use hyper::HeaderMap;
 use hyper::Method;
@@ -164,7 +164,7 @@
             prompt: &self.prompt,
             prompt_tokens: self.call.prompt_tokens,
             output_tokens: if engine.is_some() {
-                self.call.most_tokens
+                self.call.max_tokens
             } else {
                 1
             },
@@ -191,15 +191,15 @@
     ) -> SendOutcome {
         let attempt = self.begin_attempt(runner);
         let runner = &attempt.runner;
-        let onward = Onward {
-            left: Millis::from(self.deadline.saturating_duration_since(Instant::now())),
+        let additions = Additions {
+            time_left: Millis::from(self.deadline.saturating_duration_since(Instant::now())),
             instance: &runner.id,
             priority: self.priority(),
             last_event,
         };
         let mut request = Request::new(payload);
         *request.method_mut() = self.method.clone();
-        *request.headers_mut() = header::onward(&self.headers, &onward);
+        *request.headers_mut() = header::forwarded(&self.headers, &additions);
         match self.path.parse() {
             Ok(uri) => *request.uri_mut() = uri,
             Err(fault) => return SendOutcome::Unknown(format!("the path isn't a URI: {fault}")),
@@ -270,7 +270,7 @@
     async fn classify_reply(&self, mut reply: Reply, attempt: Attempt) -> SendOutcome {
         let answer_headers = header::answer(&reply.head.headers);
         let now = self.node.clock.now();
-        if let Some(span) = answer_headers.keeps_idle {
+        if let Some(span) = answer_headers.idle_timeout {
             // Closed a second earlier than the runner closes it, so that no request is sent on a
             // connection that the runner is closing.
             let span = Millis::new(span.as_u64().saturating_sub(1_000)).min(MAX_IDLE_TIME);
@@ -343,7 +343,7 @@
     /// services.
     fn priority(&self) -> Option<u8> {
         self.table.engine(&self.service)?;
-        Some((1 + 2 * self.route.rank.min(3)).min(9))
+        Some((1 + 2 * self.route.priority.min(3)).min(9))
     }
 
     /// Logs that the caller left before its answer was complete.
@@ -375,12 +375,12 @@
             Event::RequestAnswered.text(),
             self.call.id,
             self.call.program.as_deref().unwrap_or_default(),
-            self.call.line.as_deref().unwrap_or_default(),
+            self.call.session.as_deref().unwrap_or_default(),
             self.route.name,
             self.table.version,
             format_span(first_event),
             self.age().as_u64(),
-            self.call.finish.unwrap_or_default().as_u64()
+            self.call.finish_within.unwrap_or_default().as_u64()
         );
     }
 }
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -149,7 +149,7 @@
     if !may_retry {
         return job.deadline;
     }
-    let aim = job.route.aim.as_duration().max(Duration::from_millis(20));
+    let aim = job.route.slo.as_duration().max(Duration::from_millis(20));
     job.deadline.min(Instant::now() + aim * TIMEOUT_MULTIPLE)
 }
 
