--- a/crates/node/examples/slopes/model.rs
+++ b/crates/node/examples/slopes/model.rs
@@ -6,8 +6,8 @@
 
 use fleet::Fleet;
 use fleet::TICK;
-use node::controllers::keeper::Tell;
-use node::controllers::members::beat::Load;
+use node::controllers::members::heartbeat::Load;
+use node::controllers::poller::Audience;
 use wire::clock::Millis;
 use wire::id;
 
@@ -51,7 +51,7 @@
         report(&mut fleet, endpoints, step);
         fleet.tick();
     }
-    assert!(fleet.agreed(), "a VM isn't known to all");
+    assert!(fleet.all_up(), "a VM isn't known to all");
     let before: Vec<fleet::Sent> = fleet.vms.iter().map(|v| v.sent).collect();
     for step in 0..MEASURED {
         report(&mut fleet, endpoints, step);
@@ -94,7 +94,7 @@
                 continue;
             }
             let name = format!("{centre}-runner{endpoint:03}");
-            let line = Load {
+            let load = Load {
                 endpoint: id::Endpoint::parse(&name).expect("a name"),
                 age: Millis::ZERO,
                 up: true,
@@ -105,8 +105,12 @@
                 cache: 100_000,
             };
             let matters = (step / round + endpoint as u64).is_multiple_of(2);
-            let tell = if matters { Tell::Others } else { Tell::Nobody };
-            fleet.vms[at].exchange.loads.keep(&line, tell, now);
+            let audience = if matters {
+                Audience::Centre
+            } else {
+                Audience::Local
+            };
+            fleet.vms[at].exchange.loads.record(&load, audience, now);
         }
     }
 }
@@ -114,8 +118,8 @@
 /// The mean age of the loads that VMs know, in milliseconds.
 fn age(fleet: &Fleet) -> u64 {
     let now = fleet.now();
-    let rows = fleet.vms.iter().flat_map(|v| v.exchange.loads.rows());
-    let ages: Vec<u64> = rows.map(|row| now.since(row.at).as_u64()).collect();
+    let rows = fleet.vms.iter().flat_map(|v| v.exchange.loads.entries());
+    let ages: Vec<u64> = rows.map(|row| now.since(row.made_at).as_u64()).collect();
     ages.iter().sum::<u64>() / (ages.len() as u64).max(1)
 }
 
@@ -142,7 +146,7 @@
                 .table
                 .members()
                 .iter()
-                .any(|m| m.line.revision == 9);
+                .any(|m| m.status.revision == 9);
             if heard {
                 vm.exchange.table.set_own(|own| own.revision = 9);
             }
--- a/crates/node/src/controllers.rs
+++ b/crates/node/src/controllers.rs
@@ -15,11 +15,11 @@
 use tokio::sync::Notify;
 use wire::clock::Millis;
 
-use crate::controllers::config::Held;
-use crate::controllers::keeper::Keeper;
-use crate::controllers::keeper::sweep::Sweep;
-use crate::controllers::members::beat::Line;
+use crate::controllers::config::Current;
 use crate::controllers::members::exchange::Exchange;
+use crate::controllers::members::heartbeat::Status;
+use crate::controllers::poller::Poller;
+use crate::controllers::poller::sweep::Sweep;
 use crate::core::Core;
 use crate::peer;
 
@@ -27,15 +27,15 @@
 pub mod claims;
 pub mod config;
 pub mod copies;
-pub mod keeper;
 pub mod members;
+pub mod poller;
 pub mod rendezvous;
 pub mod run;
 
 /// The most that this VM holds of others' batches during an outage, in bytes. Model turns of a few
 /// kilobytes at the letter's 12 a second and VM fill 64 MB, the limit for all control, in a quarter
 /// of an hour; half of it is kept for the rest.
-const COPIES: usize = 32 * 1024 * 1024;
+const MAX_COPIES_BYTES: usize = 32 * 1024 * 1024;
 
 /// What this VM has sent to others for control, answers among it.
 #[derive(Debug, Default)]
@@ -59,12 +59,12 @@
     /// What was sent.
     pub traffic: Traffic,
     exchange: Mutex<Exchange>,
-    held: Mutex<Held>,
+    current_config: Mutex<Current>,
     copies: Mutex<Store>,
-    keeper: Mutex<Keeper>,
+    poller: Mutex<Poller>,
     sweep: Mutex<Sweep>,
     /// Asks for heartbeats at once, as there is news that shouldn't wait for the next round.
-    hurry: Notify,
+    urgent: Notify,
 }
 
 impl Control {
@@ -73,7 +73,7 @@
     #[must_use]
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let process = rand::random();
-        let own = Line {
+        let own = Status {
             size: settings.vm.size,
             process,
             ..members::seed(
@@ -85,11 +85,11 @@
         Self {
             traffic: Traffic::default(),
             exchange: Mutex::new(Exchange::new(own, now)),
-            held: Mutex::default(),
-            copies: Mutex::new(Store::new(process, COPIES)),
-            keeper: Mutex::default(),
+            current_config: Mutex::default(),
+            copies: Mutex::new(Store::new(process, MAX_COPIES_BYTES)),
+            poller: Mutex::default(),
             sweep: Mutex::default(),
-            hurry: Notify::new(),
+            urgent: Notify::new(),
         }
     }
 
@@ -97,16 +97,16 @@
         lock(&self.exchange)
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        lock(&self.held)
+    fn current_config(&self) -> MutexGuard<'_, Current> {
+        lock(&self.current_config)
     }
 
     fn copies(&self) -> MutexGuard<'_, Store> {
         lock(&self.copies)
     }
 
-    fn keeper(&self) -> MutexGuard<'_, Keeper> {
-        lock(&self.keeper)
+    fn poller(&self) -> MutexGuard<'_, Poller> {
+        lock(&self.poller)
     }
 
     fn sweep(&self) -> MutexGuard<'_, Sweep> {
@@ -121,9 +121,9 @@
     run::members::start(core);
     run::config::boot(core).await;
     core.tasks.spawn(run::config::follow(core.clone()));
-    core.tasks.spawn(run::claims::keep(core.clone()));
-    core.tasks.spawn(run::keeper::keep(core.clone()));
-    run::claims::settled(core).await;
+    core.tasks.spawn(run::claims::run(core.clone()));
+    core.tasks.spawn(run::poller::run(core.clone()));
+    run::claims::wait_for_owners(core).await;
 }
 
 /// Answers a request of another VM on one of the controllers' paths of [`crate::peer`]; `None`
@@ -134,7 +134,7 @@
         peer::CONFIG => run::config::serve(core, &body),
         peer::HOLD => copies::hold(core, &body),
         peer::COLLECT => copies::collect(core, &body).await,
-        peer::HELD => run::keeper::serve(core, &body).await,
+        peer::HELD => run::poller::serve(core, &body).await,
         peer::DRAINED => copies::drained(core, &body),
         _ => None,
     }?;
--- a/crates/node/src/controllers/call.rs
+++ b/crates/node/src/controllers/call.rs
@@ -17,7 +17,7 @@
 use crate::http::client::Post;
 
 /// The type of a body of frames.
-const FRAMES: &str = "application/msgpack";
+const CONTENT_TYPE: &str = "application/msgpack";
 
 /// Why a call has no answer; it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
@@ -40,11 +40,11 @@
     address: SocketAddr,
     path: &str,
     value: &T,
-    span: Millis,
+    time_limit: Millis,
 ) -> Result<R> {
     let answer = timeout(
-        span.as_duration(),
-        exchange(core, address, path, value, span),
+        time_limit.as_duration(),
+        post_frame(core, address, path, value, time_limit),
     );
     let bytes = answer.await.map_err(|_| fault("no answer in time"))??;
     decode(&bytes).ok_or_else(|| fault("the answer is no such frame"))
@@ -56,25 +56,25 @@
     frame::decode(&mut BytesMut::from(body)).ok()?
 }
 
-async fn exchange<T: Serialize>(
+async fn post_frame<T: Serialize>(
     core: &Core,
     address: SocketAddr,
     path: &str,
     value: &T,
-    span: Millis,
+    time_limit: Millis,
 ) -> Result<Bytes> {
     let body = frame::encode(value).map_err(|f| fault(&f.to_string()))?;
     core.control.traffic.count(&body);
     let post = Post {
         address: &address.to_string(),
         path,
-        kind: FRAMES,
+        kind: CONTENT_TYPE,
         headers: &[],
         body,
     };
     let response = core.client.post(post).await;
     let response = response.map_err(|f| fault(&f.to_string()))?;
-    let whole = body::read(response.into_body(), frame::MAX_BODY, span).await;
+    let whole = body::read(response.into_body(), frame::MAX_BODY, time_limit).await;
     whole.map_err(|refusal| fault(&refusal.to_string()))
 }
 
--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -23,8 +23,8 @@
 use wire::id;
 
 use super::members::Member;
-use super::members::beat::Life;
-use super::members::beat::Owner;
+use super::members::heartbeat::Liveness;
+use super::members::heartbeat::Owner;
 use super::rendezvous;
 use super::rendezvous::Candidate;
 
@@ -32,28 +32,28 @@
 
 /// The time between two claims of one VM in the long run. Claims are also weighed below commits in
 /// the VM's rate budget; the pace keeps a VM that alone is left from reading all journals at once.
-pub const CLAIM_PACE: Millis = Millis::new(100);
+pub const CLAIM_INTERVAL: Millis = Millis::new(100);
 /// Claims that a VM may make at once: its part when one of three VMs with 16 shards stops, so that
 /// no caller waits for the pace.
 pub const CLAIM_BURST: u64 = 8;
 /// The time between two hand-overs of one VM. One takes tens of milliseconds, so that at most a
 /// few in a hundred of its programs' turns meet one while a VM of the centre joins.
-pub const HANDOVER_PACE: Millis = Millis::new(1_000);
+pub const HANDOVER_INTERVAL: Millis = Millis::new(1_000);
 /// The time between two hand-overs of a VM that stops: 100 shards in two seconds, well within its
 /// grace.
-pub const STOP_PACE: Millis = Millis::new(20);
+pub const STOP_HANDOVER_INTERVAL: Millis = Millis::new(20);
 /// How long a VM must be up to get shards that others hold: two lease times of the default 5 s, so
 /// that a VM which dies again at once has cost nothing.
-pub const STEADY: Millis = Millis::new(10_000);
+pub const MIN_UPTIME: Millis = Millis::new(10_000);
 /// How long a VM that starts listens before it claims: two rounds of heartbeats, to learn who owns
 /// what. A VM without peers needn't.
-pub const LISTEN: Millis = Millis::new(2_000);
+pub const DISCOVERY_TIME: Millis = Millis::new(2_000);
 /// The first pause after a claim that failed; doubled each time up to [`RETRY_MOST`], so that a VM
 /// which alone thinks all others down doesn't read every record all the time.
-const RETRY: Millis = Millis::new(500);
+const FIRST_RETRY_DELAY: Millis = Millis::new(500);
 /// The longest pause after claims that failed: a lease time, which bounds how long a shard waits
 /// for its claimer after its lease has lapsed.
-const RETRY_MOST: Millis = Millis::new(4_000);
+const MAX_RETRY_DELAY: Millis = Millis::new(4_000);
 
 /// A VM as the decision sees it.
 #[derive(Clone, Debug)]
@@ -75,13 +75,13 @@
 impl Vm {
     /// Takes over what heartbeats tell.
     #[must_use]
-    pub fn of(member: &Member) -> Self {
+    pub fn from_member(member: &Member) -> Self {
         Self {
-            vm: member.line.vm.clone(),
-            centre: member.line.centre.clone(),
-            size: member.line.size,
-            up: member.line.life != Life::Down,
-            stopping: member.line.stopping,
+            vm: member.status.vm.clone(),
+            centre: member.status.centre.clone(),
+            size: member.status.size,
+            up: member.status.liveness != Liveness::Down,
+            stopping: member.status.stopping,
             since: member.since,
         }
     }
@@ -145,10 +145,10 @@
 pub struct Claims {
     started: Millis,
     /// When the claims made so far would all have kept to the pace.
-    paced: Millis,
+    paced_until: Millis,
     next_release: Millis,
     /// Claims that failed: the shard, when it may be tried again, and the last pause.
-    failed: Vec<(id::Shard, Millis, Millis)>,
+    failures: Vec<(id::Shard, Millis, Millis)>,
 }
 
 impl Claims {
@@ -157,9 +157,9 @@
     pub fn new(started: Millis) -> Self {
         Self {
             started,
-            paced: Millis::ZERO,
+            paced_until: Millis::ZERO,
             next_release: Millis::ZERO,
-            failed: Vec::new(),
+            failures: Vec::new(),
         }
     }
 
@@ -172,29 +172,33 @@
     }
 
     /// Notes that a claim failed.
-    pub fn failed(&mut self, shard: &id::Shard, now: Millis) {
-        let known = self.failed.iter().position(|(s, ..)| s == shard);
-        let last = known.map_or(Millis::ZERO, |at| self.failed.swap_remove(at).2);
-        let pause = last.plus(last).max(RETRY).min(RETRY_MOST);
-        self.failed.push((shard.clone(), now.plus(pause), pause));
+    pub fn note_failure(&mut self, shard: &id::Shard, now: Millis) {
+        let known = self.failures.iter().position(|(s, ..)| s == shard);
+        let last = known.map_or(Millis::ZERO, |at| self.failures.swap_remove(at).2);
+        let pause = last.plus(last).max(FIRST_RETRY_DELAY).min(MAX_RETRY_DELAY);
+        self.failures.push((shard.clone(), now.plus(pause), pause));
     }
 
     /// Notes that a claim succeeded.
-    pub fn succeeded(&mut self, shard: &id::Shard) {
-        self.failed.retain(|(s, ..)| s != shard);
+    pub fn note_success(&mut self, shard: &id::Shard) {
+        self.failures.retain(|(s, ..)| s != shard);
     }
 
     fn release(&mut self, facts: &Facts<'_>) -> Option<Action> {
-        if facts.now < self.next_release || !settled(facts) {
+        if facts.now < self.next_release || !platform_ready(facts) {
             return None;
         }
         let stopping = facts.vm(facts.me).is_some_and(|vm| vm.stopping);
         // A shard that no other VM can have is served to the last.
         let (shard, to) = facts.owned.iter().find_map(|shard| {
-            let to = target(facts, shard, Takers::Steady)?;
+            let to = target(facts, shard, Eligibility::Stable)?;
             (to != facts.me).then_some((shard, to))
         })?;
-        let pace = if stopping { STOP_PACE } else { HANDOVER_PACE };
+        let pace = if stopping {
+            STOP_HANDOVER_INTERVAL
+        } else {
+            HANDOVER_INTERVAL
+        };
         self.next_release = facts.now.plus(pace);
         Some(Action::Release {
             shard: shard.clone(),
@@ -203,46 +207,49 @@
     }
 
     fn claim(&mut self, facts: &Facts<'_>) -> Vec<Action> {
-        let burst = Millis::new(CLAIM_BURST * CLAIM_PACE.as_u64());
-        self.paced = self.paced.max(facts.now);
-        let room = burst.since(self.paced.since(facts.now)).as_u64() / CLAIM_PACE.as_u64();
-        if room == 0 || !settled(facts) || !self.listened(facts) {
+        let burst = Millis::new(CLAIM_BURST * CLAIM_INTERVAL.as_u64());
+        self.paced_until = self.paced_until.max(facts.now);
+        let allowed =
+            burst.since(self.paced_until.since(facts.now)).as_u64() / CLAIM_INTERVAL.as_u64();
+        if allowed == 0 || !platform_ready(facts) || !self.has_discovered(facts) {
             return Vec::new();
         }
-        let home = facts.vm(facts.me).map(|vm| &vm.centre);
+        let own_centre = facts.vm(facts.me).map(|vm| &vm.centre);
         let wanted = facts.shards.iter().filter(|shard| {
             // Cheapest first: at the letter's size most of 512 shards are of other centres.
-            let near = Some(&shard.centre) == home || facts.lost.contains(&shard.centre);
-            near && facts.owned.binary_search(shard).is_err()
-                && free(facts, shard)
-                && target(facts, shard, Takers::Up) == Some(facts.me)
-                && self.may_try(shard, facts.now)
+            let claimable_centre =
+                Some(&shard.centre) == own_centre || facts.lost.contains(&shard.centre);
+            claimable_centre
+                && facts.owned.binary_search(shard).is_err()
+                && is_unowned(facts, shard)
+                && target(facts, shard, Eligibility::Up) == Some(facts.me)
+                && self.may_retry(shard, facts.now)
         });
-        let room = usize::try_from(room).unwrap_or(usize::MAX);
-        let claims: Vec<Action> = wanted.take(room).cloned().map(Action::Claim).collect();
-        let spent = CLAIM_PACE.as_u64() * claims.len() as u64;
-        self.paced = self.paced.plus(Millis::new(spent));
+        let allowed = usize::try_from(allowed).unwrap_or(usize::MAX);
+        let claims: Vec<Action> = wanted.take(allowed).cloned().map(Action::Claim).collect();
+        let spent = CLAIM_INTERVAL.as_u64() * claims.len() as u64;
+        self.paced_until = self.paced_until.plus(Millis::new(spent));
         claims
     }
 
-    fn listened(&self, facts: &Facts<'_>) -> bool {
+    fn has_discovered(&self, facts: &Facts<'_>) -> bool {
         let alone = facts.vms.iter().all(|v| v.vm == *facts.me || !v.up);
-        alone || facts.now.since(self.started) >= LISTEN
+        alone || facts.now.since(self.started) >= DISCOVERY_TIME
     }
 
-    fn may_try(&self, shard: &id::Shard, now: Millis) -> bool {
-        let failed = self.failed.iter().find(|(s, ..)| s == shard);
-        failed.is_none_or(|(_, again, _)| now >= *again)
+    fn may_retry(&self, shard: &id::Shard, now: Millis) -> bool {
+        let failed = self.failures.iter().find(|(s, ..)| s == shard);
+        failed.is_none_or(|(_, retry_at, _)| now >= *retry_at)
     }
 }
 
 /// Yields the lines that name this VM as the owner of shards that it doesn't serve: it has started
 /// anew since, and only it knows. Told as given up, so that the shards don't wait for it for ever.
 #[must_use]
-pub fn forgotten(me: &id::Vm, owned: &[id::Shard], owners: &[Owner]) -> Vec<Owner> {
+pub fn stale_ownerships(me: &id::Vm, owned: &[id::Shard], owners: &[Owner]) -> Vec<Owner> {
     let mine = owners.iter().filter(|o| o.vm == *me && !o.free);
-    let forgotten = mine.filter(|o| owned.binary_search(&o.shard).is_err());
-    forgotten
+    let stale = mine.filter(|o| owned.binary_search(&o.shard).is_err());
+    stale
         .map(|o| Owner {
             free: true,
             ..o.clone()
@@ -252,25 +259,29 @@
 
 /// Which VMs may get a shard.
 #[derive(Clone, Copy)]
-enum Takers {
+enum Eligibility {
     /// All that are up: for shards that no one serves.
     Up,
     /// Those that have been up for a while, and this VM: for shards that this VM serves.
-    Steady,
+    Stable,
 }
 
 /// Chooses the VM that should have a shard: one of its data centre, or, where an operator has
 /// declared that lost, one of all others.
-fn target<'a>(facts: &Facts<'a>, shard: &id::Shard, takers: Takers) -> Option<&'a id::Vm> {
+fn target<'a>(
+    facts: &Facts<'a>,
+    shard: &id::Shard,
+    eligibility: Eligibility,
+) -> Option<&'a id::Vm> {
     let lost = |centre: &id::Centre| facts.lost.contains(centre);
     let home_lost = lost(&shard.centre);
-    let able = facts.vms.iter().filter(|v| {
+    let eligible = facts.vms.iter().filter(|v| {
         let home = v.centre == shard.centre;
-        let place = if home_lost { !lost(&v.centre) } else { home };
-        let steady = v.vm == *facts.me || facts.now.since(v.since) >= STEADY;
-        place && v.up && !v.stopping && (steady || matches!(takers, Takers::Up))
+        let allowed_centre = if home_lost { !lost(&v.centre) } else { home };
+        let stable = v.vm == *facts.me || facts.now.since(v.since) >= MIN_UPTIME;
+        allowed_centre && v.up && !v.stopping && (stable || matches!(eligibility, Eligibility::Up))
     });
-    let candidates = able.map(|v| Candidate {
+    let candidates = eligible.map(|v| Candidate {
         vm: &v.vm,
         size: v.size,
     });
@@ -279,7 +290,7 @@
 
 /// Tells whether no live VM is known to hold a shard. A lease that still runs is found out by the
 /// claim.
-fn free(facts: &Facts<'_>, shard: &id::Shard) -> bool {
+fn is_unowned(facts: &Facts<'_>, shard: &id::Shard) -> bool {
     let line = facts.owners.binary_search_by(|o| o.shard.cmp(shard));
     let Ok(owner) = line.map(|at| &facts.owners[at]) else {
         return true;
@@ -288,11 +299,11 @@
 }
 
 /// Tells whether the platform answers and, after an outage, holders have had the time to renew.
-fn settled(facts: &Facts<'_>) -> bool {
+fn platform_ready(facts: &Facts<'_>) -> bool {
     match facts.platform {
         Health::Down => false,
         Health::Since(Millis::ZERO) => true,
-        Health::Since(back) => facts.now.since(back) >= facts.lease,
+        Health::Since(since) => facts.now.since(since) >= facts.lease,
     }
 }
 
--- a/crates/node/src/controllers/claims/tests.rs
+++ b/crates/node/src/controllers/claims/tests.rs
@@ -29,7 +29,7 @@
     (0..count).map(shard).collect()
 }
 
-fn line(shard: &id::Shard, vm: &Vm) -> Owner {
+fn ownership(shard: &id::Shard, vm: &Vm) -> Owner {
     Owner {
         shard: shard.clone(),
         vm: vm.vm.clone(),
@@ -55,7 +55,7 @@
 
 /// Lets `vm0` decide each 20 ms for a while, and counts the claims and the hand-overs. All that it
 /// does succeeds.
-fn play(mut facts: Facts<'_>, span: Millis) -> (usize, usize) {
+fn simulate(mut facts: Facts<'_>, span: Millis) -> (usize, usize) {
     let mut claims = Claims::new(START);
     let mut owned = facts.owned.to_vec();
     let (mut claimed, mut released) = (0, 0);
@@ -83,11 +83,11 @@
     (claimed, released)
 }
 
-fn should_have(vms: &[Vm], shards: &[id::Shard]) -> usize {
+fn target_count(vms: &[Vm], shards: &[id::Shard]) -> usize {
     let facts = facts(vms, shards, &[]);
     let mine = shards
         .iter()
-        .filter(|s| target(&facts, s, Takers::Up) == Some(facts.me));
+        .filter(|s| target(&facts, s, Eligibility::Up) == Some(facts.me));
     mine.count()
 }
 
@@ -96,15 +96,15 @@
 #[test]
 fn a_mass_restart_is_paced_and_each_vm_claims_its_part() {
     let (vms, shards) = (vms(4), shards(64));
-    let part = should_have(&vms, &shards);
+    let target = target_count(&vms, &shards);
     let facts = facts(&vms, &shards, &[]);
-    assert_eq!(play(facts, LISTEN).0, 0);
-    let after = |paces| LISTEN.plus(Millis::new(paces * CLAIM_PACE.as_u64()));
+    assert_eq!(simulate(facts, DISCOVERY_TIME).0, 0);
+    let after = |intervals| DISCOVERY_TIME.plus(Millis::new(intervals * CLAIM_INTERVAL.as_u64()));
     let burst = usize::try_from(CLAIM_BURST).unwrap();
-    assert!(part > burst + 2, "the part of {part} shows no pace");
-    assert_eq!(play(facts, after(1)).0, burst);
-    assert_eq!(play(facts, after(3)).0, burst + 2);
-    assert_eq!(play(facts, Millis::new(60_000)), (part, 0));
+    assert!(target > burst + 2, "the target of {target} shows no pace");
+    assert_eq!(simulate(facts, after(1)).0, burst);
+    assert_eq!(simulate(facts, after(3)).0, burst + 2);
+    assert_eq!(simulate(facts, Millis::new(60_000)), (target, 0));
 }
 
 // A rack with half of the VMs goes. What the survivors have stays with them; of what the others
@@ -115,9 +115,12 @@
     let before = facts(&vms, &shards, &[]);
     let owner = |s| {
         vms.iter()
-            .find(|v| Some(&v.vm) == target(&before, s, Takers::Up))
+            .find(|v| Some(&v.vm) == target(&before, s, Eligibility::Up))
     };
-    let owners: Vec<Owner> = shards.iter().map(|s| line(s, owner(s).unwrap())).collect();
+    let owners: Vec<Owner> = shards
+        .iter()
+        .map(|s| ownership(s, owner(s).unwrap()))
+        .collect();
     let mine: Vec<id::Shard> = owners
         .iter()
         .filter(|o| o.vm == vms[0].vm)
@@ -128,16 +131,16 @@
         owned: &mine,
         ..facts(&vms, &shards, &owners)
     };
-    let gained = should_have(&vms, &shards) - mine.len();
+    let gained = target_count(&vms, &shards) - mine.len();
     assert!(gained > 0);
-    assert_eq!(play(after, Millis::new(60_000)), (gained, 0));
+    assert_eq!(simulate(after, Millis::new(60_000)), (gained, 0));
 }
 
 // A VM comes up, dies and comes up again within seconds. Shards handed to it at once would be
 // without an owner for a lease time each time; it gets them after it has been up for STEADY.
 #[rstest]
-#[case::fresh(Millis::new(START.as_u64() - 1), 0)]
-#[case::steady(Millis::ZERO, 5)]
+#[case::just_started(Millis::new(START.as_u64() - 1), 0)]
+#[case::up_for_long(Millis::ZERO, 5)]
 fn a_flapping_vm_gets_no_shards_that_others_hold(#[case] since: Millis, #[case] handed: usize) {
     let (mut vms, shards) = (vms(2), shards(64));
     vms[1].since = since;
@@ -146,7 +149,7 @@
         ..facts(&vms, &shards, &[])
     };
     assert_eq!(
-        play(facts, Millis::new(5 * HANDOVER_PACE.as_u64())).1,
+        simulate(facts, Millis::new(5 * HANDOVER_INTERVAL.as_u64())).1,
         handed
     );
 }
@@ -162,7 +165,7 @@
         owned: &shards,
         ..facts(&vms, &shards, &[])
     };
-    assert_eq!(play(facts, Millis::new(2_000)), (0, handed));
+    assert_eq!(simulate(facts, Millis::new(2_000)), (0, handed));
 }
 
 // An outage ends. Every lease has lapsed and every record is gone; an owner that never stopped
@@ -177,7 +180,10 @@
         platform,
         ..facts(&vms, &shards, &[])
     };
-    assert_eq!(play(facts, Millis::new(LEASE.as_u64() - 100)).0, claimed);
+    assert_eq!(
+        simulate(facts, Millis::new(LEASE.as_u64() - 100)).0,
+        claimed
+    );
 }
 
 // A centre is cut off. Its shards stay its own, whoever is thought down, until an operator declares
@@ -201,7 +207,7 @@
         lost: &lost,
         ..facts(&vms, &shards, &[])
     };
-    assert_eq!(play(facts, Millis::new(1_000)).0, claimed);
+    assert_eq!(simulate(facts, Millis::new(1_000)).0, claimed);
 }
 
 // A claim fails as the dead owner's lease still runs. It is tried again, but ever more seldom: a VM
@@ -218,7 +224,7 @@
             ..facts(&vms, &shards, &[])
         };
         if !claims.decide(&facts).is_empty() {
-            claims.failed(&shards[0], now);
+            claims.note_failure(&shards[0], now);
             tries.push(now.since(START).as_u64());
         }
     }
--- a/crates/node/src/controllers/config.rs
+++ b/crates/node/src/controllers/config.rs
@@ -28,11 +28,11 @@
 
 /// How often a VM that doesn't watch reads the key. It is the safety net below heartbeats: at 380
 /// VMs it costs 13 reads a second of the platform's 2,000.
-pub const POLL: Millis = Millis::new(30_000);
+pub const POLL_INTERVAL: Millis = Millis::new(30_000);
 
 /// The document that a VM holds.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct Current {
     config: Option<Arc<Config>>,
 }
 
@@ -50,7 +50,7 @@
     Forked,
 }
 
-impl Held {
+impl Current {
     /// Offers an accepted document. Only a higher revision is taken: an older one comes from a
     /// peer that was paused or cut off, and taking it would revert an accepted change.
     pub fn offer(&mut self, config: &Arc<Config>) -> Offer {
@@ -85,7 +85,7 @@
 
     /// Tells whether a peer's revision is worth a pull.
     #[must_use]
-    pub fn behind(&self, revision: u64) -> bool {
+    pub fn is_behind(&self, revision: u64) -> bool {
         revision > self.revision()
     }
 }
--- a/crates/node/src/controllers/config/change.rs
+++ b/crates/node/src/controllers/config/change.rs
@@ -28,15 +28,15 @@
 /// How many nonces of earlier revisions the document names. A change is settled by them unless
 /// more others were accepted while its answer was lost; at the letter's 2,400 changes a day 64
 /// are half an hour's, in 600 bytes.
-pub const RECENT: usize = 64;
+pub const MAX_RECENT_NONCES: usize = 64;
 
 /// How often a change that names no expected revision starts anew after it lost a race. Each lost
 /// race means that another change was accepted; eight operators at once all succeed.
-const TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 
 /// The pause between two tries to settle a change in doubt: a few times the platform's answer
 /// time, so that an outage isn't met with a burst.
-const PAUSE: Duration = Duration::from_millis(50);
+const READ_BACK_DELAY: Duration = Duration::from_millis(50);
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq)]
@@ -78,18 +78,18 @@
     expected: Option<u64>,
     deadline: Millis,
     tries: u32,
-    sent: Option<Sent>,
+    attempt: Option<Attempt>,
 }
 
 /// The write of a change.
 #[derive(Clone, Debug)]
-struct Sent {
+struct Attempt {
     /// The platform's revision of the key that the write compares with.
-    base: u64,
+    base_revision: u64,
     config: Config,
     txn: Txn,
     /// Whether an answer to it was lost.
-    doubt: bool,
+    in_doubt: bool,
 }
 
 impl Change {
@@ -103,43 +103,43 @@
             expected,
             deadline,
             tries: 0,
-            sent: None,
+            attempt: None,
         }
     }
 
     /// Takes what the key holds.
     pub fn on_read(&mut self, read: edge::Result<Option<Entry>>, now: Millis) -> Step {
-        match (read, &self.sent) {
+        match (read, &self.attempt) {
             (Ok(entry), None) => self.build(entry.as_ref()),
             (Err(fault), None) => Step::Done(Outcome::NotSent(fault)),
-            (Ok(entry), Some(sent)) if revision_of(entry.as_ref()) == sent.base => {
-                let txn = sent.txn.clone();
+            (Ok(entry), Some(attempt)) if revision_of(entry.as_ref()) == attempt.base_revision => {
+                let txn = attempt.txn.clone();
                 self.until_deadline(Step::Commit(txn), now)
             }
-            (Ok(entry), Some(_)) => self.settle(entry.as_ref()),
+            (Ok(entry), Some(_)) => self.resolve(entry.as_ref()),
             (Err(_), Some(_)) => self.until_deadline(Step::Read, now),
         }
     }
 
     /// Takes what became of the transaction.
     pub fn on_commit(&mut self, outcome: edge::Result<edge::Outcome>, now: Millis) -> Step {
-        let Some(sent) = &mut self.sent else {
+        let Some(attempt) = &mut self.attempt else {
             return Step::Read;
         };
         match outcome {
             Ok(edge::Outcome::Applied(_)) => {
-                Step::Done(Outcome::Accepted(Box::new(sent.config.clone())))
+                Step::Done(Outcome::Accepted(Box::new(attempt.config.clone())))
             }
             Ok(edge::Outcome::Refused(entries)) => {
                 let entry = entries.into_iter().find(|entry| entry.key == KEY);
-                self.settle(entry.as_ref())
+                self.resolve(entry.as_ref())
             }
             Err(edge::Fault::Unknown(_)) => {
-                sent.doubt = true;
+                attempt.in_doubt = true;
                 self.until_deadline(Step::Read, now)
             }
             // The write of this try had no effect, but an earlier one of the same bytes may have.
-            Err(_) if sent.doubt => self.until_deadline(Step::Read, now),
+            Err(_) if attempt.in_doubt => self.until_deadline(Step::Read, now),
             Err(fault) => Step::Done(Outcome::NotSent(fault)),
         }
     }
@@ -148,7 +148,7 @@
         let current = match entry.map(|entry| parse(&entry.value)) {
             None => Config::default(),
             Some(Ok(config)) => config,
-            Some(Err(fault)) => return Step::Done(bad(&fault.to_string())),
+            Some(Err(fault)) => return Step::Done(invalid(&fault.to_string())),
         };
         if self.expected.is_some_and(|r| r != current.revision) {
             return Step::Done(Outcome::Conflict {
@@ -164,57 +164,59 @@
             Ok(value) if value.len() <= edge::MAX_VALUE => value,
             Ok(value) => {
                 let detail = format!("the document would have {} bytes", value.len());
-                return Step::Done(bad(&detail));
+                return Step::Done(invalid(&detail));
             }
-            Err(fault) => return Step::Done(bad(&fault.to_string())),
+            Err(fault) => return Step::Done(invalid(&fault.to_string())),
         };
-        let base = revision_of(entry);
-        let txn = swap(base, value);
-        self.sent = Some(Sent {
-            base,
+        let base_revision = revision_of(entry);
+        let txn = compare_and_swap(base_revision, value);
+        self.attempt = Some(Attempt {
+            base_revision,
             config,
             txn: txn.clone(),
-            doubt: false,
+            in_doubt: false,
         });
         Step::Commit(txn)
     }
 
     /// Decides by a document that has moved past the revision that the write compares with: the
     /// write can't take effect any more, so the document says for good whether it did.
-    fn settle(&mut self, entry: Option<&Entry>) -> Step {
-        let Some(sent) = &self.sent else {
+    fn resolve(&mut self, entry: Option<&Entry>) -> Step {
+        let Some(attempt) = &self.attempt else {
             return Step::Read;
         };
         let unknown = Outcome::Unknown {
-            revision: sent.config.revision,
+            revision: attempt.config.revision,
         };
         let Some(Ok(current)) = entry.map(|entry| parse(&entry.value)) else {
             return Step::Done(unknown);
         };
-        match nonce_at(&current, sent.config.revision) {
+        match nonce_at(&current, attempt.config.revision) {
             Some(nonce) if nonce == self.nonce => {
-                Step::Done(Outcome::Accepted(Box::new(sent.config.clone())))
+                Step::Done(Outcome::Accepted(Box::new(attempt.config.clone())))
             }
             // So many others were accepted since that the document no longer tells.
-            None if sent.doubt => Step::Done(unknown),
-            _ => self.anew(current.revision),
+            None if attempt.in_doubt => Step::Done(unknown),
+            _ => self.retry(current.revision),
         }
     }
 
-    fn anew(&mut self, revision: u64) -> Step {
-        self.sent = None;
+    fn retry(&mut self, revision: u64) -> Step {
+        self.attempt = None;
         self.tries += 1;
-        if self.expected.is_some() || self.tries >= TRIES {
+        if self.expected.is_some() || self.tries >= MAX_TRIES {
             return Step::Done(Outcome::Conflict { revision });
         }
         Step::Read
     }
 
     fn until_deadline(&self, step: Step, now: Millis) -> Step {
-        match &self.sent {
-            Some(sent) if sent.doubt && now >= self.deadline => Step::Done(Outcome::Unknown {
-                revision: sent.config.revision,
-            }),
+        match &self.attempt {
+            Some(attempt) if attempt.in_doubt && now >= self.deadline => {
+                Step::Done(Outcome::Unknown {
+                    revision: attempt.config.revision,
+                })
+            }
             _ => step,
         }
     }
@@ -226,8 +228,12 @@
     loop {
         step = match step {
             Step::Read => {
-                if change.sent.as_ref().is_some_and(|sent| sent.doubt) {
-                    tokio::time::sleep(PAUSE).await;
+                if change
+                    .attempt
+                    .as_ref()
+                    .is_some_and(|attempt| attempt.in_doubt)
+                {
+                    tokio::time::sleep(READ_BACK_DELAY).await;
                 }
                 let read = platform.read(KEY).await;
                 change.on_read(read, clock.now())
@@ -245,10 +251,10 @@
 /// says, or hasn't got there.
 #[must_use]
 pub fn nonce_at(config: &Config, revision: u64) -> Option<u64> {
-    let back = config.revision.checked_sub(revision)?;
-    match usize::try_from(back).ok()? {
+    let offset = config.revision.checked_sub(revision)?;
+    match usize::try_from(offset).ok()? {
         0 => Some(config.nonce),
-        back => config.recent.get(back - 1).copied(),
+        offset => config.recent.get(offset - 1).copied(),
     }
 }
 
@@ -257,18 +263,18 @@
     config.nonce = nonce;
     config.recent.clone_from(&current.recent);
     config.recent.insert(0, current.nonce);
-    config.recent.truncate(RECENT);
+    config.recent.truncate(MAX_RECENT_NONCES);
 }
 
 fn revision_of(entry: Option<&Entry>) -> u64 {
     entry.map_or(0, |entry| entry.revision)
 }
 
-fn swap(base: u64, value: Vec<u8>) -> Txn {
+fn compare_and_swap(base_revision: u64, value: Vec<u8>) -> Txn {
     Txn {
         compares: vec![Compare {
             key: KEY.to_owned(),
-            revision: base,
+            revision: base_revision,
         }],
         writes: vec![Write::Put {
             key: KEY.to_owned(),
@@ -278,7 +284,7 @@
     }
 }
 
-fn bad(detail: &str) -> Outcome {
+fn invalid(detail: &str) -> Outcome {
     Outcome::Bad(Refusal::new(wire::code::Code::BadChange, detail))
 }
 
--- a/crates/node/src/controllers/config/change/tests.rs
+++ b/crates/node/src/controllers/config/change/tests.rs
@@ -16,16 +16,16 @@
     }
 }
 
-async fn make(memory: &Memory, nonce: u64, value: &str) -> Outcome {
+async fn make_change(memory: &Memory, nonce: u64, value: &str) -> Outcome {
     let change = Change::new(label(value), nonce, None, DEADLINE);
     run(memory, &Clock::Manual(std::sync::Arc::default()), change).await
 }
 
-async fn held(memory: &Memory) -> Config {
+async fn stored(memory: &Memory) -> Config {
     parse(&memory.read(KEY).await.unwrap().unwrap().value).unwrap()
 }
 
-fn accepted_at(outcome: &Outcome) -> u64 {
+fn accepted_revision(outcome: &Outcome) -> u64 {
     match outcome {
         Outcome::Accepted(config) => config.revision,
         other => panic!("not accepted: {other:?}"),
@@ -33,7 +33,7 @@
 }
 
 /// Sends a change to an empty key, and loses the answer after the write took effect.
-async fn in_doubt(memory: &Memory) -> Change {
+async fn change_in_doubt(memory: &Memory) -> Change {
     let mut change = Change::new(label("high"), 11, None, DEADLINE);
     let Step::Commit(txn) = change.on_read(Ok(None), Millis::ZERO) else {
         panic!("no write");
@@ -55,10 +55,10 @@
 async fn a_lost_answer_is_settled_by_reading_back(#[case] play: Play) {
     let memory = Memory::default();
     memory.play(play);
-    let outcome = make(&memory, 11, "high").await;
-    assert_eq!(accepted_at(&outcome), 1);
+    let outcome = make_change(&memory, 11, "high").await;
+    assert_eq!(accepted_revision(&outcome), 1);
     memory.deliver();
-    let config = held(&memory).await;
+    let config = stored(&memory).await;
     assert_eq!((config.revision, config.nonce), (1, 11));
 }
 
@@ -68,14 +68,14 @@
 #[tokio::test]
 async fn a_change_under_later_ones_is_still_known_as_accepted() {
     let memory = Memory::default();
-    let mut change = in_doubt(&memory).await;
-    make(&memory, 12, "low").await;
-    make(&memory, 13, "mid").await;
+    let mut change = change_in_doubt(&memory).await;
+    make_change(&memory, 12, "low").await;
+    make_change(&memory, 13, "mid").await;
     let step = change.on_read(memory.read(KEY).await, Millis::ZERO);
     let Step::Done(outcome) = step else {
         panic!("not settled: {step:?}");
     };
-    assert_eq!(accepted_at(&outcome), 1);
+    assert_eq!(accepted_revision(&outcome), 1);
 }
 
 // As above, but so many others follow that the document has forgotten: the operator is told that
@@ -83,9 +83,9 @@
 #[tokio::test]
 async fn a_change_that_the_document_has_forgotten_is_told_as_unknown() {
     let memory = Memory::default();
-    let mut change = in_doubt(&memory).await;
-    for nonce in 0..=RECENT as u64 {
-        make(&memory, 100 + nonce, "low").await;
+    let mut change = change_in_doubt(&memory).await;
+    for nonce in 0..=MAX_RECENT_NONCES as u64 {
+        make_change(&memory, 100 + nonce, "low").await;
     }
     let step = change.on_read(memory.read(KEY).await, Millis::ZERO);
     assert_eq!(step, Step::Done(Outcome::Unknown { revision: 1 }));
@@ -111,7 +111,7 @@
 async fn a_change_that_was_never_sent_is_told_as_such() {
     let memory = Memory::default();
     memory.set_down(true);
-    let outcome = make(&memory, 11, "high").await;
+    let outcome = make_change(&memory, 11, "high").await;
     assert!(matches!(outcome, Outcome::NotSent(edge::Fault::Down(_))));
 }
 
@@ -126,21 +126,21 @@
     #[case] accepted: Option<u64>,
 ) {
     let memory = Memory::default();
-    make(&memory, 10, "first").await;
+    make_change(&memory, 10, "first").await;
     let mut change = Change::new(label("mine"), 11, expected, DEADLINE);
     let Step::Commit(txn) = change.on_read(memory.read(KEY).await, Millis::ZERO) else {
         panic!("no write");
     };
-    make(&memory, 12, "theirs").await;
+    make_change(&memory, 12, "theirs").await;
     let refused = memory.commit(&txn, Weight::Change).await;
     let step = change.on_commit(refused, Millis::ZERO);
     let Some(accepted) = accepted else {
         assert_eq!(step, Step::Done(Outcome::Conflict { revision: 2 }));
-        assert_eq!(held(&memory).await.nonce, 12);
+        assert_eq!(stored(&memory).await.nonce, 12);
         return;
     };
     assert_eq!(step, Step::Read);
     let clock = Clock::Manual(std::sync::Arc::default());
     let outcome = run(&memory, &clock, change).await;
-    assert_eq!(accepted_at(&outcome), accepted);
+    assert_eq!(accepted_revision(&outcome), accepted);
 }
--- a/crates/node/src/controllers/config/edit.rs
+++ b/crates/node/src/controllers/config/edit.rs
@@ -81,14 +81,14 @@
                     None => labels.remove(name),
                 }
             }
-            Self::Selector(s) => put(&mut config.selectors, s.clone(), |s| &s.name),
-            Self::RemoveSelector(n) => cut(&mut config.selectors, n, |s| &s.name, n.as_str())?,
-            Self::Caller(c) => put(&mut config.callers, c.clone(), |c| &c.name),
-            Self::RemoveCaller(n) => cut(&mut config.callers, n, |c| &c.name, n.as_str())?,
-            Self::Endpoint(e) => put(&mut config.endpoints, e.clone(), |e| &e.name),
-            Self::RemoveEndpoint(n) => cut(&mut config.endpoints, n, |e| &e.name, n.as_str())?,
-            Self::Lost(c) => put(&mut config.lost, c.clone(), |c| c),
-            Self::Found(c) => cut(&mut config.lost, c, |c| c, c.as_str())?,
+            Self::Selector(s) => upsert(&mut config.selectors, s.clone(), |s| &s.name),
+            Self::RemoveSelector(n) => remove(&mut config.selectors, n, |s| &s.name, n.as_str())?,
+            Self::Caller(c) => upsert(&mut config.callers, c.clone(), |c| &c.name),
+            Self::RemoveCaller(n) => remove(&mut config.callers, n, |c| &c.name, n.as_str())?,
+            Self::Endpoint(e) => upsert(&mut config.endpoints, e.clone(), |e| &e.name),
+            Self::RemoveEndpoint(n) => remove(&mut config.endpoints, n, |e| &e.name, n.as_str())?,
+            Self::Lost(c) => upsert(&mut config.lost, c.clone(), |c| c),
+            Self::Found(c) => remove(&mut config.lost, c, |c| c, c.as_str())?,
             Self::Several(edits) => return edits.iter().try_for_each(|edit| edit.apply(config)),
         }
         Ok(())
@@ -98,20 +98,22 @@
 fn labels<'a>(config: &'a mut Config, subject: &Subject) -> Result<&'a mut label::Set> {
     match subject {
         Subject::Caller(name) => {
-            let at = find(&config.callers, name, |c| &c.name).map_err(|_| gone(name.as_str()))?;
+            let at = find(&config.callers, name, |c| &c.name)
+                .map_err(|_| unknown_subject(name.as_str()))?;
             Ok(&mut config.callers[at].labels)
         }
         Subject::Endpoint(name) => {
-            let at = find(&config.endpoints, name, |e| &e.name).map_err(|_| gone(name.as_str()))?;
+            let at = find(&config.endpoints, name, |e| &e.name)
+                .map_err(|_| unknown_subject(name.as_str()))?;
             Ok(&mut config.endpoints[at].labels)
         }
         Subject::Program(name) => {
             let at = find(&config.programs, name, |p| &p.name).unwrap_or_else(|at| {
-                let line = Program {
+                let entry = Program {
                     name: name.clone(),
                     labels: label::Set::default(),
                 };
-                config.programs.insert(at, line);
+                config.programs.insert(at, entry);
                 at
             });
             Ok(&mut config.programs[at].labels)
@@ -119,7 +121,7 @@
     }
 }
 
-fn gone(name: &str) -> Refusal {
+fn unknown_subject(name: &str) -> Refusal {
     Refusal::new(Code::UnknownSubject, name)
 }
 
@@ -128,18 +130,23 @@
     key: &K,
     name: impl Fn(&T) -> &K,
 ) -> std::result::Result<usize, usize> {
-    list.binary_search_by(|line| name(line).cmp(key))
+    list.binary_search_by(|entry| name(entry).cmp(key))
 }
 
-fn put<T, K: Ord>(list: &mut Vec<T>, line: T, name: impl Fn(&T) -> &K) {
-    match find(list, name(&line), &name) {
-        Ok(at) => list[at] = line,
-        Err(at) => list.insert(at, line),
+fn upsert<T, K: Ord>(list: &mut Vec<T>, entry: T, name: impl Fn(&T) -> &K) {
+    match find(list, name(&entry), &name) {
+        Ok(at) => list[at] = entry,
+        Err(at) => list.insert(at, entry),
     }
 }
 
-fn cut<T, K: Ord>(list: &mut Vec<T>, key: &K, name: impl Fn(&T) -> &K, text: &str) -> Result<()> {
-    let at = find(list, key, name).map_err(|_| gone(text))?;
+fn remove<T, K: Ord>(
+    list: &mut Vec<T>,
+    key: &K,
+    name: impl Fn(&T) -> &K,
+    text: &str,
+) -> Result<()> {
+    let at = find(list, key, name).map_err(|_| unknown_subject(text))?;
     list.remove(at);
     Ok(())
 }
--- a/crates/node/src/controllers/config/tests.rs
+++ b/crates/node/src/controllers/config/tests.rs
@@ -31,12 +31,12 @@
     #[case] offer: Offer,
     #[case] after: u64,
 ) {
-    let mut held = Held::default();
-    assert_eq!(held.offer(&config(3, 30)), Offer::Taken);
-    assert_eq!(held.offer(&config(revision, nonce)), offer);
-    assert_eq!(held.revision(), after);
+    let mut current = Current::default();
+    assert_eq!(current.offer(&config(3, 30)), Offer::Taken);
+    assert_eq!(current.offer(&config(revision, nonce)), offer);
+    assert_eq!(current.revision(), after);
     assert_eq!(
-        held.config().unwrap().nonce,
+        current.config().unwrap().nonce,
         if after == 4 { 40 } else { 30 }
     );
 }
--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -19,14 +19,14 @@
 use wire::id;
 
 use super::call;
-use super::members::beat::Life;
+use super::members::heartbeat::Liveness;
 use super::rendezvous;
 use super::rendezvous::Candidate;
 use crate::core::Core;
 use crate::peer;
 
 /// How long another VM may take: an answer waits for it, and the next holder is asked after it.
-const ANSWER: Millis = Millis::new(500);
+const ANSWER_TIMEOUT: Millis = Millis::new(500);
 
 /// A batch to hold.
 #[derive(Serialize, Deserialize)]
@@ -52,9 +52,9 @@
 }
 
 /// The other VMs, as the journal calls them.
-pub struct Others(Weak<Core>);
+pub struct PeerClient(Weak<Core>);
 
-impl Others {
+impl PeerClient {
     /// Makes the journal's access to other VMs. It doesn't keep the node alive, as the node keeps
     /// the journals.
     #[must_use]
@@ -62,7 +62,7 @@
         Self(Arc::downgrade(core))
     }
 
-    async fn ask<T: Serialize, R: serde::de::DeserializeOwned>(
+    async fn call<T: Serialize, R: serde::de::DeserializeOwned>(
         &self,
         vm: &id::Vm,
         path: &str,
@@ -74,22 +74,22 @@
             .exchange()
             .table
             .find(vm)
-            .map(|m| m.line.address);
+            .map(|m| m.status.address);
         let address = address.ok_or(Fault::Unreachable)?;
-        let answer = call::send(&core, address, path, value, ANSWER).await;
+        let answer = call::send(&core, address, path, value, ANSWER_TIMEOUT).await;
         answer.map_err(|_| Fault::Unreachable)
     }
 }
 
 #[async_trait]
-impl Peers for Others {
+impl Peers for PeerClient {
     async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> Result<()> {
         let batch = Hold {
             process: holder.incarnation,
             shard: shard.clone(),
             held: held.clone(),
         };
-        self.ask::<_, Result<()>>(&holder.vm, peer::HOLD, &batch)
+        self.call::<_, Result<()>>(&holder.vm, peer::HOLD, &batch)
             .await?
     }
 
@@ -100,9 +100,9 @@
         };
         let core = self.0.upgrade().ok_or(Fault::Unreachable)?;
         if *vm == core.settings.vm.name {
-            return yield_copies(&core, &collect).await;
+            return collect_copies(&core, &collect).await;
         }
-        self.ask::<_, Result<Collected>>(vm, peer::COLLECT, &collect)
+        self.call::<_, Result<Collected>>(vm, peer::COLLECT, &collect)
             .await?
     }
 
@@ -118,22 +118,26 @@
             epoch,
             seq,
         };
-        let _may_be_lost = self.ask::<_, ()>(&holder.vm, peer::DRAINED, &drained).await;
+        let _may_be_lost = self
+            .call::<_, ()>(&holder.vm, peer::DRAINED, &drained)
+            .await;
     }
 }
 
 /// How many VMs hold a shard's batches, in a centre that has as many; two of them may then be gone
 /// while two acknowledge.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// Chooses the VMs that hold a shard's batches.
 #[must_use]
 pub fn holders(core: &Core, shard: &id::Shard) -> Vec<Holder> {
     let exchange = core.control.exchange();
     let own = exchange.table.own();
-    let members = exchange.table.members().iter().map(|m| &m.line);
+    let members = exchange.table.members().iter().map(|m| &m.status);
     let others: Vec<_> = members
-        .filter(|l| l.centre == own.centre && l.vm != own.vm && l.life == Life::Up && !l.stopping)
+        .filter(|l| {
+            l.centre == own.centre && l.vm != own.vm && l.liveness == Liveness::Up && !l.stopping
+        })
         // One of which only the settings speak can't be named as this run of its process.
         .filter(|l| l.process != 0)
         .collect();
@@ -141,7 +145,7 @@
         vm: &l.vm,
         size: l.size,
     });
-    let chosen = rendezvous::first(&format!("copies/{shard}"), candidates, HOLDERS);
+    let chosen = rendezvous::choose_several(&format!("copies/{shard}"), candidates, MAX_HOLDERS);
     let process = |vm: &id::Vm| others.iter().find(|l| l.vm == *vm).map_or(0, |l| l.process);
     let holders = chosen.into_iter().map(|vm| Holder {
         vm: vm.clone(),
@@ -163,7 +167,7 @@
 /// Yields what is held to a new owner.
 pub(super) async fn collect(core: &Core, body: &[u8]) -> Option<Bytes> {
     let collect: Collect = call::decode(body)?;
-    frame::encode(&yield_copies(core, &collect).await).ok()
+    frame::encode(&collect_copies(core, &collect).await).ok()
 }
 
 /// Drops what is in the journal.
@@ -174,7 +178,7 @@
     frame::encode(&()).ok()
 }
 
-async fn yield_copies(core: &Core, collect: &Collect) -> Result<Collected> {
+async fn collect_copies(core: &Core, collect: &Collect) -> Result<Collected> {
     let held = core.registry.surrender(&collect.shard, collect.epoch).await;
     let mut copies = core.control.copies();
     copies.keep(&collect.shard, held);
--- a/crates/node/src/controllers/members.rs
+++ b/crates/node/src/controllers/members.rs
@@ -20,36 +20,36 @@
 use wire::id;
 use xxhash_rust::xxh3::Xxh3;
 
-pub mod beat;
+pub mod broadcast;
 pub mod exchange;
+pub mod heartbeat;
 pub mod listings;
 pub mod loads;
 pub mod owners;
-pub mod spread;
 
-use beat::Life;
-use beat::Line;
-use spread::Spread;
+use broadcast::Queue;
+use heartbeat::Liveness;
+use heartbeat::Status;
 
 /// The time between two rounds of heartbeats.
-pub const ROUND: Millis = Millis::new(1_000);
+pub const ROUND_INTERVAL: Millis = Millis::new(1_000);
 /// VMs of the own data centre that get a heartbeat each round. With 2 a VM hears 4 frames from its
 /// centre each round, and is missed by no one for a whole round in `e^-2`, one in seven.
 pub const FANOUT: usize = 2;
 /// Each so many rounds one VM of another data centre gets a heartbeat too.
-const ACROSS: u64 = 2;
+const REMOTE_EVERY: u64 = 2;
 /// Each so many rounds one VM that is down gets a heartbeat too: after a cut both sides think the
 /// other down, and no one else would ever speak across again.
-const REVIVE: u64 = 3;
+const DOWN_EVERY: u64 = 3;
 /// How long a suspected VM has to refute: two rounds for the news to reach it and one for its
 /// answer to get about.
-pub const SUSPICION: Millis = Millis::new(3_000);
+pub const SUSPICION_TIMEOUT: Millis = Millis::new(3_000);
 /// How long a VM that is down is remembered: long enough that no heartbeat of before its death is
 /// still about, short enough that the 170 VMs replaced on an ordinary day don't pile up.
-const FORGET: Millis = Millis::new(60 * 60 * 1_000);
+const DOWN_RETENTION: Millis = Millis::new(60 * 60 * 1_000);
 /// A gap between two rounds from which on this VM was paused itself: what it thinks of others'
 /// silence is then worth nothing.
-const PAUSE: Millis = Millis::new(2_500);
+const PAUSE_THRESHOLD: Millis = Millis::new(2_500);
 
 /// Why a VM is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -75,11 +75,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// What is told of it.
-    pub line: Line,
+    pub status: Status,
     /// Since when it has been in its present state.
     pub since: Millis,
     /// Whether the platform's list had it.
-    listed: bool,
+    was_listed: bool,
 }
 
 /// The VMs, this one among them.
@@ -89,10 +89,10 @@
     centre: id::Centre,
     /// Sorted by name.
     members: Vec<Member>,
-    news: Spread<id::Vm>,
+    updates: Queue<id::Vm>,
     changes: Vec<Change>,
     /// The centre's VMs in a drawn order, taken from the end; each is met once before any twice.
-    turn: Vec<id::Vm>,
+    next_targets: Vec<id::Vm>,
     rounds: u64,
     last_round: Option<Millis>,
 }
@@ -112,20 +112,20 @@
     /// Makes the table of a VM that starts. Its incarnation is the time, so that it is above any
     /// of an earlier run; where the clock was set back, others tell it a higher one.
     #[must_use]
-    pub fn new(mut line: Line, now: Millis) -> Self {
-        line.life = Life::Up;
-        line.incarnation = now.as_u64();
+    pub fn new(mut status: Status, now: Millis) -> Self {
+        status.liveness = Liveness::Up;
+        status.incarnation = now.as_u64();
         let mut table = Self {
-            me: line.vm.clone(),
-            centre: line.centre.clone(),
+            me: status.vm.clone(),
+            centre: status.centre.clone(),
             members: Vec::new(),
-            news: Spread::default(),
+            updates: Queue::default(),
             changes: Vec::new(),
-            turn: Vec::new(),
+            next_targets: Vec::new(),
             rounds: 0,
             last_round: None,
         };
-        table.merge(&line, now);
+        table.merge(&status, now);
         table.changes.clear();
         table
     }
@@ -138,75 +138,75 @@
 
     /// Yields this VM's own line.
     #[must_use]
-    pub fn own(&self) -> &Line {
-        &self.members[self.own_at()].line
+    pub fn own(&self) -> &Status {
+        &self.members[self.own_index()].status
     }
 
     /// Looks a VM up.
     #[must_use]
     pub fn find(&self, vm: &id::Vm) -> Option<&Member> {
-        Some(&self.members[self.at(vm).ok()?])
+        Some(&self.members[self.position(vm).ok()?])
     }
 
     /// Changes what this VM tells of itself, which others hear with its next heartbeats.
-    pub fn set_own(&mut self, change: impl FnOnce(&mut Line)) {
-        let at = self.own_at();
-        let before = self.members[at].line.stopping;
-        change(&mut self.members[at].line);
-        if before != self.members[at].line.stopping {
-            self.news.push(self.me.clone());
+    pub fn set_own(&mut self, change: impl FnOnce(&mut Status)) {
+        let index = self.own_index();
+        let before = self.members[index].status.stopping;
+        change(&mut self.members[index].status);
+        if before != self.members[index].status.stopping {
+            self.updates.push(self.me.clone());
         }
     }
 
     /// Yields who came up and went down since the last call.
-    pub fn drain(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// Takes what is told of a VM, by itself or by another.
-    pub fn merge(&mut self, told: &Line, now: Millis) {
-        if told.vm == self.me && self.at(&self.me).is_ok() {
-            self.refute(told);
+    pub fn merge(&mut self, received: &Status, now: Millis) {
+        if received.vm == self.me && self.position(&self.me).is_ok() {
+            self.refute(received);
             return;
         }
-        match self.at(&told.vm) {
-            Err(at) => self.add(at, told, now),
-            Ok(at) => self.update(at, told, now),
+        match self.position(&received.vm) {
+            Err(index) => self.add(index, received, now),
+            Ok(index) => self.update(index, received, now),
         }
     }
 
     /// Notes that a VM didn't answer.
-    pub fn missed(&mut self, vm: &id::Vm, now: Millis) {
+    pub fn suspect(&mut self, vm: &id::Vm, now: Millis) {
         if *vm == self.me {
             return;
         }
-        let Ok(at) = self.at(vm) else { return };
-        let member = &mut self.members[at];
-        if member.line.life == Life::Up {
-            member.line.life = Life::Suspect;
+        let Ok(index) = self.position(vm) else { return };
+        let member = &mut self.members[index];
+        if member.status.liveness == Liveness::Up {
+            member.status.liveness = Liveness::Suspect;
             member.since = now;
-            self.news.push(vm.clone());
+            self.updates.push(vm.clone());
         }
     }
 
     /// Takes the platform's list, which lags both ways. That a VM leaves is taken at its word. That
     /// it is gone counts only for one that was listed and is suspected: one that speaks is up.
-    pub fn listed(&mut self, standing: impl Fn(&id::Vm) -> Listed, now: Millis) {
-        for at in 0..self.members.len() {
-            let vm = self.members[at].line.vm.clone();
-            match standing(&vm) {
-                Listed::Live => self.members[at].listed = true,
+    pub fn apply_list(&mut self, lookup: impl Fn(&id::Vm) -> Listed, now: Millis) {
+        for index in 0..self.members.len() {
+            let vm = self.members[index].status.vm.clone();
+            match lookup(&vm) {
+                Listed::Live => self.members[index].was_listed = true,
                 Listed::Leaving => {
-                    self.members[at].listed = true;
-                    if !self.members[at].line.stopping {
-                        self.members[at].line.stopping = true;
-                        self.news.push(vm);
+                    self.members[index].was_listed = true;
+                    if !self.members[index].status.stopping {
+                        self.members[index].status.stopping = true;
+                        self.updates.push(vm);
                     }
                 }
                 Listed::Absent => {
-                    let suspect = self.members[at].line.life == Life::Suspect;
-                    if self.members[at].listed && suspect {
-                        self.down(at, Reason::Unlisted, now);
+                    let suspect = self.members[index].status.liveness == Liveness::Suspect;
+                    if self.members[index].was_listed && suspect {
+                        self.mark_down(index, Reason::Unlisted, now);
                     }
                 }
             }
@@ -214,12 +214,12 @@
     }
 
     /// Begins a round: ends suspicions that weren't refuted, and draws whom to send a heartbeat.
-    pub fn round<R: Rng>(&mut self, now: Millis, random: &mut R) -> Vec<id::Vm> {
+    pub fn begin_round<R: Rng>(&mut self, now: Millis, random: &mut R) -> Vec<id::Vm> {
         let gap = self.last_round.map_or(Millis::ZERO, |last| now.since(last));
         self.last_round = Some(now);
         self.rounds += 1;
-        if gap >= PAUSE {
-            self.woke(gap);
+        if gap >= PAUSE_THRESHOLD {
+            self.resume_after_pause(gap);
         }
         self.expire(now);
         self.targets(random)
@@ -229,93 +229,97 @@
     pub fn targets<R: Rng>(&mut self, random: &mut R) -> Vec<id::Vm> {
         let mut targets = Vec::with_capacity(FANOUT + 2);
         for _ in 0..FANOUT {
-            if let Some(vm) = self.next_near(random).filter(|vm| !targets.contains(vm)) {
+            if let Some(vm) = self
+                .next_in_centre(random)
+                .filter(|vm| !targets.contains(vm))
+            {
                 targets.push(vm);
             }
         }
-        if self.rounds.is_multiple_of(ACROSS) {
-            let far = |m: &Member| m.line.centre != self.centre && m.line.life != Life::Down;
-            targets.extend(self.draw(far, random));
+        if self.rounds.is_multiple_of(REMOTE_EVERY) {
+            let remote =
+                |m: &Member| m.status.centre != self.centre && m.status.liveness != Liveness::Down;
+            targets.extend(self.pick_random(remote, random));
         }
-        if self.rounds.is_multiple_of(REVIVE) {
-            targets.extend(self.draw(|m| m.line.life == Life::Down, random));
+        if self.rounds.is_multiple_of(DOWN_EVERY) {
+            targets.extend(self.pick_random(|m| m.status.liveness == Liveness::Down, random));
         }
         targets
     }
 
     /// Picks up to `most` lines for a heartbeat to a VM that are news. What is thought of that VM
     /// itself, where it isn't thought up, goes with each: only it can tell better.
-    pub fn news(&mut self, to: &id::Vm, most: usize) -> Vec<Line> {
-        let sends = spread::sends(self.members.len());
-        let names = self.news.take(most, sends);
-        let told = names.iter().filter(|vm| *vm != to);
-        let mut lines: Vec<Line> = told
-            .filter_map(|vm| Some(self.find(vm)?.line.clone()))
+    pub fn take_updates(&mut self, to: &id::Vm, max: usize) -> Vec<Status> {
+        let sends = broadcast::transmit_limit(self.members.len());
+        let names = self.updates.take(max, sends);
+        let others = names.iter().filter(|vm| *vm != to);
+        let mut statuses: Vec<Status> = others
+            .filter_map(|vm| Some(self.find(vm)?.status.clone()))
             .collect();
-        let doubted = self.find(to).filter(|m| m.line.life != Life::Up);
-        lines.extend(doubted.map(|m| m.line.clone()));
-        lines
+        let not_up = self.find(to).filter(|m| m.status.liveness != Liveness::Up);
+        statuses.extend(not_up.map(|m| m.status.clone()));
+        statuses
     }
 
     /// Adds all lines to a digest, so that two VMs that know the same have the same digest.
     pub fn digest(&self, hash: &mut Xxh3) {
-        for Member { line, .. } in &self.members {
-            hash.update(line.vm.as_str().as_bytes());
-            hash.update(&line.incarnation.to_le_bytes());
-            hash.update(&[line.life.into(), u8::from(line.stopping)]);
+        for Member { status, .. } in &self.members {
+            hash.update(status.vm.as_str().as_bytes());
+            hash.update(&status.incarnation.to_le_bytes());
+            hash.update(&[status.liveness.into(), u8::from(status.stopping)]);
         }
     }
 
-    fn own_at(&self) -> usize {
-        self.at(&self.me).unwrap_or_default()
+    fn own_index(&self) -> usize {
+        self.position(&self.me).unwrap_or_default()
     }
 
-    fn at(&self, vm: &id::Vm) -> std::result::Result<usize, usize> {
-        self.members.binary_search_by(|m| m.line.vm.cmp(vm))
+    fn position(&self, vm: &id::Vm) -> std::result::Result<usize, usize> {
+        self.members.binary_search_by(|m| m.status.vm.cmp(vm))
     }
 
-    fn add(&mut self, at: usize, told: &Line, now: Millis) {
+    fn add(&mut self, index: usize, received: &Status, now: Millis) {
         let member = Member {
-            line: told.clone(),
+            status: received.clone(),
             since: now,
-            listed: false,
+            was_listed: false,
         };
-        self.members.insert(at, member);
-        self.news.push(told.vm.clone());
-        if told.life != Life::Down {
-            self.changes.push(Change::Up(told.vm.clone()));
+        self.members.insert(index, member);
+        self.updates.push(received.vm.clone());
+        if received.liveness != Liveness::Down {
+            self.changes.push(Change::Up(received.vm.clone()));
         }
     }
 
-    fn update(&mut self, at: usize, told: &Line, now: Millis) {
-        let member = &mut self.members[at];
-        if told.rank() < member.line.rank() {
+    fn update(&mut self, index: usize, received: &Status, now: Millis) {
+        let member = &mut self.members[index];
+        if received.rank() < member.status.rank() {
             return;
         }
-        if told.rank() == member.line.rank() {
-            let revision = member.line.revision.max(told.revision);
-            member.line.revision = revision;
-            if told.stopping && !member.line.stopping {
-                member.line.stopping = true;
-                self.news.push(told.vm.clone());
+        if received.rank() == member.status.rank() {
+            let revision = member.status.revision.max(received.revision);
+            member.status.revision = revision;
+            if received.stopping && !member.status.stopping {
+                member.status.stopping = true;
+                self.updates.push(received.vm.clone());
             }
             return;
         }
-        let was = member.line.life;
+        let previous = member.status.liveness;
         // The list's word that the VM leaves holds for as long as it runs.
-        let leaves = member.line.stopping && member.line.incarnation == told.incarnation;
-        member.line = told.clone();
-        member.line.stopping |= leaves;
-        if was != told.life {
+        let leaving = member.status.stopping && member.status.incarnation == received.incarnation;
+        member.status = received.clone();
+        member.status.stopping |= leaving;
+        if previous != received.liveness {
             member.since = now;
         }
-        self.news.push(told.vm.clone());
-        match (was, told.life) {
-            (Life::Down, Life::Up | Life::Suspect) => {
-                self.changes.push(Change::Up(told.vm.clone()));
+        self.updates.push(received.vm.clone());
+        match (previous, received.liveness) {
+            (Liveness::Down, Liveness::Up | Liveness::Suspect) => {
+                self.changes.push(Change::Up(received.vm.clone()));
             }
-            (Life::Up | Life::Suspect, Life::Down) => {
-                let change = Change::Down(told.vm.clone(), Reason::Told);
+            (Liveness::Up | Liveness::Suspect, Liveness::Down) => {
+                let change = Change::Down(received.vm.clone(), Reason::Told);
                 self.changes.push(change);
             }
             _ => {}
@@ -324,96 +328,106 @@
 
     /// Answers a line about this VM itself that says it isn't up, or that an earlier run got to a
     /// higher incarnation.
-    fn refute(&mut self, told: &Line) {
-        let at = self.own_at();
-        let own = &mut self.members[at].line;
-        if told.stopping && told.incarnation == own.incarnation {
+    fn refute(&mut self, received: &Status) {
+        let index = self.own_index();
+        let own = &mut self.members[index].status;
+        if received.stopping && received.incarnation == own.incarnation {
             own.stopping = true;
         }
-        let doubted = told.incarnation == own.incarnation && told.life != Life::Up;
-        if doubted || told.incarnation > own.incarnation {
-            own.incarnation = told.incarnation + 1;
-            self.news.push(self.me.clone());
+        let disputed = received.incarnation == own.incarnation && received.liveness != Liveness::Up;
+        if disputed || received.incarnation > own.incarnation {
+            own.incarnation = received.incarnation + 1;
+            self.updates.push(self.me.clone());
         }
     }
 
     /// Starts anew after this VM was paused: the suspicions that it held ran out while no one could
     /// refute to it, and ending them now would have it think VMs down that are up. Others may think
     /// this VM down; a higher incarnation tells them better without waiting to be told.
-    fn woke(&mut self, gap: Millis) {
+    fn resume_after_pause(&mut self, gap: Millis) {
         for member in &mut self.members {
-            if member.line.life == Life::Suspect {
+            if member.status.liveness == Liveness::Suspect {
                 member.since = member.since.plus(gap);
             }
         }
-        let at = self.own_at();
-        self.members[at].line.incarnation += 1;
-        self.news.push(self.me.clone());
+        let index = self.own_index();
+        self.members[index].status.incarnation += 1;
+        self.updates.push(self.me.clone());
     }
 
     fn expire(&mut self, now: Millis) {
-        for at in 0..self.members.len() {
-            let member = &self.members[at];
-            if member.line.life == Life::Suspect && now.since(member.since) >= SUSPICION {
-                self.down(at, Reason::Silent, now);
+        for index in 0..self.members.len() {
+            let member = &self.members[index];
+            if member.status.liveness == Liveness::Suspect
+                && now.since(member.since) >= SUSPICION_TIMEOUT
+            {
+                self.mark_down(index, Reason::Silent, now);
             }
         }
         self.members
-            .retain(|m| m.line.life != Life::Down || now.since(m.since) < FORGET);
+            .retain(|m| m.status.liveness != Liveness::Down || now.since(m.since) < DOWN_RETENTION);
     }
 
-    fn down(&mut self, at: usize, reason: Reason, now: Millis) {
-        let member = &mut self.members[at];
-        member.line.life = Life::Down;
+    fn mark_down(&mut self, index: usize, reason: Reason, now: Millis) {
+        let member = &mut self.members[index];
+        member.status.liveness = Liveness::Down;
         member.since = now;
-        let vm = member.line.vm.clone();
-        self.news.push(vm.clone());
+        let vm = member.status.vm.clone();
+        self.updates.push(vm.clone());
         self.changes.push(Change::Down(vm, reason));
     }
 
-    fn next_near<R: Rng>(&mut self, random: &mut R) -> Option<id::Vm> {
+    fn next_in_centre<R: Rng>(&mut self, random: &mut R) -> Option<id::Vm> {
         for _ in 0..2 {
-            while let Some(vm) = self.turn.pop() {
-                if self.find(&vm).is_some_and(|m| m.line.life != Life::Down) {
+            while let Some(vm) = self.next_targets.pop() {
+                if self
+                    .find(&vm)
+                    .is_some_and(|m| m.status.liveness != Liveness::Down)
+                {
                     return Some(vm);
                 }
             }
-            self.turn = self.near();
-            shuffle(&mut self.turn, random);
+            self.next_targets = self.same_centre();
+            shuffle(&mut self.next_targets, random);
         }
         None
     }
 
     /// Yields the other VMs of the own data centre that aren't down.
     #[must_use]
-    pub fn near(&self) -> Vec<id::Vm> {
-        let near = self.members.iter().map(|m| &m.line);
-        near.filter(|l| l.centre == self.centre && l.life != Life::Down && l.vm != self.me)
+    pub fn same_centre(&self) -> Vec<id::Vm> {
+        let others = self.members.iter().map(|m| &m.status);
+        others
+            .filter(|l| l.centre == self.centre && l.liveness != Liveness::Down && l.vm != self.me)
             .map(|l| l.vm.clone())
             .collect()
     }
 
-    fn draw<R: Rng>(&self, wanted: impl Fn(&Member) -> bool, random: &mut R) -> Option<id::Vm> {
+    fn pick_random<R: Rng>(
+        &self,
+        wanted: impl Fn(&Member) -> bool,
+        random: &mut R,
+    ) -> Option<id::Vm> {
         let matching: Vec<&Member> = self.members.iter().filter(|m| wanted(m)).collect();
         if matching.is_empty() {
             return None;
         }
-        let at = random.random_range(0..matching.len());
-        Some(matching[at].line.vm.clone())
+        let index = random.random_range(0..matching.len());
+        Some(matching[index].status.vm.clone())
     }
 }
 
 /// Builds the line of a VM that is known from settings only. Its incarnation is below any real one.
 #[must_use]
-pub fn seed(vm: &id::Vm, centre: &id::Centre, address: SocketAddr) -> Line {
-    Line {
+pub fn seed(vm: &id::Vm, centre: &id::Centre, address: SocketAddr) -> Status {
+    Status {
         vm: vm.clone(),
         centre: centre.clone(),
         address,
         size: 1,
         process: 0,
         incarnation: 0,
-        life: Life::Up,
+        liveness: Liveness::Up,
         stopping: false,
         revision: 0,
     }
--- a/crates/node/src/controllers/members/spread.rs
+++ b/crates/node/src/controllers/members/broadcast.rs
@@ -6,28 +6,28 @@
 /// Sends of an item beyond one for each doubling of the fleet. An item that each VM passes on `n`
 /// times misses one VM in about `e^n`: one in 8,000 at 96 VMs. More would be sent in vain, and
 /// keep a fleet that starts as a whole busy.
-const BEYOND: u32 = 2;
+const EXTRA_SENDS: u32 = 2;
 
 /// Yields how often an item is sent by one VM in a fleet of `vms`.
 #[must_use]
-pub fn sends(vms: usize) -> u32 {
+pub fn transmit_limit(vms: usize) -> u32 {
     let doublings = usize::BITS - vms.leading_zeros();
-    doublings + BEYOND
+    doublings + EXTRA_SENDS
 }
 
 /// Names of items that are news, with how often each was sent.
 #[derive(Clone, Debug)]
-pub struct Spread<K> {
+pub struct Queue<K> {
     items: Vec<(K, u32)>,
 }
 
-impl<K> Default for Spread<K> {
+impl<K> Default for Queue<K> {
     fn default() -> Self {
         Self { items: Vec::new() }
     }
 }
 
-impl<K: Clone + PartialEq> Spread<K> {
+impl<K: Clone + PartialEq> Queue<K> {
     /// Adds an item, or starts it anew.
     pub fn push(&mut self, key: K) {
         self.items.retain(|(other, _)| *other != key);
@@ -36,14 +36,14 @@
 
     /// Takes up to `most` items for one frame, those sent least first, and drops those that have
     /// then been sent `sends` times.
-    pub fn take(&mut self, most: usize, sends: u32) -> Vec<K> {
+    pub fn take(&mut self, max: usize, limit: u32) -> Vec<K> {
         self.items.sort_by_key(|(_, sent)| *sent);
-        let mut taken = Vec::with_capacity(most.min(self.items.len()));
-        for (key, sent) in self.items.iter_mut().take(most) {
+        let mut taken = Vec::with_capacity(max.min(self.items.len()));
+        for (key, sent) in self.items.iter_mut().take(max) {
             *sent += 1;
             taken.push(key.clone());
         }
-        self.items.retain(|(_, sent)| *sent < sends);
+        self.items.retain(|(_, sent)| *sent < limit);
         taken
     }
 
--- a/crates/node/src/controllers/members/beat.rs
+++ b/crates/node/src/controllers/members/heartbeat.rs
@@ -11,7 +11,7 @@
 /// Whether a VM is up; a later one replaces an earlier one of the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "u8", into = "u8")]
-pub enum Life {
+pub enum Liveness {
     /// It answers.
     Up,
     /// It didn't answer one VM.
@@ -20,7 +20,7 @@
     Down,
 }
 
-impl From<u8> for Life {
+impl From<u8> for Liveness {
     fn from(number: u8) -> Self {
         match number {
             0 => Self::Up,
@@ -30,15 +30,15 @@
     }
 }
 
-impl From<Life> for u8 {
-    fn from(life: Life) -> Self {
-        life as Self
+impl From<Liveness> for u8 {
+    fn from(liveness: Liveness) -> Self {
+        liveness as Self
     }
 }
 
 /// What is told of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Status {
     /// The VM.
     #[serde(rename = "v")]
     pub vm: id::Vm,
@@ -59,7 +59,7 @@
     pub incarnation: u64,
     /// Whether it is up.
     #[serde(rename = "l")]
-    pub life: Life,
+    pub liveness: Liveness,
     /// Whether it is on its way out.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub stopping: bool,
@@ -68,11 +68,11 @@
     pub revision: u64,
 }
 
-impl Line {
+impl Status {
     /// Yields what decides between two lines of a VM: the higher is the later.
     #[must_use]
-    pub fn rank(&self) -> (u64, Life) {
-        (self.incarnation, self.life)
+    pub fn rank(&self) -> (u64, Liveness) {
+        (self.incarnation, self.liveness)
     }
 }
 
@@ -146,10 +146,10 @@
 
 /// A heartbeat, and the answer to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's own line.
     #[serde(rename = "m")]
-    pub me: Line,
+    pub me: Status,
     /// The digest of all lines of VMs and shards that the sender has.
     #[serde(rename = "h")]
     pub digest: u64,
@@ -158,7 +158,7 @@
     pub full: bool,
     /// News of VMs.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub vms: Vec<Line>,
+    pub vms: Vec<Status>,
     /// News of shards.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub owners: Vec<Owner>,
--- a/crates/node/src/controllers/members/listings.rs
+++ b/crates/node/src/controllers/members/listings.rs
@@ -6,76 +6,81 @@
 use wire::clock::Millis;
 use wire::id;
 
-use super::beat::Listing;
-use super::spread;
-use super::spread::Spread;
+use super::broadcast;
+use super::broadcast::Queue;
+use super::heartbeat::Listing;
 
 /// By how much a finding must be newer than the known one, in milliseconds; see the slack of load
 /// reports.
 const SLACK: Millis = Millis::new(200);
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Entry {
     endpoint: id::Endpoint,
     leaving: bool,
-    at: Millis,
+    read_at: Millis,
 }
 
 /// The findings, sorted by endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Listings {
-    rows: Vec<Row>,
-    news: Spread<id::Endpoint>,
+    entries: Vec<Entry>,
+    updates: Queue<id::Endpoint>,
 }
 
 impl Listings {
     /// Tells whether an endpoint leaves.
     #[must_use]
     pub fn leaves(&self, endpoint: &id::Endpoint) -> bool {
-        self.at(endpoint).is_ok_and(|at| self.rows[at].leaving)
+        self.position(endpoint)
+            .is_ok_and(|at| self.entries[at].leaving)
     }
 
     /// Yields the endpoints that leave.
     pub fn leaving(&self) -> impl Iterator<Item = &id::Endpoint> {
-        self.rows.iter().filter(|r| r.leaving).map(|r| &r.endpoint)
+        self.entries
+            .iter()
+            .filter(|r| r.leaving)
+            .map(|r| &r.endpoint)
     }
 
     /// Takes a finding, the own ones too; news where it differs from what was known.
-    pub fn merge(&mut self, told: &Listing, now: Millis) {
-        let row = Row {
-            endpoint: told.endpoint.clone(),
-            leaving: told.leaving,
-            at: Millis::new(now.as_u64().saturating_sub(told.age.as_u64())),
+    pub fn merge(&mut self, received: &Listing, now: Millis) {
+        let entry = Entry {
+            endpoint: received.endpoint.clone(),
+            leaving: received.leaving,
+            read_at: Millis::new(now.as_u64().saturating_sub(received.age.as_u64())),
         };
-        match self.at(&told.endpoint) {
+        match self.position(&received.endpoint) {
             // One that never left is no news.
-            Err(_) if !told.leaving => return,
-            Err(at) => self.rows.insert(at, row),
-            Ok(at) if row.at < self.rows[at].at.plus(SLACK) => return,
-            Ok(at) if row.leaving == self.rows[at].leaving => {
-                self.rows[at].at = row.at;
+            Err(_) if !received.leaving => return,
+            Err(at) => self.entries.insert(at, entry),
+            Ok(at) if entry.read_at < self.entries[at].read_at.plus(SLACK) => return,
+            Ok(at) if entry.leaving == self.entries[at].leaving => {
+                self.entries[at].read_at = entry.read_at;
                 return;
             }
-            Ok(at) => self.rows[at] = row,
+            Ok(at) => self.entries[at] = entry,
         }
-        self.news.push(told.endpoint.clone());
+        self.updates.push(received.endpoint.clone());
     }
 
     /// Picks up to `most` findings that are news, for a heartbeat in a fleet of `vms`.
-    pub fn news(&mut self, most: usize, vms: usize, now: Millis) -> Vec<Listing> {
-        let names = self.news.take(most, spread::sends(vms));
-        let rows = names
+    pub fn take_updates(&mut self, max: usize, vms: usize, now: Millis) -> Vec<Listing> {
+        let names = self.updates.take(max, broadcast::transmit_limit(vms));
+        let entries = names
             .iter()
-            .filter_map(|e| Some(&self.rows[self.at(e).ok()?]));
-        rows.map(|row| Listing {
-            endpoint: row.endpoint.clone(),
-            leaving: row.leaving,
-            age: now.since(row.at),
-        })
-        .collect()
+            .filter_map(|e| Some(&self.entries[self.position(e).ok()?]));
+        entries
+            .map(|entry| Listing {
+                endpoint: entry.endpoint.clone(),
+                leaving: entry.leaving,
+                age: now.since(entry.read_at),
+            })
+            .collect()
     }
 
-    fn at(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
-        self.rows.binary_search_by(|r| r.endpoint.cmp(endpoint))
+    fn position(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
+        self.entries.binary_search_by(|r| r.endpoint.cmp(endpoint))
     }
 }
--- a/crates/node/src/controllers/members/loads.rs
+++ b/crates/node/src/controllers/members/loads.rs
@@ -7,11 +7,11 @@
 use wire::clock::Millis;
 use wire::id;
 
-use super::super::keeper::Tell;
-use super::beat;
+use super::super::poller::Audience;
+use super::heartbeat;
 
 /// How often one VM passes a report on. Two, as each VM hears four frames a round.
-const SENDS: u32 = 2;
+const MAX_SENDS: u32 = 2;
 /// By how much a report must be newer than the known one, in milliseconds. Each hop adds its
 /// transit time to the apparent time of a report; without the slack a report would come back as
 /// newer than itself.
@@ -19,77 +19,81 @@
 
 /// An endpoint's last known report.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct Entry {
     /// What it says; its age is that of the moment it was taken in.
-    pub line: beat::Load,
+    pub load: heartbeat::Load,
     /// When it was made, by this VM's clock.
-    pub at: Millis,
+    pub made_at: Millis,
     sent: u32,
 }
 
 /// The reports, sorted by endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    rows: Vec<Row>,
+    entries: Vec<Entry>,
 }
 
 impl Loads {
     /// Yields all reports.
     #[must_use]
-    pub fn rows(&self) -> &[Row] {
-        &self.rows
+    pub fn entries(&self) -> &[Entry] {
+        &self.entries
     }
 
     /// Takes a report, from the endpoint or from another VM. That an endpoint leaves isn't taken
     /// back by an older report.
-    pub fn merge(&mut self, line: &beat::Load, now: Millis) {
-        let row = Row {
-            line: line.clone(),
-            at: Millis::new(now.as_u64().saturating_sub(line.age.as_u64())),
+    pub fn merge(&mut self, load: &heartbeat::Load, now: Millis) {
+        let new = Entry {
+            load: load.clone(),
+            made_at: Millis::new(now.as_u64().saturating_sub(load.age.as_u64())),
             sent: 0,
         };
-        match self.at(&line.endpoint) {
-            Err(at) => self.rows.insert(at, row),
-            Ok(at) if row.at >= self.rows[at].at.plus(SLACK) => self.rows[at] = row,
+        match self.position(&load.endpoint) {
+            Err(at) => self.entries.insert(at, new),
+            Ok(at) if new.made_at >= self.entries[at].made_at.plus(SLACK) => self.entries[at] = new,
             Ok(_) => {}
         }
     }
 
     /// Takes a report from the endpoint itself.
-    pub fn keep(&mut self, line: &beat::Load, tell: Tell, now: Millis) {
-        self.merge(line, now);
-        if tell == Tell::Nobody
-            && let Ok(at) = self.at(&line.endpoint)
+    pub fn record(&mut self, load: &heartbeat::Load, audience: Audience, now: Millis) {
+        self.merge(load, now);
+        if audience == Audience::Local
+            && let Ok(at) = self.position(&load.endpoint)
         {
-            self.rows[at].sent = SENDS;
+            self.entries[at].sent = MAX_SENDS;
         }
     }
 
     /// Picks up to `most` reports for a frame: those sent least first, then the newest, and first
     /// of all those that say that an endpoint leaves or doesn't answer.
-    pub fn pick(&mut self, most: usize, now: Millis) -> Vec<beat::Load> {
-        let mut due: Vec<&mut Row> = self.rows.iter_mut().filter(|r| r.sent < SENDS).collect();
+    pub fn take_reports(&mut self, max: usize, now: Millis) -> Vec<heartbeat::Load> {
+        let mut due: Vec<&mut Entry> = self
+            .entries
+            .iter_mut()
+            .filter(|r| r.sent < MAX_SENDS)
+            .collect();
         due.sort_by_key(|r| {
-            let well = r.line.up && !r.line.leaving;
-            (well, r.sent, std::cmp::Reverse(r.at))
+            let healthy = r.load.up && !r.load.leaving;
+            (healthy, r.sent, std::cmp::Reverse(r.made_at))
         });
-        due.truncate(most);
-        let told = due.into_iter().map(|row| {
-            row.sent += 1;
-            let mut line = row.line.clone();
-            line.age = now.since(row.at);
-            line
+        due.truncate(max);
+        let reports = due.into_iter().map(|entry| {
+            entry.sent += 1;
+            let mut load = entry.load.clone();
+            load.age = now.since(entry.made_at);
+            load
         });
-        told.collect()
+        reports.collect()
     }
 
-    fn at(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
-        self.rows
-            .binary_search_by(|r| r.line.endpoint.cmp(endpoint))
+    fn position(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
+        self.entries
+            .binary_search_by(|r| r.load.endpoint.cmp(endpoint))
     }
 
     /// Drops what the configuration no longer has.
     pub fn retain(&mut self, keep: impl Fn(&id::Endpoint) -> bool) {
-        self.rows.retain(|r| keep(&r.line.endpoint));
+        self.entries.retain(|r| keep(&r.load.endpoint));
     }
 }
--- a/crates/node/src/controllers/members/tests.rs
+++ b/crates/node/src/controllers/members/tests.rs
@@ -6,50 +6,53 @@
 
 const START: Millis = Millis::new(1_000_000);
 
-fn line(name: &str, incarnation: u64, life: Life) -> Line {
+fn status(name: &str, incarnation: u64, liveness: Liveness) -> Status {
     let vm = id::Vm::parse(name).unwrap();
     let centre = id::Centre::parse("c").unwrap();
-    Line {
+    Status {
         incarnation,
-        life,
+        liveness,
         ..seed(&vm, &centre, ([127, 0, 0, 1], 1).into())
     }
 }
 
 /// The table of `me`, who knows `other` as up with incarnation 5.
 fn table() -> Table {
-    let mut table = Table::new(line("me", 0, Life::Up), START);
-    table.merge(&line("other", 5, Life::Up), START);
-    table.drain();
+    let mut table = Table::new(status("me", 0, Liveness::Up), START);
+    table.merge(&status("other", 5, Liveness::Up), START);
+    table.take_changes();
     table
 }
 
-fn other(table: &Table) -> (u64, Life) {
+fn other(table: &Table) -> (u64, Liveness) {
     table
         .find(&id::Vm::parse("other").unwrap())
         .unwrap()
-        .line
+        .status
         .rank()
 }
 
 fn run(table: &mut Table, from: Millis, rounds: u64) {
     let mut random = SmallRng::seed_from_u64(1);
     for round in 1..=rounds {
-        table.round(from.plus(Millis::new(round * ROUND.as_u64())), &mut random);
+        table.begin_round(
+            from.plus(Millis::new(round * ROUND_INTERVAL.as_u64())),
+            &mut random,
+        );
     }
 }
 
 // News of a VM arrives in any order and more than once; each VM must end up with the same.
 #[rstest]
-#[case::older(line("other", 4, Life::Down), (5, Life::Up))]
-#[case::doubt(line("other", 5, Life::Suspect), (5, Life::Suspect))]
-#[case::down(line("other", 5, Life::Down), (5, Life::Down))]
-#[case::refuted(line("other", 6, Life::Up), (6, Life::Up))]
-fn the_later_line_counts(#[case] told: Line, #[case] known: (u64, Life)) {
+#[case::older(status("other", 4, Liveness::Down), (5, Liveness::Up))]
+#[case::suspect(status("other", 5, Liveness::Suspect), (5, Liveness::Suspect))]
+#[case::down(status("other", 5, Liveness::Down), (5, Liveness::Down))]
+#[case::refuted(status("other", 6, Liveness::Up), (6, Liveness::Up))]
+fn the_later_line_counts(#[case] received: Status, #[case] expected: (u64, Liveness)) {
     let mut table = table();
-    table.merge(&told, START);
-    table.merge(&line("other", 5, Life::Up), START);
-    assert_eq!(other(&table), known);
+    table.merge(&received, START);
+    table.merge(&status("other", 5, Liveness::Up), START);
+    assert_eq!(other(&table), expected);
 }
 
 // A VM doesn't answer. It is suspected first, as one lost packet mustn't cost its shards; without
@@ -58,14 +61,14 @@
 fn a_silent_vm_is_suspected_then_down_and_comes_back() {
     let mut table = table();
     let vm = id::Vm::parse("other").unwrap();
-    table.missed(&vm, START);
+    table.suspect(&vm, START);
     run(&mut table, START, 2);
-    assert_eq!(other(&table), (5, Life::Suspect));
+    assert_eq!(other(&table), (5, Liveness::Suspect));
     run(&mut table, START.plus(Millis::new(2_000)), 1);
-    assert_eq!(other(&table), (5, Life::Down));
-    table.merge(&line("other", 6, Life::Up), START);
+    assert_eq!(other(&table), (5, Liveness::Down));
+    table.merge(&status("other", 6, Liveness::Up), START);
     let changes = [Change::Down(vm.clone(), Reason::Silent), Change::Up(vm)];
-    assert_eq!(table.drain(), changes);
+    assert_eq!(table.take_changes(), changes);
 }
 
 // This VM was paused for a minute with a suspicion open. No one could refute to it meanwhile: ended
@@ -75,46 +78,50 @@
 fn a_vm_back_from_a_pause_gives_suspects_their_time() {
     let mut table = table();
     run(&mut table, START, 1);
-    table.missed(&id::Vm::parse("other").unwrap(), START.plus(ROUND));
+    table.suspect(&id::Vm::parse("other").unwrap(), START.plus(ROUND_INTERVAL));
     let before = table.own().incarnation;
     run(&mut table, START.plus(Millis::new(60_000)), 1);
-    assert_eq!(other(&table), (5, Life::Suspect));
+    assert_eq!(other(&table), (5, Liveness::Suspect));
     assert_eq!(table.own().incarnation, before + 1);
 }
 
 #[rstest]
-#[case::doubt(0, Life::Suspect, 1)]
-#[case::down(0, Life::Down, 1)]
-#[case::earlier_run(7, Life::Up, 8)]
-fn a_vm_refutes_what_is_told_of_it(#[case] ahead: u64, #[case] life: Life, #[case] after: u64) {
+#[case::suspect(0, Liveness::Suspect, 1)]
+#[case::down(0, Liveness::Down, 1)]
+#[case::earlier_run(7, Liveness::Up, 8)]
+fn a_vm_refutes_what_is_told_of_it(
+    #[case] ahead: u64,
+    #[case] liveness: Liveness,
+    #[case] after: u64,
+) {
     let mut table = table();
     let before = table.own().incarnation;
-    table.merge(&line("me", before + ahead, life), START);
-    assert_eq!(table.own().rank(), (before + after, Life::Up));
+    table.merge(&status("me", before + ahead, liveness), START);
+    assert_eq!(table.own().rank(), (before + after, Liveness::Up));
 }
 
 // The platform's list lags: it may still lack a VM that has just started, so a VM that is heard is
 // up whatever it says. One that is also silent needn't be waited for.
 #[rstest]
-#[case::heard(false, Listed::Absent, Life::Up, false)]
-#[case::silent(true, Listed::Absent, Life::Down, false)]
-#[case::leaving(false, Listed::Leaving, Life::Up, true)]
+#[case::heard(false, Listed::Absent, Liveness::Up, false)]
+#[case::silent(true, Listed::Absent, Liveness::Down, false)]
+#[case::leaving(false, Listed::Leaving, Liveness::Up, true)]
 fn the_list_counts_as_far_as_it_can_be_believed(
     #[case] silent: bool,
     #[case] listed: Listed,
-    #[case] life: Life,
+    #[case] liveness: Liveness,
     #[case] stopping: bool,
 ) {
     let mut table = table();
     let vm = id::Vm::parse("other").unwrap();
-    table.listed(|_| Listed::Live, START);
+    table.apply_list(|_| Listed::Live, START);
     if silent {
-        table.missed(&vm, START);
+        table.suspect(&vm, START);
     }
-    table.listed(
+    table.apply_list(
         |name| if *name == vm { listed } else { Listed::Live },
         START,
     );
-    let line = &table.find(&vm).unwrap().line;
-    assert_eq!((line.life, line.stopping), (life, stopping));
+    let status = &table.find(&vm).unwrap().status;
+    assert_eq!((status.liveness, status.stopping), (liveness, stopping));
 }
--- a/crates/node/src/controllers/keeper.rs
+++ b/crates/node/src/controllers/poller.rs
@@ -11,7 +11,7 @@
 use wire::id;
 
 use super::claims::Vm;
-use super::members::beat;
+use super::members::heartbeat;
 use super::rendezvous;
 use super::rendezvous::Candidate;
 
@@ -19,19 +19,19 @@
 
 /// How often an endpoint is asked for its load. A leaving one must get nothing after 3 s: a second
 /// until it is asked, one for the spread, one to spare.
-pub const POLL: Millis = Millis::new(1_000);
+pub const LOAD_INTERVAL: Millis = Millis::new(1_000);
 /// How often a runner is asked what it holds; see [`sweep::GRACE`] for the time until a leak is
 /// found.
-pub const CACHE: Millis = Millis::new(15_000);
+pub const CACHE_INTERVAL: Millis = Millis::new(15_000);
 /// Questions in a row without an answer from which on an endpoint isn't up. One may be lost.
-const MISSES: u32 = 2;
+const FAILURE_THRESHOLD: u32 = 2;
 /// How old a told report may grow while nothing changes.
-const REFRESH: Millis = Millis::new(5_000);
+const REFRESH_INTERVAL: Millis = Millis::new(5_000);
 /// Which part of its calls more or fewer make a report worth telling: one eighth moves a placement
 /// by less than the lag of the reports does.
-const PART: u32 = 8;
+const CHANGE_DIVISOR: u32 = 8;
 /// The least change of calls that is worth telling.
-const LEAST: u32 = 2;
+const MIN_CHANGE: u32 = 2;
 
 /// What an endpoint is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,52 +73,52 @@
 
 /// Whether a report is told to other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tell {
+pub enum Audience {
     /// It is.
-    Others,
+    Centre,
     /// It is kept here only, as it differs little from the last one told.
-    Nobody,
+    Local,
 }
 
 /// An endpoint that this VM keeps.
 #[derive(Clone, Debug)]
-struct Kept {
+struct Target {
     endpoint: id::Endpoint,
     next_load: Millis,
     next_cache: Millis,
-    misses: u32,
-    last: beat::Load,
-    told: Option<(beat::Load, Millis)>,
+    failures: u32,
+    last: heartbeat::Load,
+    published: Option<(heartbeat::Load, Millis)>,
 }
 
 /// The endpoints that this VM keeps, sorted by name.
 #[derive(Clone, Debug, Default)]
-pub struct Keeper {
-    kept: Vec<Kept>,
+pub struct Poller {
+    targets: Vec<Target>,
 }
 
-impl Keeper {
+impl Poller {
     /// Takes up and gives up endpoints as the configuration and the live VMs say, and yields the
     /// questions that are due. A data centre without a live VM has no keepers.
     pub fn due(&mut self, all: &[Endpoint], vms: &[Vm], me: &id::Vm, now: Millis) -> Vec<Poll> {
-        let mine = |e: &&Endpoint| keeper(e, vms) == Some(me);
+        let mine = |e: &&Endpoint| poller(e, vms) == Some(me);
         let mine: Vec<&Endpoint> = all.iter().filter(mine).collect();
-        self.kept
+        self.targets
             .retain(|k| mine.iter().any(|e| e.name == k.endpoint));
         let mut polls = Vec::new();
         for endpoint in mine {
-            let kept = self.take_up(&endpoint.name, now);
+            let target = self.target_mut(&endpoint.name, now);
             let poll = |question| Poll {
                 endpoint: endpoint.name.clone(),
                 address: endpoint.address.clone(),
                 question,
             };
-            if now >= kept.next_load {
-                kept.next_load = now.plus(POLL);
+            if now >= target.next_load {
+                target.next_load = now.plus(LOAD_INTERVAL);
                 polls.push(poll(Question::Load));
             }
-            if now >= kept.next_cache && endpoint.kind == Kind::Runner {
-                kept.next_cache = now.plus(CACHE);
+            if now >= target.next_cache && endpoint.kind == Kind::Runner {
+                target.next_cache = now.plus(CACHE_INTERVAL);
                 polls.push(poll(Question::Cache));
             }
         }
@@ -127,70 +127,75 @@
 
     /// Takes the answer to a question for the load, `None` where there was none, and yields what
     /// to publish.
-    pub fn answered(
+    pub fn on_answer(
         &mut self,
         endpoint: &id::Endpoint,
         report: Option<&Report>,
         now: Millis,
-    ) -> Option<(beat::Load, Tell)> {
-        let at = self.at(endpoint).ok()?;
-        let kept = &mut self.kept[at];
+    ) -> Option<(heartbeat::Load, Audience)> {
+        let index = self.position(endpoint).ok()?;
+        let target = &mut self.targets[index];
         if let Some(report) = report {
-            kept.misses = 0;
-            kept.last = line(endpoint, report);
+            target.failures = 0;
+            target.last = load(endpoint, report);
         } else {
-            kept.misses += 1;
-            if kept.misses < MISSES {
+            target.failures += 1;
+            if target.failures < FAILURE_THRESHOLD {
                 return None;
             }
-            kept.last.up = false;
-            kept.last.age = Millis::ZERO;
+            target.last.up = false;
+            target.last.age = Millis::ZERO;
         }
-        let tell = match &kept.told {
-            Some((told, at)) if now.since(*at) < REFRESH && alike(told, &kept.last) => Tell::Nobody,
-            _ => Tell::Others,
+        let audience = match &target.published {
+            Some((published, published_at))
+                if now.since(*published_at) < REFRESH_INTERVAL
+                    && is_similar(published, &target.last) =>
+            {
+                Audience::Local
+            }
+            _ => Audience::Centre,
         };
-        if tell == Tell::Others {
-            kept.told = Some((kept.last.clone(), now));
+        if audience == Audience::Centre {
+            target.published = Some((target.last.clone(), now));
         }
-        Some((kept.last.clone(), tell))
+        Some((target.last.clone(), audience))
     }
 
-    fn take_up(&mut self, endpoint: &id::Endpoint, now: Millis) -> &mut Kept {
-        let at = self.at(endpoint).unwrap_or_else(|at| {
-            let kept = Kept {
+    fn target_mut(&mut self, endpoint: &id::Endpoint, now: Millis) -> &mut Target {
+        let index = self.position(endpoint).unwrap_or_else(|index| {
+            let target = Target {
                 endpoint: endpoint.clone(),
                 next_load: now,
-                next_cache: now.plus(CACHE),
-                misses: 0,
-                last: line(endpoint, &Report::default()),
-                told: None,
+                next_cache: now.plus(CACHE_INTERVAL),
+                failures: 0,
+                last: load(endpoint, &Report::default()),
+                published: None,
             };
-            self.kept.insert(at, kept);
-            at
+            self.targets.insert(index, target);
+            index
         });
-        &mut self.kept[at]
+        &mut self.targets[index]
     }
 
-    fn at(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
-        self.kept.binary_search_by(|k| k.endpoint.cmp(endpoint))
+    fn position(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
+        self.targets.binary_search_by(|k| k.endpoint.cmp(endpoint))
     }
 }
 
 /// Chooses the VM that keeps an endpoint.
-fn keeper<'a>(endpoint: &Endpoint, vms: &'a [Vm]) -> Option<&'a id::Vm> {
-    let able = vms
+fn poller<'a>(endpoint: &Endpoint, vms: &'a [Vm]) -> Option<&'a id::Vm> {
+    let eligible = vms
         .iter()
         .filter(|v| v.centre == endpoint.centre && v.up && !v.stopping);
-    let candidates = able.map(|v| Candidate {
+    let candidates = eligible.map(|v| Candidate {
         vm: &v.vm,
         size: v.size,
     });
     rendezvous::choose(endpoint.name.as_str(), candidates)
 }
 
-fn line(endpoint: &id::Endpoint, report: &Report) -> beat::Load {
-    beat::Load {
+fn load(endpoint: &id::Endpoint, report: &Report) -> heartbeat::Load {
+    heartbeat::Load {
         endpoint: endpoint.clone(),
         age: report.age_ms,
         up: true,
@@ -202,10 +207,11 @@
     }
 }
 
-fn alike(told: &beat::Load, last: &beat::Load) -> bool {
-    let calls = |l: &beat::Load| l.running + l.waiting;
-    let near = calls(told).abs_diff(calls(last)) < LEAST.max(calls(told) / PART);
-    near && told.up == last.up && told.leaving == last.leaving
+fn is_similar(published: &heartbeat::Load, last: &heartbeat::Load) -> bool {
+    let calls = |l: &heartbeat::Load| l.running + l.waiting;
+    let similar =
+        calls(published).abs_diff(calls(last)) < MIN_CHANGE.max(calls(published) / CHANGE_DIVISOR);
+    similar && published.up == last.up && published.leaving == last.leaving
 }
 
 #[cfg(test)]
--- a/crates/node/src/controllers/keeper/sweep.rs
+++ b/crates/node/src/controllers/poller/sweep.rs
@@ -16,7 +16,7 @@
 
 /// What an owner said of a program that an endpoint holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Gone {
+struct Candidate {
     endpoint: id::Endpoint,
     program: id::Program,
     epoch: u64,
@@ -26,14 +26,14 @@
 /// What owners have said to be gone.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
-    gone: Vec<Gone>,
+    candidates: Vec<Candidate>,
 }
 
 impl Sweep {
     /// Takes an owner's answer, of ownership number `epoch`, on the programs of its shard that an
     /// endpoint holds: `held` of which it says that `gone` are. Yields those that have been gone
     /// for [`GRACE`] under the same ownership, for the owner to release.
-    pub fn answered(
+    pub fn on_answer(
         &mut self,
         endpoint: &id::Endpoint,
         epoch: u64,
@@ -41,17 +41,17 @@
         gone: &[id::Program],
         now: Millis,
     ) -> Vec<id::Program> {
-        self.gone.retain(|g| {
-            let concerned = g.endpoint == *endpoint && held.contains(&g.program);
-            !concerned || (gone.contains(&g.program) && g.epoch == epoch)
+        self.candidates.retain(|c| {
+            let is_asked = c.endpoint == *endpoint && held.contains(&c.program);
+            !is_asked || (gone.contains(&c.program) && c.epoch == epoch)
         });
         let mut due = Vec::new();
         for program in gone {
-            let same = |g: &&Gone| g.endpoint == *endpoint && g.program == *program;
-            match self.gone.iter().find(same) {
+            let same = |c: &&Candidate| c.endpoint == *endpoint && c.program == *program;
+            match self.candidates.iter().find(same) {
                 Some(known) if now.since(known.since) >= GRACE => due.push(program.clone()),
                 Some(_) => {}
-                None => self.gone.push(Gone {
+                None => self.candidates.push(Candidate {
                     endpoint: endpoint.clone(),
                     program: program.clone(),
                     epoch,
@@ -63,8 +63,8 @@
     }
 
     /// Drops what an endpoint no longer holds.
-    pub fn held(&mut self, endpoint: &id::Endpoint, held: &[id::Program]) {
-        self.gone
-            .retain(|g| g.endpoint != *endpoint || held.contains(&g.program));
+    pub fn retain_held(&mut self, endpoint: &id::Endpoint, held: &[id::Program]) {
+        self.candidates
+            .retain(|c| c.endpoint != *endpoint || held.contains(&c.program));
     }
 }
--- a/crates/node/src/controllers/keeper/tests.rs
+++ b/crates/node/src/controllers/poller/tests.rs
@@ -41,11 +41,11 @@
 }
 
 /// A keeper with one endpoint that has told a report of 16 calls.
-fn keeper() -> (Keeper, id::Endpoint) {
-    let (mut keeper, endpoint, vms) = (Keeper::default(), endpoint("e"), vms(1));
-    keeper.due(std::slice::from_ref(&endpoint), &vms, &vms[0].vm, START);
-    keeper.answered(&endpoint.name, Some(&report(16)), START);
-    (keeper, endpoint.name)
+fn poller() -> (Poller, id::Endpoint) {
+    let (mut poller, endpoint, vms) = (Poller::default(), endpoint("e"), vms(1));
+    poller.due(std::slice::from_ref(&endpoint), &vms, &vms[0].vm, START);
+    poller.on_answer(&endpoint.name, Some(&report(16)), START);
+    (poller, endpoint.name)
 }
 
 // Each endpoint is asked by one VM and by no other, also after a VM has died: asked by none, its
@@ -54,7 +54,7 @@
 #[case::all_up(&[])]
 #[case::one_dead(&[1])]
 #[case::one_left(&[0, 2])]
-fn each_endpoint_has_one_keeper(#[case] dead: &[usize]) {
+fn each_endpoint_has_one_poller(#[case] dead: &[usize]) {
     let mut vms = vms(3);
     for at in dead {
         vms[*at].up = false;
@@ -62,40 +62,42 @@
     let names = ["a", "b", "c", "d", "e", "f"];
     let endpoints: Vec<Endpoint> = names.iter().map(|name| endpoint(name)).collect();
     let live = vms.iter().filter(|vm| vm.up);
-    let asked = live.flat_map(|vm| Keeper::default().due(&endpoints, &vms, &vm.vm, START));
-    let mut asked: Vec<String> = asked.map(|poll| poll.endpoint.to_string()).collect();
-    asked.sort();
-    assert_eq!(asked, names);
+    let polled = live.flat_map(|vm| Poller::default().due(&endpoints, &vms, &vm.vm, START));
+    let mut polled: Vec<String> = polled.map(|poll| poll.endpoint.to_string()).collect();
+    polled.sort();
+    assert_eq!(polled, names);
 }
 
 // A report goes to all VMs of the centre; one that says what they know already would cost as much
 // as one that matters.
 #[rstest]
-#[case::same(report(16), 1_000, Tell::Nobody)]
-#[case::little(report(17), 1_000, Tell::Nobody)]
-#[case::much(report(18), 1_000, Tell::Others)]
-#[case::old(report(16), 5_000, Tell::Others)]
-#[case::leaving(Report { leaving: true, ..report(16) }, 1_000, Tell::Others)]
+#[case::same(report(16), 1_000, Audience::Local)]
+#[case::little(report(17), 1_000, Audience::Local)]
+#[case::much(report(18), 1_000, Audience::Centre)]
+#[case::old(report(16), 5_000, Audience::Centre)]
+#[case::leaving(Report { leaving: true, ..report(16) }, 1_000, Audience::Centre)]
 fn only_reports_that_matter_are_told(
     #[case] report: Report,
     #[case] later: u64,
-    #[case] tell: Tell,
+    #[case] audience: Audience,
 ) {
-    let (mut keeper, endpoint) = keeper();
+    let (mut poller, endpoint) = poller();
     let now = START.plus(Millis::new(later));
-    let answered = keeper.answered(&endpoint, Some(&report), now);
-    assert_eq!(answered.unwrap().1, tell);
+    let answer = poller.on_answer(&endpoint, Some(&report), now);
+    assert_eq!(answer.unwrap().1, audience);
 }
 
 // One lost answer doesn't take an endpoint out of use; two in a row do, and that is told.
 #[test]
 fn an_endpoint_that_does_not_answer_twice_is_not_up() {
-    let (mut keeper, endpoint) = keeper();
-    assert_eq!(keeper.answered(&endpoint, None, START), None);
-    let (line, tell) = keeper.answered(&endpoint, None, START).unwrap();
-    assert_eq!((line.up, tell), (false, Tell::Others));
-    let (line, tell) = keeper.answered(&endpoint, Some(&report(0)), START).unwrap();
-    assert_eq!((line.up, tell), (true, Tell::Others));
+    let (mut poller, endpoint) = poller();
+    assert_eq!(poller.on_answer(&endpoint, None, START), None);
+    let (load, audience) = poller.on_answer(&endpoint, None, START).unwrap();
+    assert_eq!((load.up, audience), (false, Audience::Centre));
+    let (load, audience) = poller
+        .on_answer(&endpoint, Some(&report(0)), START)
+        .unwrap();
+    assert_eq!((load.up, audience), (true, Audience::Centre));
 }
 
 // A runner holds a program that its owner says is gone. It is released after the owner has said so
@@ -118,11 +120,11 @@
     let mut sweep = Sweep::default();
     assert!(
         sweep
-            .answered(&endpoint, first, &program, &program, START)
+            .on_answer(&endpoint, first, &program, &program, START)
             .is_empty()
     );
     let still = if gone { &program[..] } else { &[] };
     let now = START.plus(Millis::new(later));
-    let due = sweep.answered(&endpoint, second, &program, still, now);
+    let due = sweep.on_answer(&endpoint, second, &program, still, now);
     assert_eq!(!due.is_empty(), swept);
 }
--- a/crates/node/src/controllers/rendezvous.rs
+++ b/crates/node/src/controllers/rendezvous.rs
@@ -23,25 +23,25 @@
     subject: &str,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
 ) -> Option<&'a id::Vm> {
-    let sized = candidates.into_iter().filter(|c| c.size > 0);
-    let scored = sized.map(|c| (score(subject, c), c.vm));
-    scored.max_by(higher).map(|(_, vm)| vm)
+    let eligible = candidates.into_iter().filter(|c| c.size > 0);
+    let scored = eligible.map(|c| (score(subject, c), c.vm));
+    scored.max_by(by_score).map(|(_, vm)| vm)
 }
 
 /// Chooses the `count` VMs that should have `subject`, the first first.
-pub fn first<'a>(
+pub fn choose_several<'a>(
     subject: &str,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
     count: usize,
 ) -> Vec<&'a id::Vm> {
-    let sized = candidates.into_iter().filter(|c| c.size > 0);
-    let mut scored: Vec<_> = sized.map(|c| (score(subject, c), c.vm)).collect();
-    scored.sort_by(|a, b| higher(b, a));
+    let eligible = candidates.into_iter().filter(|c| c.size > 0);
+    let mut scored: Vec<_> = eligible.map(|c| (score(subject, c), c.vm)).collect();
+    scored.sort_by(|a, b| by_score(b, a));
     scored.truncate(count);
     scored.into_iter().map(|(_, vm)| vm).collect()
 }
 
-fn higher(a: &(f64, &id::Vm), b: &(f64, &id::Vm)) -> Ordering {
+fn by_score(a: &(f64, &id::Vm), b: &(f64, &id::Vm)) -> Ordering {
     a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1))
 }
 
--- a/crates/node/src/controllers/rendezvous/tests.rs
+++ b/crates/node/src/controllers/rendezvous/tests.rs
@@ -5,7 +5,7 @@
     names.collect()
 }
 
-fn chosen(vms: &[id::Vm], size: impl Fn(usize) -> u32) -> Vec<&id::Vm> {
+fn choices(vms: &[id::Vm], size: impl Fn(usize) -> u32) -> Vec<&id::Vm> {
     let subjects = (0..4_000).map(|n| format!("c/{n}"));
     let candidates = |at: usize| Candidate {
         vm: &vms[at],
@@ -19,7 +19,7 @@
 #[test]
 fn a_vm_gets_a_share_in_proportion_to_its_size() {
     let vms = vms(4);
-    let chosen = chosen(&vms, |at| if at == 0 { 3 } else { 1 });
+    let chosen = choices(&vms, |at| if at == 0 { 3 } else { 1 });
     let first = chosen.iter().filter(|vm| ***vm == vms[0]).count();
     assert!(
         (1_850..2_150).contains(&first),
@@ -31,8 +31,8 @@
 #[test]
 fn only_what_the_gone_vm_had_moves() {
     let vms = vms(5);
-    let before = chosen(&vms, |_| 1);
-    let after = chosen(&vms, |at| u32::from(at != 2));
+    let before = choices(&vms, |_| 1);
+    let after = choices(&vms, |at| u32::from(at != 2));
     for (before, after) in before.iter().zip(&after) {
         assert!(before == after || **before == vms[2]);
         assert_ne!(**after, vms[2]);
@@ -43,7 +43,7 @@
 fn the_first_of_several_is_the_one_chosen() {
     let vms = vms(5);
     let all = || vms.iter().map(|vm| Candidate { vm, size: 1 });
-    let first = first("config", all(), 2);
+    let first = choose_several("config", all(), 2);
     assert_eq!(first.len(), 2);
     assert_ne!(first[0], first[1]);
     assert_eq!(Some(first[0]), choose("config", all()));
--- a/crates/node/src/controllers/run.rs
+++ b/crates/node/src/controllers/run.rs
@@ -2,5 +2,5 @@
 
 pub mod claims;
 pub mod config;
-pub mod keeper;
 pub mod members;
+pub mod poller;
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -23,22 +23,22 @@
 use crate::controllers::claims::Claims;
 use crate::controllers::claims::Facts;
 use crate::controllers::claims::Health;
-use crate::controllers::claims::lease::Ask;
-use crate::controllers::claims::lease::Keeping;
+use crate::controllers::claims::lease::Renewer;
+use crate::controllers::claims::lease::Request;
 use crate::controllers::copies;
-use crate::controllers::members::beat::Owner;
+use crate::controllers::members::heartbeat::Owner;
 use crate::controllers::run::members;
 use crate::core::Core;
 
 /// How often decisions are taken: the pace of claims. Each one lists all VMs anew.
-const TURN: Millis = Millis::new(100);
+const DECISION_INTERVAL: Millis = Millis::new(100);
 /// How often records that may be left over are looked at.
-const CLEAR: Millis = Millis::new(1_000);
+const CLEANUP_INTERVAL: Millis = Millis::new(1_000);
 /// How long the next owner may take to answer when it is told of a hand-over.
-const TELL: Millis = Millis::new(500);
+const HANDOVER_NOTICE_TIMEOUT: Millis = Millis::new(500);
 
 /// How a claim or a hand-over ended.
-enum Ended {
+enum Completion {
     Claimed(id::Shard, bool),
     Released(id::Shard, id::Vm),
 }
@@ -46,89 +46,89 @@
 /// What the task keeps.
 struct Task {
     core: Arc<Core>,
-    keeping: Keeping,
+    renewer: Renewer,
     claims: Claims,
     shards: Vec<id::Shard>,
     /// Shards that are being claimed or handed over.
     busy: Vec<id::Shard>,
     /// Shards whose record may name this VM although it doesn't serve them.
-    strays: Vec<id::Shard>,
-    cleared: Millis,
-    ended: mpsc::UnboundedSender<Ended>,
+    stale_records: Vec<id::Shard>,
+    last_cleanup: Millis,
+    completions: mpsc::UnboundedSender<Completion>,
 }
 
 /// Runs until the node has stopped, and then ends the lease, which frees what is left.
-pub async fn keep(core: Arc<Core>) {
-    let (sender, mut ended) = mpsc::unbounded_channel();
+pub async fn run(core: Arc<Core>) {
+    let (sender, mut completions) = mpsc::unbounded_channel();
     let now = core.clock.now();
     let mut task = Task {
-        keeping: Keeping::new(core.settings.platform.lease),
+        renewer: Renewer::new(core.settings.platform.lease),
         claims: Claims::new(now),
         shards: shards(&core),
         busy: Vec::new(),
-        strays: Vec::new(),
-        cleared: now,
-        ended: sender,
+        stale_records: Vec::new(),
+        last_cleanup: now,
+        completions: sender,
         core: core.clone(),
     };
     loop {
         task.renew().await;
         task.decide();
-        task.clear().await;
+        task.remove_stale_records().await;
         tokio::select! {
-            () = sleep(TURN.as_duration()) => {}
-            Some(end) = ended.recv() => task.ended(end),
+            () = sleep(DECISION_INTERVAL.as_duration()) => {}
+            Some(completion) = completions.recv() => task.on_completion(completion),
             () = core.stopped.cancelled() => break,
         }
     }
-    if let Some(lease) = task.keeping.lease() {
+    if let Some(lease) = task.renewer.lease() {
         let _or_it_lapses = core.platform.revoke(lease).await;
     }
 }
 
 /// Waits until each shard of the own data centre has an owner, for a lease time at most: what has
 /// none by then, has a dead owner or the platform is down.
-pub async fn settled(core: &Core) {
+pub async fn wait_for_owners(core: &Core) {
     let own = &core.settings.vm.centre;
     let shards = core.settings.centres.iter().find(|c| c.name == *own);
     let wanted = shards.map_or(0, |centre| usize::from(centre.shards));
     let mut views = core.view.subscribe();
     let all = views.wait_for(|view| {
-        let near = view.owners.iter().filter(|o| o.shard.centre == *own);
-        near.count() >= wanted
+        let own_shards = view.owners.iter().filter(|o| o.shard.centre == *own);
+        own_shards.count() >= wanted
     });
     let _or_not = timeout(core.settings.platform.lease.as_duration(), all).await;
 }
 
 impl Task {
     async fn renew(&mut self) {
-        let asked = self.core.clock.now();
-        let before = (self.keeping.lease(), self.keeping.health());
-        match self.keeping.due(asked) {
-            Some(Ask::Grant) => {
+        let requested_at = self.core.clock.now();
+        let before = (self.renewer.lease(), self.renewer.health());
+        match self.renewer.due(requested_at) {
+            Some(Request::Grant) => {
                 let answer = self
                     .core
                     .platform
                     .grant(self.core.settings.platform.lease)
                     .await;
                 let now = self.core.clock.now();
-                self.keeping.granted(&answer, asked, now);
+                self.renewer.on_grant(&answer, requested_at, now);
             }
-            Some(Ask::Renew(lease)) => {
+            Some(Request::Renew(lease)) => {
                 let answer = self.core.platform.renew(lease).await;
                 let now = self.core.clock.now();
-                self.keeping.renewed(&answer, asked, now);
+                self.renewer.on_renewal(&answer, requested_at, now);
             }
             None => return,
         }
-        self.tell_health(before.1);
-        if let Some(lease) = self.keeping.lease().filter(|l| before.0 != Some(*l)) {
+        self.log_health(before.1);
+        if let Some(lease) = self.renewer.lease().filter(|l| before.0 != Some(*l)) {
             self.reclaim(lease);
         }
     }
 
-    fn tell_health(&self, before: Health) {
-        let health = self.keeping.health();
+    fn log_health(&self, before: Health) {
+        let health = self.renewer.health();
         let up = health != Health::Down;
         if up != (before != Health::Down) {
             let event = if up {
@@ -162,9 +162,9 @@
         owned.sort();
         owned.dedup();
         let mut exchange = core.control.exchange();
-        for line in claims::forgotten(me, &owned, exchange.owners.lines()) {
-            if exchange.owners.merge(&line) {
-                core.control.hurry.notify_one();
+        for ownership in claims::stale_ownerships(me, &owned, exchange.owners.entries()) {
+            if exchange.owners.merge(&ownership) {
+                core.control.urgent.notify_one();
             }
         }
         // What is left at the node's end is handed over by its shutdown, all at once.
@@ -172,8 +172,8 @@
             return;
         }
         let members = exchange.table.members().iter();
-        let vms: Vec<claims::Vm> = members.map(claims::Vm::of).collect();
-        let owners = exchange.owners.lines().to_vec();
+        let vms: Vec<claims::Vm> = members.map(claims::Vm::from_member).collect();
+        let owners = exchange.owners.entries().to_vec();
         drop(exchange);
         let config = core.view().config.clone();
         let actions = self.claims.decide(&Facts {
@@ -183,7 +183,7 @@
             shards: &self.shards,
             owned: &owned,
             owners: &owners,
-            platform: self.keeping.health(),
+            platform: self.renewer.health(),
             lease: core.settings.platform.lease,
             lost: &config.lost,
         });
@@ -195,14 +195,14 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Claim(shard) => {
-                let Some(lease) = self.keeping.lease() else {
+                let Some(lease) = self.renewer.lease() else {
                     return;
                 };
                 self.busy.push(shard.clone());
-                let (core, ended) = (self.core.clone(), self.ended.clone());
+                let (core, completions) = (self.core.clone(), self.completions.clone());
                 self.core.tasks.spawn(async move {
                     let served = claim(&core, &shard, lease).await;
-                    let _task_over = ended.send(Ended::Claimed(shard, served));
+                    let _task_over = completions.send(Completion::Claimed(shard, served));
                 });
             }
             Action::Release { shard, .. } if self.busy.contains(&shard) => {}
@@ -212,35 +212,35 @@
                     Event::ShardReleased
                 );
                 self.busy.push(shard.clone());
-                let (core, ended) = (self.core.clone(), self.ended.clone());
+                let (core, completions) = (self.core.clone(), self.completions.clone());
                 self.core.tasks.spawn(async move {
                     core.registry.release(&shard).await;
-                    let _task_over = ended.send(Ended::Released(shard, to));
+                    let _task_over = completions.send(Completion::Released(shard, to));
                 });
             }
         }
     }
 
-    fn ended(&mut self, end: Ended) {
-        match end {
-            Ended::Claimed(shard, served) => {
+    fn on_completion(&mut self, completion: Completion) {
+        match completion {
+            Completion::Claimed(shard, served) => {
                 self.busy.retain(|s| *s != shard);
                 if served {
-                    self.claims.succeeded(&shard);
+                    self.claims.note_success(&shard);
                 } else {
-                    self.claims.failed(&shard, self.core.clock.now());
-                    self.strays.push(shard);
+                    self.claims.note_failure(&shard, self.core.clock.now());
+                    self.stale_records.push(shard);
                 }
             }
-            Ended::Released(shard, to) => {
+            Completion::Released(shard, to) => {
                 self.busy.retain(|s| *s != shard);
-                self.strays.push(shard);
+                self.stale_records.push(shard);
                 // The line that says so goes to the next owner at once.
                 self.decide();
                 let core = self.core.clone();
-                self.core
-                    .tasks
-                    .spawn(async move { members::beat(&core, &to, TELL).await });
+                self.core.tasks.spawn(async move {
+                    members::send_heartbeat(&core, &to, HANDOVER_NOTICE_TIMEOUT).await
+                });
             }
         }
     }
@@ -248,18 +248,22 @@
     /// Removes records that name this VM for shards that it doesn't serve: a removal or a claim
     /// whose answer was lost. The VM goes on renewing its lease, so such a record would keep its
     /// shard from every VM for as long as this one lives.
-    async fn clear(&mut self) {
+    async fn remove_stale_records(&mut self) {
         let now = self.core.clock.now();
-        if now.since(self.cleared) < CLEAR || self.keeping.health() == Health::Down {
+        if now.since(self.last_cleanup) < CLEANUP_INTERVAL || self.renewer.health() == Health::Down
+        {
             return;
         }
-        self.cleared = now;
-        self.strays.sort();
-        self.strays.dedup();
-        for shard in std::mem::take(&mut self.strays) {
+        self.last_cleanup = now;
+        self.stale_records.sort();
+        self.stale_records.dedup();
+        for shard in std::mem::take(&mut self.stale_records) {
             let busy = self.busy.contains(&shard);
-            if !busy && !self.core.registry.holds(&shard) && !cleared(&self.core, &shard).await {
-                self.strays.push(shard);
+            if !busy
+                && !self.core.registry.holds(&shard)
+                && !remove_record(&self.core, &shard).await
+            {
+                self.stale_records.push(shard);
             }
         }
     }
@@ -269,7 +273,7 @@
     let copies = copies::holders(core, shard);
     let setup = Setup {
         platform: core.platform.clone(),
-        peers: Arc::new(copies::Others::new(core)),
+        peers: Arc::new(copies::PeerClient::new(core)),
         vm: core.settings.vm.name.clone(),
         shard: shard.clone(),
         seed: rand::random(),
@@ -278,15 +282,15 @@
     };
     match core.registry.claim(core, setup, lease).await {
         Ok(epoch) => {
-            let line = Owner {
+            let ownership = Owner {
                 shard: shard.clone(),
                 vm: core.settings.vm.name.clone(),
                 epoch,
                 free: false,
             };
-            core.control.exchange().owners.merge(&line);
+            core.control.exchange().owners.merge(&ownership);
             members::publish(core);
-            core.control.hurry.notify_one();
+            core.control.urgent.notify_one();
             true
         }
         Err(fault) => {
@@ -306,7 +310,7 @@
 }
 
 /// Removes a shard's record where it names this VM; `true` where it surely doesn't any more.
-async fn cleared(core: &Core, shard: &id::Shard) -> bool {
+async fn remove_record(core: &Core, shard: &id::Shard) -> bool {
     let key = key::owner(shard);
     let Ok(read) = core.platform.read(&key).await else {
         return false;
--- a/crates/node/src/controllers/run/config.rs
+++ b/crates/node/src/controllers/run/config.rs
@@ -20,7 +20,7 @@
 use crate::controllers::config::InForce;
 use crate::controllers::config::KEY;
 use crate::controllers::config::Offer;
-use crate::controllers::config::POLL;
+use crate::controllers::config::POLL_INTERVAL;
 use crate::controllers::config::Rollout;
 use crate::controllers::config::Source;
 use crate::controllers::config::WATCHERS;
@@ -29,8 +29,8 @@
 use crate::controllers::config::change::Outcome;
 use crate::controllers::config::edit::Edit;
 use crate::controllers::config::parse;
-use crate::controllers::config::rollout as sort;
-use crate::controllers::members::beat::Life;
+use crate::controllers::config::rollout as classify;
+use crate::controllers::members::heartbeat::Liveness;
 use crate::controllers::rendezvous;
 use crate::controllers::rendezvous::Candidate;
 use crate::controllers::run::members;
@@ -38,23 +38,23 @@
 use crate::peer;
 
 /// How long a VM may take to send the configuration.
-const ANSWER: Millis = Millis::new(1_000);
+const PULL_TIMEOUT: Millis = Millis::new(1_000);
 /// The pause between two tries of a VM that starts and finds no configuration.
-const AGAIN: Millis = Millis::new(500);
+const BOOT_RETRY_DELAY: Millis = Millis::new(500);
 /// How often a VM looks whether it is one of those that watch.
-const DUTY: Millis = Millis::new(2_000);
+const WATCHER_CHECK_INTERVAL: Millis = Millis::new(2_000);
 /// How long a change in doubt is looked into before the operator is told that it isn't known.
-const DEADLINE: Millis = Millis::new(3_000);
+const CHANGE_TIMEOUT: Millis = Millis::new(3_000);
 /// VMs that an accepted change is sent to before the operator hears of it, in each centre. With
 /// three, the change outlives the accepting VM and two others in an outage that begins right
 /// after, and 24 of the letter's 380 VMs pass it on.
-const PUSH: usize = 3;
+const PUSHES_PER_CENTRE: usize = 3;
 /// How long the operator waits for the VMs to have a change in force; the users' limit is 4 s.
-const IN_FORCE: Millis = Millis::new(3_000);
+const ROLLOUT_TIMEOUT: Millis = Millis::new(3_000);
 /// The pause between two rounds of asking which VMs have a change in force.
-const SURVEY: Millis = Millis::new(200);
+const SURVEY_INTERVAL: Millis = Millis::new(200);
 /// VMs that are asked at once.
-const ASKED: usize = 32;
+const SURVEY_CONCURRENCY: usize = 32;
 
 /// The platform, as a log line names where a revision came from.
 const PLATFORM: &str = "platform";
@@ -65,7 +65,7 @@
 
 /// The configuration, as the platform holds it; absent where the VM starts itself.
 #[derive(Serialize, Deserialize)]
-struct Holding {
+struct Document {
     config: Option<Bytes>,
 }
 
@@ -74,7 +74,7 @@
     loop {
         let (platform, peers) = tokio::join!(read(core), ask_peers(core));
         if let Boot::Serve(config) = decide(&platform, &peers) {
-            take(core, &config, "start");
+            apply(core, &config, "start");
             return;
         }
         log::warn!(
@@ -82,7 +82,7 @@
             Event::NodeStarted
         );
         tokio::select! {
-            () = sleep(AGAIN.as_duration()) => {}
+            () = sleep(BOOT_RETRY_DELAY.as_duration()) => {}
             () = core.stopped.cancelled() => return,
         }
     }
@@ -92,15 +92,18 @@
 pub async fn follow(core: Arc<Core>) {
     let follow = async {
         // Spread over the whole time, so that VMs that started together don't read together.
-        let mut wait = Millis::new(rand::random::<u64>() % POLL.as_u64());
+        let mut wait = Millis::new(rand::random::<u64>() % POLL_INTERVAL.as_u64());
         loop {
-            if on_duty(&core) {
+            if is_watcher(&core) {
                 watch(&core).await;
             }
-            sleep(DUTY.as_duration()).await;
-            wait = Millis::new(wait.as_u64().saturating_sub(DUTY.as_u64()));
+            sleep(WATCHER_CHECK_INTERVAL.as_duration()).await;
+            wait = Millis::new(
+                wait.as_u64()
+                    .saturating_sub(WATCHER_CHECK_INTERVAL.as_u64()),
+            );
             if wait == Millis::ZERO {
-                wait = POLL;
+                wait = POLL_INTERVAL;
                 offer(&core, read(&core).await, PLATFORM);
             }
         }
@@ -114,29 +117,29 @@
 /// Answers with the configuration in force.
 pub fn serve(core: &Core, body: &[u8]) -> Option<Bytes> {
     let Pull {} = call::decode(body)?;
-    let config = core.control.held().config().cloned();
+    let config = core.control.current_config().config().cloned();
     let config = config.and_then(|config| serde_json::to_vec(&*config).ok());
-    let holding = Holding {
+    let document = Document {
         config: config.map(Bytes::from),
     };
-    frame::encode(&holding).ok()
+    frame::encode(&document).ok()
 }
 
 /// Takes the configuration of another VM where it is higher.
 pub async fn pull(core: &Arc<Core>, from: SocketAddr) {
-    offer(core, ask(core, from).await, &from.to_string());
+    offer(core, pull_from(core, from).await, &from.to_string());
 }
 
 /// Makes an operator's change. Once it is accepted it is sent to VMs of each centre, and the answer
 /// tells on which VMs it is in force.
 pub async fn make(core: &Arc<Core>, edit: Edit, expected: Option<u64>) -> (Outcome, Rollout) {
-    let deadline = core.clock.now().plus(DEADLINE);
+    let deadline = core.clock.now().plus(CHANGE_TIMEOUT);
     let change = change::Change::new(edit, rand::random(), expected, deadline);
     let outcome = change::run(core.platform.as_ref(), &core.clock, change).await;
     let mut reached = Rollout::default();
     if let Outcome::Accepted(config) = &outcome {
-        take(core, &Arc::new((**config).clone()), "change");
-        members::beat_all(core, pushed(core), members::PULLED).await;
+        apply(core, &Arc::new((**config).clone()), "change");
+        members::send_heartbeats(core, push_targets(core), members::PULL_TIMEOUT).await;
         reached = survey(core, config.revision).await;
     }
     (outcome, reached)
@@ -147,45 +150,46 @@
 pub fn rollout(core: &Core, revision: u64) -> Rollout {
     let exchange = core.control.exchange();
     let members = exchange.table.members().iter().map(|m| InForce {
-        vm: m.line.vm.clone(),
-        revision: m.line.revision,
-        up: m.line.life != Life::Down,
+        vm: m.status.vm.clone(),
+        revision: m.status.revision,
+        up: m.status.liveness != Liveness::Down,
     });
-    sort(revision, &members.collect::<Vec<_>>())
+    classify(revision, &members.collect::<Vec<_>>())
 }
 
 /// Asks the VMs that aren't known to have a revision, until all have or the time is over.
 pub async fn survey(core: &Arc<Core>, revision: u64) -> Rollout {
-    let end = core.clock.now().plus(IN_FORCE);
+    let end = core.clock.now().plus(ROLLOUT_TIMEOUT);
     loop {
         let known = rollout(core, revision);
         if known.behind.is_empty() || core.clock.now() >= end {
             return known;
         }
-        for some in known.behind.chunks(ASKED) {
-            members::beat_all(core, some.to_vec(), members::PULLED).await;
+        for batch in known.behind.chunks(SURVEY_CONCURRENCY) {
+            members::send_heartbeats(core, batch.to_vec(), members::PULL_TIMEOUT).await;
         }
         if !rollout(core, revision).behind.is_empty() {
-            sleep(SURVEY.as_duration()).await;
+            sleep(SURVEY_INTERVAL.as_duration()).await;
         }
     }
 }
 
-fn pushed(core: &Core) -> Vec<id::Vm> {
+fn push_targets(core: &Core) -> Vec<id::Vm> {
     let exchange = core.control.exchange();
     let own = &exchange.table.own().vm;
     let live = |centre: &id::Centre| {
-        let members = exchange.table.members().iter().map(|m| &m.line);
-        let live = members.filter(|l| l.centre == *centre && l.life == Life::Up && l.vm != *own);
-        let names: Vec<id::Vm> = live.take(PUSH).map(|l| l.vm.clone()).collect();
+        let members = exchange.table.members().iter().map(|m| &m.status);
+        let live =
+            members.filter(|l| l.centre == *centre && l.liveness == Liveness::Up && l.vm != *own);
+        let names: Vec<id::Vm> = live.take(PUSHES_PER_CENTRE).map(|l| l.vm.clone()).collect();
         names
     };
     let centres = core.settings.centres.iter().map(|c| &c.name);
     centres.flat_map(live).collect()
 }
 
-fn take(core: &Core, config: &Arc<Config>, from: &str) {
-    let offer = core.control.held().offer(config);
+fn apply(core: &Core, config: &Arc<Config>, from: &str) {
+    let offer = core.control.current_config().offer(config);
     match offer {
         Offer::Taken => {}
         Offer::Known | Offer::Older => return,
@@ -200,25 +204,25 @@
     }
     // Another may have been taken meanwhile: what is published is what is held.
     core.view.send_if_modified(|view| {
-        let held = core.control.held().config().cloned();
+        let held = core.control.current_config().config().cloned();
         let Some(held) = held.filter(|h| h.revision >= view.config.revision) else {
             return false;
         };
         Arc::make_mut(view).config = held;
         true
     });
-    let revision = core.control.held().revision();
+    let revision = core.control.current_config().revision();
     core.control
         .exchange()
         .table
         .set_own(|own| own.revision = revision);
-    core.control.hurry.notify_one();
+    core.control.urgent.notify_one();
     log::info!("{} revision={revision} from={from}", Event::RevisionApplied);
 }
 
 fn offer(core: &Core, source: Source, from: &str) {
     if let Source::Holds(config) = source {
-        take(core, &config, from);
+        apply(core, &config, from);
     }
 }
 
@@ -249,19 +253,19 @@
             .table
             .members()
             .iter()
-            .filter(|m| m.line.vm != *own);
-        others.map(|m| m.line.address).collect()
+            .filter(|m| m.status.vm != *own);
+        others.map(|m| m.status.address).collect()
     };
     for address in addresses {
         let core = core.clone();
-        asks.spawn(async move { ask(&core, address).await });
+        asks.spawn(async move { pull_from(&core, address).await });
     }
     asks.join_all().await
 }
 
-async fn ask(core: &Core, address: SocketAddr) -> Source {
-    let answer = call::send(core, address, peer::CONFIG, &Pull {}, ANSWER).await;
-    let Ok(Holding {
+async fn pull_from(core: &Core, address: SocketAddr) -> Source {
+    let answer = call::send(core, address, peer::CONFIG, &Pull {}, PULL_TIMEOUT).await;
+    let Ok(Document {
         config: Some(bytes),
     }) = answer
     else {
@@ -272,16 +276,17 @@
 
 /// Tells whether this VM is one of the [`WATCHERS`] of its data centre.
 #[must_use]
-pub fn on_duty(core: &Core) -> bool {
+pub fn is_watcher(core: &Core) -> bool {
     let exchange = core.control.exchange();
     let own = exchange.table.own();
-    let members = exchange.table.members().iter().map(|m| &m.line);
-    let near = members.filter(|l| l.centre == own.centre && l.life != Life::Down && !l.stopping);
-    let candidates = near.map(|l| Candidate {
+    let members = exchange.table.members().iter().map(|m| &m.status);
+    let eligible =
+        members.filter(|l| l.centre == own.centre && l.liveness != Liveness::Down && !l.stopping);
+    let candidates = eligible.map(|l| Candidate {
         vm: &l.vm,
         size: l.size,
     });
-    rendezvous::first(KEY, candidates, WATCHERS).contains(&&own.vm)
+    rendezvous::choose_several(KEY, candidates, WATCHERS).contains(&&own.vm)
 }
 
 /// Watches the key until the watch breaks off or is no longer this VM's duty.
@@ -303,7 +308,7 @@
                 Some(_) => {}
                 None => return,
             },
-            () = sleep(DUTY.as_duration()) => if !on_duty(core) {
+            () = sleep(WATCHER_CHECK_INTERVAL.as_duration()) => if !is_watcher(core) {
                 return;
             },
         }
--- a/crates/node/src/controllers/run/keeper.rs
+++ b/crates/node/src/controllers/run/poller.rs
@@ -18,11 +18,11 @@
 
 use crate::controllers::call;
 use crate::controllers::claims;
-use crate::controllers::keeper::Poll;
-use crate::controllers::keeper::Question;
-use crate::controllers::keeper::Report;
 use crate::controllers::members::Listed;
-use crate::controllers::members::beat::Listing;
+use crate::controllers::members::heartbeat::Listing;
+use crate::controllers::poller::Poll;
+use crate::controllers::poller::Question;
+use crate::controllers::poller::Report;
 use crate::controllers::run::config;
 use crate::controllers::run::members;
 use crate::core::Core;
@@ -33,14 +33,14 @@
 /// How often it is looked what is due: a quarter of the time between two questions. Each look
 /// chooses the keeper of every endpoint anew, which at 150 endpoints and 95 VMs of a centre is
 /// 14,000 hashes.
-const TURN: Millis = Millis::new(250);
+const SCHEDULE_INTERVAL: Millis = Millis::new(250);
 /// How often the platform's list is read by the two VMs of a centre whose duty it is: 16 reads a
 /// second in eight centres.
-const LIST: Millis = Millis::new(1_000);
+const LIST_INTERVAL: Millis = Millis::new(1_000);
 /// How long an endpoint may take to answer; half the time between two questions.
-const ANSWER: Millis = Millis::new(500);
+const ANSWER_TIMEOUT: Millis = Millis::new(500);
 /// The longest report in bytes: 4 KB would do for a load, a cache may hold some thousand programs.
-const MAX_REPORT: usize = 1024 * 1024;
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 /// What an endpoint holds, as it reports.
 #[derive(Deserialize)]
@@ -55,7 +55,7 @@
 
 /// Asks a shard's owner about programs that an endpoint holds.
 #[derive(Serialize, Deserialize)]
-struct Held {
+struct GoneQuery {
     shard: id::Shard,
     endpoint: id::Endpoint,
     /// Which of these are gone?
@@ -66,31 +66,31 @@
 
 /// What a shard's owner says.
 #[derive(Serialize, Deserialize)]
-struct Said {
+struct Verdict {
     epoch: u64,
     gone: Vec<id::Program>,
 }
 
 /// Asks endpoints until the node has stopped.
-pub async fn keep(core: Arc<Core>) {
+pub async fn run(core: Arc<Core>) {
     let mut next_list = Millis::ZERO;
     loop {
         let now = core.clock.now();
-        ask_due(&core, now);
+        send_due_polls(&core, now);
         if now >= next_list {
-            next_list = now.plus(LIST);
-            if config::on_duty(&core) {
-                core.tasks.spawn(list(core.clone()));
+            next_list = now.plus(LIST_INTERVAL);
+            if config::is_watcher(&core) {
+                core.tasks.spawn(read_list(core.clone()));
             }
         }
         tokio::select! {
-            () = sleep(TURN.as_duration()) => {}
+            () = sleep(SCHEDULE_INTERVAL.as_duration()) => {}
             () = core.stopped.cancelled() => return,
         }
     }
 }
 
-fn ask_due(core: &Arc<Core>, now: Millis) {
+fn send_due_polls(core: &Arc<Core>, now: Millis) {
     let config = core.view().config.clone();
     let vms: Vec<claims::Vm> = {
         let exchange = core.control.exchange();
@@ -98,51 +98,51 @@
             .table
             .members()
             .iter()
-            .map(claims::Vm::of)
+            .map(claims::Vm::from_member)
             .collect()
     };
     let me = &core.settings.vm.name;
-    let polls = core.control.keeper().due(&config.endpoints, &vms, me, now);
+    let polls = core.control.poller().due(&config.endpoints, &vms, me, now);
     for poll in polls {
         let core = core.clone();
         core.tasks.clone().spawn(async move {
             match poll.question {
-                Question::Load => load(&core, &poll).await,
-                Question::Cache => cache(&core, &poll).await,
+                Question::Load => poll_load(&core, &poll).await,
+                Question::Cache => poll_cache(&core, &poll).await,
             }
         });
     }
 }
 
-async fn load(core: &Core, poll: &Poll) {
-    let report: Option<Report> = ask(core, poll, "/load").await;
+async fn poll_load(core: &Core, poll: &Poll) {
+    let report: Option<Report> = query(core, poll, "/load").await;
     let now = core.clock.now();
-    let answered = core
+    let answer = core
         .control
-        .keeper()
-        .answered(&poll.endpoint, report.as_ref(), now);
-    let Some((line, tell)) = answered else {
+        .poller()
+        .on_answer(&poll.endpoint, report.as_ref(), now);
+    let Some((load, audience)) = answer else {
         return;
     };
-    let known = core.view().load(&poll.endpoint).is_some_and(|l| l.leaving);
-    if line.leaving && !known {
+    let already_known = core.view().load(&poll.endpoint).is_some_and(|l| l.leaving);
+    if load.leaving && !already_known {
         log::info!(
             "{} endpoint={} sign=report",
             Event::EndpointLeaving,
             poll.endpoint
         );
     }
-    core.control.exchange().loads.keep(&line, tell, now);
+    core.control.exchange().loads.record(&load, audience, now);
     members::publish(core);
 }
 
 /// Asks a runner what it holds, and the owners of the programs whether these are gone.
-async fn cache(core: &Arc<Core>, poll: &Poll) {
-    let Some(report): Option<Cache> = ask(core, poll, "/cache").await else {
+async fn poll_cache(core: &Arc<Core>, poll: &Poll) {
+    let Some(report): Option<Cache> = query(core, poll, "/cache").await else {
         return;
     };
     let held: Vec<id::Program> = report.programs.into_iter().map(|h| h.program).collect();
-    core.control.sweep().held(&poll.endpoint, &held);
+    core.control.sweep().retain_held(&poll.endpoint, &held);
     let mut shards: Vec<(id::Shard, Vec<id::Program>)> = Vec::new();
     for program in held {
         let shard = route::shard(&core.settings, &program);
@@ -152,85 +152,85 @@
         }
     }
     for (shard, programs) in shards {
-        sweep(core, &poll.endpoint, &shard, programs).await;
+        sweep_shard(core, &poll.endpoint, &shard, programs).await;
     }
 }
 
 /// Asks a shard's owner which programs are gone, and has it release those that have been for long.
-async fn sweep(
+async fn sweep_shard(
     core: &Arc<Core>,
     endpoint: &id::Endpoint,
     shard: &id::Shard,
     programs: Vec<id::Program>,
 ) {
-    let asked = Held {
+    let query = GoneQuery {
         shard: shard.clone(),
         endpoint: endpoint.clone(),
         programs,
         release: Vec::new(),
     };
-    let Some(Said { epoch, gone }) = say(core, &asked).await else {
+    let Some(Verdict { epoch, gone }) = ask_owner(core, &query).await else {
         return;
     };
     let now = core.clock.now();
-    let held = &asked.programs;
+    let held = &query.programs;
     let release = core
         .control
         .sweep()
-        .answered(endpoint, epoch, held, &gone, now);
+        .on_answer(endpoint, epoch, held, &gone, now);
     if !release.is_empty() {
         let programs = Vec::new();
-        let ordered = Held {
+        let release_request = GoneQuery {
             programs,
             release,
-            ..asked
+            ..query
         };
-        let _asked_again_next_time = say(core, &ordered).await;
+        let _asked_again_next_time = ask_owner(core, &release_request).await;
     }
 }
 
-async fn say(core: &Arc<Core>, held: &Held) -> Option<Said> {
+async fn ask_owner(core: &Arc<Core>, held: &GoneQuery) -> Option<Verdict> {
     let view = core.view();
     let owner = view.owner(&held.shard)?;
     if owner.vm == core.settings.vm.name {
-        return owner_says(core, held).await;
+        return answer_as_owner(core, held).await;
     }
     let address = view.peer(&owner.vm).filter(|p| p.up)?.address;
-    let answer = call::send(core, address, peer::HELD, held, ANSWER).await;
+    let answer = call::send(core, address, peer::HELD, held, ANSWER_TIMEOUT).await;
     answer.ok()?
 }
 
 /// Answers for a shard that this VM owns which programs are gone, and releases what is asked.
 pub async fn serve(core: &Arc<Core>, body: &[u8]) -> Option<Bytes> {
-    let held: Held = call::decode(body)?;
-    frame::encode(&owner_says(core, &held).await).ok()
+    let held: GoneQuery = call::decode(body)?;
+    frame::encode(&answer_as_owner(core, &held).await).ok()
 }
 
-async fn owner_says(core: &Core, held: &Held) -> Option<Said> {
+async fn answer_as_owner(core: &Core, held: &GoneQuery) -> Option<Verdict> {
     if !held.release.is_empty() {
         core.registry
             .sweep(&held.shard, &held.endpoint, &held.release);
     }
     let (epoch, gone) = core.registry.gone(&held.shard, &held.programs).await?;
-    Some(Said { epoch, gone })
+    Some(Verdict { epoch, gone })
 }
 
-async fn ask<T: DeserializeOwned>(core: &Core, poll: &Poll, path: &str) -> Option<T> {
-    let asked = async {
+async fn query<T: DeserializeOwned>(core: &Core, poll: &Poll, path: &str) -> Option<T> {
+    let request = async {
         let response = core.client.get(&poll.address, path).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
-        let whole = body::read(response.into_body(), MAX_REPORT, ANSWER)
+        let whole = body::read(response.into_body(), MAX_REPORT_BYTES, ANSWER_TIMEOUT)
             .await
             .ok()?;
         serde_json::from_slice(&whole).ok()
     };
-    timeout(ANSWER.as_duration(), asked).await.ok()?
+    timeout(ANSWER_TIMEOUT.as_duration(), request).await.ok()?
 }
 
 /// Reads the platform's list of VMs and endpoints.
-async fn list(core: Arc<Core>) {
+async fn read_list(core: Arc<Core>) {
     let Ok(mut machines) = core.platform.machines().await else {
         return;
     };
@@ -240,10 +240,10 @@
     let mut exchange = core.control.exchange();
     exchange
         .table
-        .listed(|vm| listed(&machines, vm.as_str()), now);
+        .apply_list(|vm| list_status(&machines, vm.as_str()), now);
     for endpoint in &endpoints.endpoints {
         // One that isn't listed may be too new for the list, or listed nowhere: that says nothing.
-        let leaving = match listed(&machines, endpoint.name.as_str()) {
+        let leaving = match list_status(&machines, endpoint.name.as_str()) {
             Listed::Absent => continue,
             listed => listed == Listed::Leaving,
         };
@@ -253,20 +253,20 @@
                 Event::EndpointLeaving,
                 endpoint.name
             );
-            core.control.hurry.notify_one();
+            core.control.urgent.notify_one();
         }
-        let finding = Listing {
+        let listing = Listing {
             endpoint: id::Endpoint::clone(&endpoint.name),
             leaving,
             age: Millis::ZERO,
         };
-        exchange.listings.merge(&finding, now);
+        exchange.listings.merge(&listing, now);
     }
     drop(exchange);
     members::publish(&core);
 }
 
-fn listed(machines: &[Machine], name: &str) -> Listed {
+fn list_status(machines: &[Machine], name: &str) -> Listed {
     let found = machines.binary_search_by(|m| m.name.as_str().cmp(name));
     match found.map(|at| machines[at].standing) {
         Ok(Standing::Live) => Listed::Live,
--- a/crates/node/tests/claims_fuzz.rs
+++ b/crates/node/tests/claims_fuzz.rs
@@ -31,9 +31,14 @@
 /// of what went before lapse, VMs that think each other down meet again, all are steady, and each
 /// VM hands over what it has.
 fn calm() -> Millis {
-    let meet = Millis::new(20 * members::ROUND.as_u64());
-    let handovers = claims::HANDOVER_PACE.as_u64() * u64::from(SHARDS);
-    let waits = [fleet::LEASE, fleet::LEASE, claims::STEADY, claims::LISTEN];
+    let meet = Millis::new(20 * members::ROUND_INTERVAL.as_u64());
+    let handovers = claims::HANDOVER_INTERVAL.as_u64() * u64::from(SHARDS);
+    let waits = [
+        fleet::LEASE,
+        fleet::LEASE,
+        claims::MIN_UPTIME,
+        claims::DISCOVERY_TIME,
+    ];
     let waits = waits.into_iter().fold(meet, Millis::plus);
     waits.plus(Millis::new(handovers))
 }
@@ -47,7 +52,7 @@
     Start(usize),
     Stop(usize),
     Cut(usize, bool),
-    Alone(usize, bool),
+    CutPlatform(usize, bool),
     Outage(bool),
     Lose(Play),
     Deliver,
@@ -79,7 +84,7 @@
             3 => vm.clone().prop_map(Move::Start),
             1 => vm.clone().prop_map(Move::Stop),
             2 => (vm.clone(), any::<bool>()).prop_map(|(vm, on)| Move::Cut(vm, on)),
-            2 => (vm, any::<bool>()).prop_map(|(vm, on)| Move::Alone(vm, on)),
+            2 => (vm, any::<bool>()).prop_map(|(vm, on)| Move::CutPlatform(vm, on)),
             2 => any::<bool>().prop_map(Move::Outage),
             1 => play.prop_map(Move::Lose),
             1 => Just(Move::Deliver),
@@ -97,7 +102,7 @@
         Move::Run(ticks) => (0..ticks).for_each(|_| fleet.tick()),
         Move::Pause(at) if fleet.vms[at].phase == Phase::Running => {
             fleet.vms[at].phase = Phase::Paused;
-            fleet.vms[at].hindered = true;
+            fleet.vms[at].disturbed = true;
         }
         Move::Wake(at) if fleet.vms[at].phase == Phase::Paused => {
             fleet.vms[at].phase = Phase::Running;
@@ -114,16 +119,16 @@
             .set_own(|own| own.stopping = true),
         Move::Cut(at, cut) => {
             fleet.vms[at].cut = cut;
-            fleet.vms.iter_mut().for_each(|vm| vm.hindered = true);
+            fleet.vms.iter_mut().for_each(|vm| vm.disturbed = true);
         }
-        Move::Alone(at, alone) => {
-            fleet.vms[at].alone = alone;
-            fleet.vms[at].hindered = true;
+        Move::CutPlatform(at, cut) => {
+            fleet.vms[at].platform_cut = cut;
+            fleet.vms[at].disturbed = true;
         }
         Move::Outage(down) => fleet.memory.set_down(down),
         Move::Lose(play) => {
             fleet.memory.play(play);
-            fleet.vms.iter_mut().for_each(|vm| vm.hindered = true);
+            fleet.vms.iter_mut().for_each(|vm| vm.disturbed = true);
         }
         Move::Deliver => fleet.memory.deliver(),
     }
@@ -134,7 +139,7 @@
     fleet.memory.deliver();
     for at in 0..fleet.vms.len() {
         fleet.vms[at].cut = false;
-        fleet.vms[at].alone = false;
+        fleet.vms[at].platform_cut = false;
         // A VM that was asked to stop is replaced by one of the same name.
         if fleet.vms[at].exchange.table.own().stopping {
             play(fleet, &Move::Kill(at));
@@ -148,7 +153,7 @@
 }
 
 fn check_settled(fleet: &Fleet) {
-    assert!(fleet.agreed(), "a VM is thought down although all is calm");
+    assert!(fleet.all_up(), "a VM is thought down although all is calm");
     for shard in &fleet.shards {
         let servers = fleet.servers(shard);
         assert!(!servers.is_empty(), "{shard} is served by no VM");
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -10,7 +10,7 @@
 
 use node::controllers::config;
 use node::controllers::config::Boot;
-use node::controllers::config::Held;
+use node::controllers::config::Current;
 use node::controllers::config::KEY;
 use node::controllers::config::Source;
 use node::controllers::config::change::Change;
@@ -47,7 +47,7 @@
     Outage(bool),
     Deliver,
     Wait,
-    Beat { from: usize, to: usize },
+    Heartbeat { from: usize, to: usize },
     Poll { node: usize },
     Pause { node: usize },
     Wake { node: usize },
@@ -80,7 +80,7 @@
             2 => any::<bool>().prop_map(Move::Outage),
             1 => Just(Move::Deliver),
             1 => Just(Move::Wait),
-            4 => (node.clone(), node.clone()).prop_map(|(from, to)| Move::Beat { from, to }),
+            4 => (node.clone(), node.clone()).prop_map(|(from, to)| Move::Heartbeat { from, to }),
             2 => node.clone().prop_map(|node| Move::Poll { node }),
             1 => node.clone().prop_map(|node| Move::Pause { node }),
             2 => node.clone().prop_map(|node| Move::Wake { node }),
@@ -102,7 +102,7 @@
 
 struct Node {
     phase: Phase,
-    held: Held,
+    held: Current,
     /// The highest revision that this run of the node had in force.
     reached: u64,
 }
@@ -231,7 +231,7 @@
         }
     }
 
-    fn beat(&mut self, from: usize, to: usize) {
+    fn heartbeat(&mut self, from: usize, to: usize) {
         let both = [from, to].map(|at| &self.nodes[at]);
         if from == to || both.iter().any(|n| n.phase != Phase::Running) {
             return;
@@ -257,7 +257,7 @@
 
     fn crash(&mut self, node: usize) {
         self.nodes[node].phase = Phase::Dead;
-        self.nodes[node].held = Held::default();
+        self.nodes[node].held = Current::default();
         // The operator hears nothing of changes under way there; their writes may still land.
         self.open.retain(|open| open.node != node);
     }
@@ -325,7 +325,7 @@
         }
         self.poll(0);
         for to in 1..NODES {
-            self.beat(0, to);
+            self.heartbeat(0, to);
         }
         self.check();
         for node in &self.nodes {
@@ -368,7 +368,7 @@
         for at in 0..NODES {
             fleet.nodes.push(Node {
                 phase: Phase::Dead,
-                held: Held::default(),
+                held: Current::default(),
                 reached: 0,
             });
             fleet.restart(at);
@@ -389,7 +389,7 @@
             Move::Wait => {
                 fleet.time.fetch_add(DEADLINE.as_u64(), Ordering::SeqCst);
             }
-            Move::Beat { from, to } => fleet.beat(from, to),
+            Move::Heartbeat { from, to } => fleet.heartbeat(from, to),
             Move::Poll { node } => fleet.poll(node),
             Move::Pause { node } if fleet.nodes[node].phase == Phase::Running => {
                 fleet.nodes[node].phase = Phase::Paused;
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -11,15 +11,15 @@
 use node::controllers::claims::Action;
 use node::controllers::claims::Claims;
 use node::controllers::claims::Facts;
-use node::controllers::claims::lease::Ask;
-use node::controllers::claims::lease::Keeping;
+use node::controllers::claims::lease::Renewer;
+use node::controllers::claims::lease::Request;
 use node::controllers::members;
-use node::controllers::members::beat::Beat;
-use node::controllers::members::beat::Life;
-use node::controllers::members::beat::Line;
-use node::controllers::members::beat::Owner;
 use node::controllers::members::exchange::Exchange;
 use node::controllers::members::exchange::Next;
+use node::controllers::members::heartbeat::Heartbeat;
+use node::controllers::members::heartbeat::Liveness;
+use node::controllers::members::heartbeat::Owner;
+use node::controllers::members::heartbeat::Status;
 use platform::edge;
 use platform::edge::Compare;
 use platform::edge::Fault;
@@ -67,15 +67,15 @@
     /// Cut off from all other VMs.
     pub cut: bool,
     /// Cut off from the platform.
-    pub alone: bool,
+    pub platform_cut: bool,
     /// Whether it was ever hindered since it started, so that it may lose shards.
-    pub hindered: bool,
+    pub disturbed: bool,
     pub exchange: Exchange,
     pub claims: Claims,
-    pub keeping: Keeping,
+    pub renewer: Renewer,
     pub owned: Vec<Owned>,
     /// Shards that it gave up, or failed to claim, whose record may still name it.
-    pub strays: Vec<id::Shard>,
+    pub stale_records: Vec<id::Shard>,
     pub released: Option<Millis>,
     pub claimed: Vec<Millis>,
     pub sent: Sent,
@@ -115,7 +115,7 @@
         };
         let now = fleet.now();
         for at in 0..centres * vms {
-            let vm = Self::made(at, &names[at % centres], now);
+            let vm = Self::new_vm(at, &names[at % centres], now);
             fleet.vms.push(vm);
         }
         for at in 0..fleet.vms.len() {
@@ -128,10 +128,10 @@
         Millis::new(self.time.load(Ordering::SeqCst))
     }
 
-    fn made(at: usize, centre: &id::Centre, now: Millis) -> Vm {
+    fn new_vm(at: usize, centre: &id::Centre, now: Millis) -> Vm {
         let name = id::Vm::parse(&format!("vm{at:03}")).unwrap();
         let port = u16::try_from(10_000 + at).unwrap();
-        let line = Line {
+        let line = Status {
             size: 1 + u32::try_from(at % 2).unwrap(),
             ..members::seed(&name, centre, ([10, 0, 0, 1], port).into())
         };
@@ -140,13 +140,13 @@
             centre: centre.clone(),
             phase: Phase::Running,
             cut: false,
-            alone: false,
-            hindered: false,
+            platform_cut: false,
+            disturbed: false,
             exchange: Exchange::new(line, now),
             claims: Claims::new(now),
-            keeping: Keeping::new(LEASE),
+            renewer: Renewer::new(LEASE),
             owned: Vec::new(),
-            strays: Vec::new(),
+            stale_records: Vec::new(),
             released: None,
             claimed: Vec::new(),
             sent: Sent::default(),
@@ -156,7 +156,7 @@
     /// Tells a VM of the first VM of each centre, as its settings would.
     fn seed(&mut self, at: usize) {
         let now = self.now();
-        let mut seeds: Vec<Line> = Vec::new();
+        let mut seeds: Vec<Status> = Vec::new();
         for vm in &self.vms {
             if seeds.iter().all(|l| l.centre != vm.centre) {
                 let own = vm.exchange.table.own();
@@ -172,7 +172,7 @@
     pub fn tick(&mut self) {
         let now = Millis::new(self.time.fetch_add(TICK.as_u64(), Ordering::SeqCst)).plus(TICK);
         let step = now.as_u64() / TICK.as_u64();
-        let round = members::ROUND.as_u64() / TICK.as_u64();
+        let round = members::ROUND_INTERVAL.as_u64() / TICK.as_u64();
         for at in 0..self.vms.len() {
             if self.vms[at].phase != Phase::Running {
                 continue;
@@ -182,50 +182,56 @@
             }
             self.renew(at, now);
             self.append(at);
-            self.clear(at);
+            self.remove_stale_records(at);
             self.decide(at, now);
         }
     }
 
     fn round(&mut self, at: usize, now: Millis) {
         let random = &mut self.random;
-        let targets = self.vms[at].exchange.table.round(now, random);
+        let targets = self.vms[at].exchange.table.begin_round(now, random);
         for to in targets {
-            self.beat(at, &to, now);
+            self.send_heartbeat(at, &to, now);
         }
-        self.vms[at].exchange.table.drain();
+        self.vms[at].exchange.table.take_changes();
     }
 
-    fn beat(&mut self, from: usize, to: &id::Vm, now: Millis) {
+    fn send_heartbeat(&mut self, from: usize, to: &id::Vm, now: Millis) {
         let Some(at) = self.vms.iter().position(|v| v.name == *to) else {
             return;
         };
-        let beat = self.vms[from].exchange.frame(to, now);
-        let Some(answer) = self.send(from, at, &beat, now) else {
-            self.vms[from].exchange.table.missed(to, now);
+        let heartbeat = self.vms[from].exchange.heartbeat(to, now);
+        let Some(answer) = self.send(from, at, &heartbeat, now) else {
+            self.vms[from].exchange.table.suspect(to, now);
             return;
         };
-        if self.vms[from].exchange.answered(&answer, now) == Next::Sync {
-            let all = self.vms[from].exchange.all(now);
+        if self.vms[from].exchange.on_answer(&answer, now) == Next::Sync {
+            let all = self.vms[from].exchange.full_sync(now);
             if let Some(answer) = self.send(from, at, &all, now) {
-                self.vms[from].exchange.answered(&answer, now);
+                self.vms[from].exchange.on_answer(&answer, now);
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, beat: &Beat, now: Millis) -> Option<Beat> {
-        let beat = self.carry(from, beat);
+    fn send(
+        &mut self,
+        from: usize,
+        to: usize,
+        heartbeat: &Heartbeat,
+        now: Millis,
+    ) -> Option<Heartbeat> {
+        let heartbeat = self.transmit(from, heartbeat);
         let cut = self.vms[from].cut || self.vms[to].cut;
         if cut || self.vms[to].phase != Phase::Running {
             return None;
         }
-        let answer = self.vms[to].exchange.answer(&beat, now);
-        Some(self.carry(to, &answer))
+        let answer = self.vms[to].exchange.answer(&heartbeat, now);
+        Some(self.transmit(to, &answer))
     }
 
     /// Counts a frame, and passes it through its codec.
-    fn carry(&mut self, from: usize, beat: &Beat) -> Beat {
-        let bytes = frame::encode(beat).unwrap();
+    fn transmit(&mut self, from: usize, heartbeat: &Heartbeat) -> Heartbeat {
+        let bytes = frame::encode(heartbeat).unwrap();
         let sent = &mut self.vms[from].sent;
         sent.frames += 1;
         sent.bytes += bytes.len() as u64;
@@ -234,37 +240,41 @@
             .unwrap()
     }
 
-    fn reach<T>(&self, at: usize, call: impl Future<Output = edge::Result<T>>) -> edge::Result<T> {
-        if self.vms[at].alone {
+    fn call_platform<T>(
+        &self,
+        at: usize,
+        call: impl Future<Output = edge::Result<T>>,
+    ) -> edge::Result<T> {
+        if self.vms[at].platform_cut {
             return Err(Fault::Down("cut off".to_owned()));
         }
         self.runtime.block_on(call)
     }
 
     fn renew(&mut self, at: usize, now: Millis) {
-        let before = self.vms[at].keeping.lease();
-        match self.vms[at].keeping.due(now) {
-            Some(Ask::Grant) => {
-                let answer = self.reach(at, self.memory.grant(LEASE));
-                self.vms[at].keeping.granted(&answer, now, now);
+        let before = self.vms[at].renewer.lease();
+        match self.vms[at].renewer.due(now) {
+            Some(Request::Grant) => {
+                let answer = self.call_platform(at, self.memory.grant(LEASE));
+                self.vms[at].renewer.on_grant(&answer, now, now);
             }
-            Some(Ask::Renew(lease)) => {
-                let answer = self.reach(at, self.memory.renew(lease));
-                self.vms[at].keeping.renewed(&answer, now, now);
+            Some(Request::Renew(lease)) => {
+                let answer = self.call_platform(at, self.memory.renew(lease));
+                self.vms[at].renewer.on_renewal(&answer, now, now);
             }
             None => {}
         }
-        let lease = self.vms[at].keeping.lease();
+        let lease = self.vms[at].renewer.lease();
         if lease != before && lease.is_some() {
-            self.rewrite(at);
+            self.reclaim(at);
         }
     }
 
     /// Writes the ownership records anew under a new lease; where another VM holds one, it is lost.
-    fn rewrite(&mut self, at: usize) {
+    fn reclaim(&mut self, at: usize) {
         for owned in self.vms[at].owned.clone() {
             let key = format!("owner/{}", owned.shard);
-            let Ok(present) = self.reach(at, self.memory.read(&key)) else {
+            let Ok(present) = self.call_platform(at, self.memory.read(&key)) else {
                 continue;
             };
             let mine = self.vms[at].name.as_str().as_bytes();
@@ -275,9 +285,10 @@
             let base = present.map_or(0, |e| e.revision);
             let txn = Txn {
                 compares: vec![compare(&key, base)],
-                writes: vec![put(&key, mine, self.vms[at].keeping.lease())],
+                writes: vec![put(&key, mine, self.vms[at].renewer.lease())],
             };
-            let _again_at_next_append = self.reach(at, self.memory.commit(&txn, Weight::Claim));
+            let _again_at_next_append =
+                self.call_platform(at, self.memory.commit(&txn, Weight::Claim));
         }
     }
 
@@ -285,7 +296,7 @@
     fn append(&mut self, at: usize) {
         for owned in self.vms[at].owned.clone() {
             let key = format!("epoch/{}", owned.shard);
-            let Ok(Some(entry)) = self.reach(at, self.memory.read(&key)) else {
+            let Ok(Some(entry)) = self.call_platform(at, self.memory.read(&key)) else {
                 continue;
             };
             if number(&entry.value) > owned.epoch {
@@ -296,11 +307,11 @@
 
     /// Removes records of shards that the VM doesn't serve. The VM goes on renewing its lease, so a
     /// record whose removal was lost would keep its shard from everyone for ever.
-    fn clear(&mut self, at: usize) {
-        for shard in std::mem::take(&mut self.vms[at].strays) {
+    fn remove_stale_records(&mut self, at: usize) {
+        for shard in std::mem::take(&mut self.vms[at].stale_records) {
             let key = format!("owner/{shard}");
             let served = self.vms[at].owned.iter().any(|o| o.shard == shard);
-            let read = self.reach(at, self.memory.read(&key));
+            let read = self.call_platform(at, self.memory.read(&key));
             let mine = self.vms[at].name.as_str().as_bytes();
             let gone = match read {
                 _ if served => true,
@@ -309,40 +320,44 @@
                         compares: vec![compare(&key, entry.revision)],
                         writes: vec![Write::Delete(key)],
                     };
-                    self.reach(at, self.memory.commit(&txn, Weight::Claim))
+                    self.call_platform(at, self.memory.commit(&txn, Weight::Claim))
                         .is_ok()
                 }
                 Ok(_) => true,
                 Err(_) => false,
             };
             if !gone {
-                self.vms[at].strays.push(shard);
+                self.vms[at].stale_records.push(shard);
             }
         }
     }
 
     fn lose(&mut self, at: usize, shard: &id::Shard) {
         let vm = &mut self.vms[at];
-        assert!(vm.hindered, "{} ran all the time and lost {shard}", vm.name);
+        assert!(
+            vm.disturbed,
+            "{} ran all the time and lost {shard}",
+            vm.name
+        );
         vm.owned.retain(|o| o.shard != *shard);
     }
 
     fn decide(&mut self, at: usize, now: Millis) {
         let vm = &mut self.vms[at];
         let owned: Vec<id::Shard> = vm.owned.iter().map(|o| o.shard.clone()).collect();
-        for line in claims::forgotten(&vm.name, &owned, vm.exchange.owners.lines()) {
-            vm.exchange.owners.merge(&line);
+        for ownership in claims::stale_ownerships(&vm.name, &owned, vm.exchange.owners.entries()) {
+            vm.exchange.owners.merge(&ownership);
         }
         let members = vm.exchange.table.members().iter();
-        let vms: Vec<claims::Vm> = members.map(claims::Vm::of).collect();
+        let vms: Vec<claims::Vm> = members.map(claims::Vm::from_member).collect();
         let facts = Facts {
             now,
             me: &vm.name,
             vms: &vms,
             shards: &self.shards,
             owned: &owned,
-            owners: vm.exchange.owners.lines(),
-            platform: vm.keeping.health(),
+            owners: vm.exchange.owners.entries(),
+            platform: vm.renewer.health(),
             lease: LEASE,
             lost: &[],
         };
@@ -355,48 +370,49 @@
     }
 
     fn claim(&mut self, at: usize, shard: &id::Shard, now: Millis) {
-        let epoch = self.open(at, shard);
+        let epoch = self.claim_shard(at, shard);
         let vm = &mut self.vms[at];
-        vm.claimed.retain(|at| now.since(*at) < claims::CLAIM_PACE);
+        vm.claimed
+            .retain(|at| now.since(*at) < claims::CLAIM_INTERVAL);
         vm.claimed.push(now);
         let most = claims::CLAIM_BURST + 1;
         assert!(vm.claimed.len() as u64 <= most, "claims without pace");
         let Ok(epoch) = epoch else {
-            vm.claims.failed(shard, now);
-            vm.strays.push(shard.clone());
+            vm.claims.note_failure(shard, now);
+            vm.stale_records.push(shard.clone());
             return;
         };
-        vm.claims.succeeded(shard);
+        vm.claims.note_success(shard);
         let shard = shard.clone();
-        let place = vm.owned.partition_point(|o| o.shard < shard);
-        vm.owned.insert(place, Owned { shard, epoch });
-        self.tell(at, place);
+        let index = vm.owned.partition_point(|o| o.shard < shard);
+        vm.owned.insert(index, Owned { shard, epoch });
+        self.announce(at, index);
     }
 
-    fn tell(&mut self, at: usize, place: usize) {
+    fn announce(&mut self, at: usize, index: usize) {
         let vm = &mut self.vms[at];
-        let owned = &vm.owned[place];
-        let line = Owner {
+        let owned = &vm.owned[index];
+        let ownership = Owner {
             shard: owned.shard.clone(),
             vm: vm.name.clone(),
             epoch: owned.epoch,
             free: false,
         };
-        vm.exchange.owners.merge(&line);
+        vm.exchange.owners.merge(&ownership);
     }
 
     /// Claims as the journal does: the ownership record under the lease, and the number raised, in
     /// one transaction. A record of this VM itself, of an earlier run or a lost answer, is no bar.
-    fn open(&mut self, at: usize, shard: &id::Shard) -> edge::Result<u64> {
+    fn claim_shard(&mut self, at: usize, shard: &id::Shard) -> edge::Result<u64> {
         let held = || Fault::Invalid("held".to_owned());
-        let lease = self.vms[at].keeping.lease().ok_or_else(held)?;
+        let lease = self.vms[at].renewer.lease().ok_or_else(held)?;
         let (record, counter) = (format!("owner/{shard}"), format!("epoch/{shard}"));
-        let present = self.reach(at, self.memory.read(&record))?;
+        let present = self.call_platform(at, self.memory.read(&record))?;
         let mine = self.vms[at].name.as_str().as_bytes();
         if present.as_ref().is_some_and(|e| e.value != mine) {
             return Err(held());
         }
-        let last = self.reach(at, self.memory.read(&counter))?;
+        let last = self.call_platform(at, self.memory.read(&counter))?;
         let epoch = last.as_ref().map_or(0, |e| number(&e.value)) + 1;
         let txn = Txn {
             compares: vec![
@@ -408,7 +424,7 @@
                 put(&counter, &epoch.to_le_bytes(), None),
             ],
         };
-        match self.reach(at, self.memory.commit(&txn, Weight::Claim))? {
+        match self.call_platform(at, self.memory.commit(&txn, Weight::Claim))? {
             edge::Outcome::Applied(_) => Ok(epoch),
             edge::Outcome::Refused(_) => Err(held()),
         }
@@ -418,38 +434,38 @@
         let vm = &mut self.vms[at];
         let stopping = vm.exchange.table.own().stopping;
         let least = if stopping {
-            claims::STOP_PACE
+            claims::STOP_HANDOVER_INTERVAL
         } else {
-            claims::HANDOVER_PACE
+            claims::HANDOVER_INTERVAL
         };
         if let Some(last) = vm.released.replace(now) {
             assert!(now.since(last) >= least, "hand-overs without pace");
         }
-        let place = vm.owned.iter().position(|o| o.shard == *shard);
-        let owned = vm.owned.remove(place.expect("released what it has"));
-        let line = Owner {
+        let index = vm.owned.iter().position(|o| o.shard == *shard);
+        let owned = vm.owned.remove(index.expect("released what it has"));
+        let ownership = Owner {
             shard: owned.shard,
             vm: vm.name.clone(),
             epoch: owned.epoch,
             free: true,
         };
-        vm.exchange.owners.merge(&line);
-        vm.strays.push(shard.clone());
-        self.clear(at);
-        self.beat(at, to, now);
+        vm.exchange.owners.merge(&ownership);
+        vm.stale_records.push(shard.clone());
+        self.remove_stale_records(at);
+        self.send_heartbeat(at, to, now);
     }
 
     pub fn start(&mut self, at: usize) {
         if self.vms[at].phase != Phase::Dead {
             return;
         }
-        let (cut, alone) = (self.vms[at].cut, self.vms[at].alone);
+        let (cut, platform_cut) = (self.vms[at].cut, self.vms[at].platform_cut);
         let centre = self.vms[at].centre.clone();
-        let vm = Self::made(at, &centre, self.now());
+        let vm = Self::new_vm(at, &centre, self.now());
         self.vms[at] = Vm {
             cut,
-            alone,
-            hindered: cut || alone,
+            platform_cut,
+            disturbed: cut || platform_cut,
             sent: self.vms[at].sent,
             ..vm
         };
@@ -463,10 +479,11 @@
     }
 
     /// Tells whether all VMs are thought up by all.
-    pub fn agreed(&self) -> bool {
+    pub fn all_up(&self) -> bool {
         let all = |v: &Vm| {
             let members = v.exchange.table.members();
-            members.len() == self.vms.len() && members.iter().all(|m| m.line.life == Life::Up)
+            members.len() == self.vms.len()
+                && members.iter().all(|m| m.status.liveness == Liveness::Up)
         };
         self.vms.iter().all(all)
     }
