--- a/crates/node/src/controllers.rs
+++ b/crates/node/src/controllers.rs
@@ -1,6 +1,6 @@
-//! The controllers that keep a VM's state: each a pure decision module, which is given the time
-//! and what was heard, beside a thin task that does the traffic and publishes a
-//! [`crate::view::View`].
+//! The controllers that maintain a VM's state. Each consists of a decision module without I/O,
+//! which is given the time and the received messages, and of a task that does the I/O and publishes
+//! a [`crate::view::View`].
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,17 +32,17 @@
 pub mod rendezvous;
 pub mod run;
 
-/// The most that this VM holds of others' batches during an outage, in bytes. Model turns of a few
-/// kilobytes at the letter's 12 a second and VM fill 64 MB, the limit for all control, in a quarter
-/// of an hour; half of it is kept for the rest.
+/// The most bytes of other VMs' batches that this VM holds during an outage. Model turns of a few
+/// kilobytes, at 12 a second on each VM, fill 64 MB in a quarter of an hour. 64 MB is the limit for
+/// all control data; half of it is left for the rest.
 const MAX_COPIES_BYTES: usize = 32 * 1024 * 1024;
 
-/// What this VM has sent to others for control, answers among it.
+/// What this VM has sent to other VMs for control, including answers.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Frames.
+    /// Number of frames.
     pub frames: AtomicU64,
-    /// Bytes of their bodies; HTTP and TCP add theirs.
+    /// Bytes of their bodies, without the overhead of HTTP and TCP.
     pub bytes: AtomicU64,
 }
 
@@ -53,23 +53,23 @@
     }
 }
 
-/// What the controllers of one VM share.
+/// The state that the controllers of one VM share.
 #[derive(Debug)]
 pub struct Control {
-    /// What was sent.
+    /// Counts what was sent.
     pub traffic: Traffic,
     exchange: Mutex<Exchange>,
     current_config: Mutex<Current>,
     copies: Mutex<Store>,
     poller: Mutex<Poller>,
     sweep: Mutex<Sweep>,
-    /// Asks for heartbeats at once, as there is news that shouldn't wait for the next round.
+    /// Triggers heartbeats at once, for updates that shouldn't wait for the next round.
     urgent: Notify,
 }
 
 impl Control {
-    /// Makes the state of a VM that starts; its listeners are bound, so that the settings name
-    /// their ports.
+    /// Makes the state of a VM that starts. Its listeners are bound already, so `settings` contains
+    /// their actual ports.
     #[must_use]
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let process = rand::random();
@@ -114,9 +114,9 @@
     }
 }
 
-/// Starts the controllers as tasks that end when [`Core::stopped`] is set. Returns when the VM
-/// may serve: it has the highest configuration that can be had, and each shard of its data centre
-/// has an owner or can't have one soon.
+/// Starts the controllers as tasks that end when [`Core::stopped`] is set. Returns when the VM may
+/// serve: it has the highest configuration available, and each shard of its data centre has an
+/// owner or can't get one soon.
 pub async fn start(core: &Arc<Core>) {
     run::members::start(core);
     run::config::boot(core).await;
@@ -126,8 +126,8 @@
     run::claims::wait_for_owners(core).await;
 }
 
-/// Answers a request of another VM on one of the controllers' paths of [`crate::peer`]; `None`
-/// where the path isn't theirs or the body isn't a frame. Body and answer are frames.
+/// Answers a request of another VM to one of the controllers' paths of [`crate::peer`]. Returns
+/// `None` where the path isn't one of them or the body isn't a frame. Body and answer are frames.
 pub async fn serve(core: &Arc<Core>, path: &str, body: Bytes) -> Option<Bytes> {
     let answer = match path {
         peer::BEAT => run::members::serve(core, &body).await,
--- a/crates/node/src/controllers/call.rs
+++ b/crates/node/src/controllers/call.rs
@@ -1,4 +1,4 @@
-//! Calls of other VMs: one frame there, one frame back.
+//! Calls of other VMs: one frame as the request, one frame as the answer.
 
 use std::net::SocketAddr;
 
@@ -16,25 +16,25 @@
 use crate::http::body;
 use crate::http::client::Post;
 
-/// The type of a body of frames.
+/// The content type of a body of frames.
 const CONTENT_TYPE: &str = "application/msgpack";
 
-/// Why a call has no answer; it may have taken effect.
+/// Why a call got no answer. The call may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("{reason}")]
 pub struct Fault {
-    /// Why, for the log.
+    /// The reason, for the log.
     pub reason: String,
 }
 
-/// The outcome of a call.
+/// The result of a call.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// Sends a value to another VM and waits up to `span` for the answer.
+/// Sends a value to another VM and waits up to `time_limit` for the answer.
 ///
 /// # Errors
 ///
-/// Fails where the VM doesn't answer in time or not with such a frame.
+/// Fails if the VM doesn't answer in time, or if the answer isn't a frame of the expected type.
 pub async fn send<T: Serialize, R: DeserializeOwned>(
     core: &Core,
     address: SocketAddr,
@@ -47,10 +47,10 @@
         post_frame(core, address, path, value, time_limit),
     );
     let bytes = answer.await.map_err(|_| fault("no answer in time"))??;
-    decode(&bytes).ok_or_else(|| fault("the answer is no such frame"))
+    decode(&bytes).ok_or_else(|| fault("the answer isn't a frame of the expected type"))
 }
 
-/// Decodes the one frame of a body.
+/// Decodes a body that consists of one frame.
 #[must_use]
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     frame::decode(&mut BytesMut::from(body)).ok()?
--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -1,23 +1,24 @@
-//! Which shards this VM claims and which it hands over.
+//! Decides which shards this VM claims and which it hands over.
 //!
-//! Each shard falls by rendezvous hashing to one live VM of its data centre, weighted by size. The
-//! VM claims what it should have once no other holds it, and hands over what another should have.
-//! Two VMs that differ on who is live may both try: the ownership record lets one in, and the
-//! journal fences the other.
+//! Rendezvous hashing, weighted by size, assigns each shard to one live VM of its data centre. A VM
+//! claims the shards assigned to it once no other VM holds them, and hands over shards assigned to
+//! another VM. Two VMs that disagree on who is live may both claim a shard: the ownership record
+//! lets one of them succeed, and the journal fences the other.
 //!
-//! The patterns of load that the pace answers:
+//! Claims and hand-overs are paced because of these load patterns:
 //!
-//! - *Mass restart, or a rack goes*: many shards are free at once. Each VM claims [`CLAIM_BURST`]
-//!   and then one per [`CLAIM_PACE`], so that takeovers, a range read and a few writes each, don't crowd commits out
-//!   of the platform's rate. 47 VMs of a centre claim 64 shards in one or two steps.
-//! - *A flapping VM* comes and goes every few seconds. Each hand-over makes its shard's callers
-//!   wait, so a VM gets shards that others hold only after being up for [`STEADY`]; free ones it may
-//!   claim at once, as no one is served by them.
-//! - *A VM joins*: one part in `n` of the shards moves to it, from all others. Each VM hands over
-//!   one per [`HANDOVER_PACE`], so that at any time few of its programs wait.
-//! - *After an outage* every lease has lapsed at once and every shard looks free. Claims wait for
-//!   one lease time, so that holders can renew first; otherwise the first VM that sees the platform
-//!   again would take over shards whose owners never stopped.
+//! - *Mass restart, or failure of a rack*: many shards become free at once. Each VM claims
+//!   [`CLAIM_BURST`] and then one per [`CLAIM_INTERVAL`], so that takeovers, each a range read and
+//!   a few writes, don't use up the platform's rate that commits need. 47 VMs of a centre claim 64
+//!   shards in one or two steps.
+//! - *Flapping VM*: it comes and goes every few seconds. Each hand-over makes the callers of the
+//!   shard wait, so a VM gets shards that others hold only after being up for [`MIN_UPTIME`]. It
+//!   may claim free shards at once, because nobody serves them.
+//! - *A VM joins*: one in `n` of the shards moves to it, from all other VMs. Each of these hands
+//!   over one per [`HANDOVER_INTERVAL`], so that only few of its programs wait at any time.
+//! - *After an outage* of the platform, all leases have expired and every shard looks free. Claims
+//!   wait for one lease time, so that holders can renew first. Otherwise the first VM that reaches
+//!   the platform again would take over shards whose owners never stopped.
 
 use wire::clock::Millis;
 use wire::id;
@@ -30,32 +31,33 @@
 
 pub mod lease;
 
-/// The time between two claims of one VM in the long run. Claims are also weighed below commits in
-/// the VM's rate budget; the pace keeps a VM that alone is left from reading all journals at once.
+/// The time between two claims of one VM in the long run. The VM's rate budget also ranks claims
+/// below commits; the interval keeps a VM that is the only one left from reading all journals at
+/// once.
 pub const CLAIM_INTERVAL: Millis = Millis::new(100);
-/// Claims that a VM may make at once: its part when one of three VMs with 16 shards stops, so that
-/// no caller waits for the pace.
+/// Claims that a VM may make at once: with three VMs of 16 shards each, this is a survivor's share
+/// when one stops, so that no caller waits for the interval.
 pub const CLAIM_BURST: u64 = 8;
-/// The time between two hand-overs of one VM. One takes tens of milliseconds, so that at most a
-/// few in a hundred of its programs' turns meet one while a VM of the centre joins.
+/// The time between two hand-overs of one VM. A hand-over takes tens of milliseconds, so that at
+/// most a few in a hundred turns of its programs meet one while a VM joins the centre.
 pub const HANDOVER_INTERVAL: Millis = Millis::new(1_000);
 /// The time between two hand-overs of a VM that stops: 100 shards in two seconds, well within its
-/// grace.
+/// grace period.
 pub const STOP_HANDOVER_INTERVAL: Millis = Millis::new(20);
 /// How long a VM must be up to get shards that others hold: two lease times of the default 5 s, so
-/// that a VM which dies again at once has cost nothing.
+/// that a VM that dies again soon costs nothing.
 pub const MIN_UPTIME: Millis = Millis::new(10_000);
-/// How long a VM that starts listens before it claims: two rounds of heartbeats, to learn who owns
-/// what. A VM without peers needn't.
+/// How long a VM that starts only receives heartbeats before it claims: two rounds, to learn who
+/// owns which shard. A VM without peers doesn't wait.
 pub const DISCOVERY_TIME: Millis = Millis::new(2_000);
-/// The first pause after a claim that failed; doubled each time up to [`RETRY_MOST`], so that a VM
-/// which alone thinks all others down doesn't read every record all the time.
+/// The first delay after a failed claim. It is doubled each time up to [`MAX_RETRY_DELAY`], so that
+/// a VM that is alone in thinking all others down doesn't read every record all the time.
 const FIRST_RETRY_DELAY: Millis = Millis::new(500);
-/// The longest pause after claims that failed: a lease time, which bounds how long a shard waits
-/// for its claimer after its lease has lapsed.
+/// The longest delay after failed claims. It is about a lease time, and bounds how long a shard
+/// waits for its claimer after its lease has expired.
 const MAX_RETRY_DELAY: Millis = Millis::new(4_000);
 
-/// A VM as the decision sees it.
+/// What the decision needs to know of a VM.
 #[derive(Clone, Debug)]
 pub struct Vm {
     /// Its name.
@@ -66,14 +68,14 @@
     pub size: u32,
     /// Whether it is thought to be up.
     pub up: bool,
-    /// Whether it is on its way out.
+    /// Whether it is shutting down.
     pub stopping: bool,
     /// Since when it has been up or down.
     pub since: Millis,
 }
 
 impl Vm {
-    /// Takes over what heartbeats tell.
+    /// Takes the data from a VM's membership entry.
     #[must_use]
     pub fn from_member(member: &Member) -> Self {
         Self {
@@ -90,30 +92,30 @@
 /// Whether the platform answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It doesn't.
+    /// It doesn't answer.
     Down,
-    /// It has since this time; [`Millis::ZERO`] where it never stopped.
+    /// It has answered since this time; [`Millis::ZERO`] if it has never failed.
     Since(Millis),
 }
 
-/// What the decision rests on.
+/// The inputs of a decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts<'a> {
-    /// The time.
+    /// The current time.
     pub now: Millis,
     /// This VM.
     pub me: &'a id::Vm,
-    /// All VMs, this one among them, sorted by name.
+    /// All VMs including this one, sorted by name.
     pub vms: &'a [Vm],
     /// All shards.
     pub shards: &'a [id::Shard],
     /// The shards that this VM serves, sorted.
     pub owned: &'a [id::Shard],
-    /// Who owns which shard as far as is known, sorted by shard.
+    /// The known owners, sorted by shard.
     pub owners: &'a [Owner],
     /// Whether the platform answers.
     pub platform: Health,
-    /// How long a lease lasts.
+    /// The time to live of a lease.
     pub lease: Millis,
     /// Data centres that an operator has declared lost.
     pub lost: &'a [id::Centre],
@@ -126,12 +128,12 @@
     }
 }
 
-/// What is to be done about a shard.
+/// An action on a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Claim it.
     Claim(id::Shard),
-    /// Hand it over to the VM that should have it.
+    /// Hand it over to the VM that it is assigned to.
     Release {
         /// The shard.
         shard: id::Shard,
@@ -140,19 +142,19 @@
     },
 }
 
-/// What the decision keeps between its turns.
+/// The state kept between decisions.
 #[derive(Clone, Debug)]
 pub struct Claims {
     started: Millis,
-    /// When the claims made so far would all have kept to the pace.
+    /// The time up to which the claims made so far use up the rate of one claim per interval.
     paced_until: Millis,
     next_release: Millis,
-    /// Claims that failed: the shard, when it may be tried again, and the last pause.
+    /// Claims that failed: the shard, when it may be tried again, and the last delay.
     failures: Vec<(id::Shard, Millis, Millis)>,
 }
 
 impl Claims {
-    /// Begins at the VM's start.
+    /// Makes the state of a VM that started at this time.
     #[must_use]
     pub fn new(started: Millis) -> Self {
         Self {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Decides what to do now: claims and at most one hand-over, by their pace.
+    /// Decides what to do now: claims and at most one hand-over, as their intervals allow.
     pub fn decide(&mut self, facts: &Facts<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         actions.extend(self.release(facts));
@@ -189,7 +191,7 @@
             return None;
         }
         let stopping = facts.vm(facts.me).is_some_and(|vm| vm.stopping);
-        // A shard that no other VM can have is served to the last.
+        // A shard that no other VM can take is served until the end.
         let (shard, to) = facts.owned.iter().find_map(|shard| {
             let to = target(facts, shard, Eligibility::Stable)?;
             (to != facts.me).then_some((shard, to))
@@ -216,7 +218,7 @@
         }
         let own_centre = facts.vm(facts.me).map(|vm| &vm.centre);
         let wanted = facts.shards.iter().filter(|shard| {
-            // Cheapest first: at the letter's size most of 512 shards are of other centres.
+            // The cheapest check comes first: with 512 shards, most are of other centres.
             let claimable_centre =
                 Some(&shard.centre) == own_centre || facts.lost.contains(&shard.centre);
             claimable_centre
@@ -243,8 +245,9 @@
     }
 }
 
-/// Yields the lines that name this VM as the owner of shards that it doesn't serve: it has started
-/// anew since, and only it knows. Told as given up, so that the shards don't wait for it for ever.
+/// Returns the entries that name this VM as the owner of shards that it doesn't serve, because it
+/// has restarted since. Only this VM knows that, so it marks them as given up; otherwise the shards
+/// would wait for it for ever.
 #[must_use]
 pub fn stale_ownerships(me: &id::Vm, owned: &[id::Shard], owners: &[Owner]) -> Vec<Owner> {
     let mine = owners.iter().filter(|o| o.vm == *me && !o.free);
@@ -257,17 +260,17 @@
         .collect()
 }
 
-/// Which VMs may get a shard.
+/// Which VMs may be assigned a shard.
 #[derive(Clone, Copy)]
 enum Eligibility {
-    /// All that are up: for shards that no one serves.
+    /// All that are up: for shards that nobody serves.
     Up,
-    /// Those that have been up for a while, and this VM: for shards that this VM serves.
+    /// This VM and those that have been up for [`MIN_UPTIME`]: for shards that this VM serves.
     Stable,
 }
 
-/// Chooses the VM that should have a shard: one of its data centre, or, where an operator has
-/// declared that lost, one of all others.
+/// Chooses the VM that a shard is assigned to: one of its data centre, or, if an operator has
+/// declared that centre lost, one of the other centres.
 fn target<'a>(
     facts: &Facts<'a>,
     shard: &id::Shard,
@@ -288,8 +291,8 @@
     rendezvous::choose(&shard.to_string(), candidates)
 }
 
-/// Tells whether no live VM is known to hold a shard. A lease that still runs is found out by the
-/// claim.
+/// Returns whether no live VM is known to hold a shard. If its lease is still running, the claim
+/// fails.
 fn is_unowned(facts: &Facts<'_>, shard: &id::Shard) -> bool {
     let line = facts.owners.binary_search_by(|o| o.shard.cmp(shard));
     let Ok(owner) = line.map(|at| &facts.owners[at]) else {
@@ -298,7 +301,7 @@
     owner.free || owner.vm == *facts.me || !facts.vm(&owner.vm).is_some_and(|v| v.up)
 }
 
-/// Tells whether the platform answers and, after an outage, holders have had the time to renew.
+/// Returns whether the platform answers and, after an outage, holders have had the time to renew.
 fn platform_ready(facts: &Facts<'_>) -> bool {
     match facts.platform {
         Health::Down => false,
--- a/crates/node/src/controllers/claims/lease.rs
+++ b/crates/node/src/controllers/claims/lease.rs
@@ -1,29 +1,30 @@
-//! The one lease of this VM, under which its ownership records stand, and whether the platform
-//! answers, as the renewals tell.
+//! The lease of this VM, to which its ownership records are attached, and the health of the
+//! platform, derived from the renewals.
 
 use platform::edge;
 use wire::clock::Millis;
 
 use super::Health;
 
-/// Renewals in a lease time. Two may fail before the lease lapses.
+/// Renewals in a lease time. Two may fail before the lease expires.
 const RENEWALS_PER_TTL: u64 = 3;
-/// Tries in a lease time after a renewal failed.
+/// Attempts in a lease time after a renewal failed.
 const RETRIES_PER_TTL: u64 = 9;
-/// Failures in a row that are an outage. One is a lost answer. With two, this VM notices within
-/// `1/3 + 1/9` of a lease time, before any lease can have lapsed, at `2/3` from the outage's begin.
+/// Consecutive failures that count as an outage. A single one is a lost answer. With two, this VM
+/// detects an outage within `1/3 + 1/9` of a lease time, before any lease can have expired, which
+/// is at `2/3` after the outage began.
 const OUTAGE_FAILURES: u32 = 2;
 
-/// What to ask of the platform now.
+/// A request to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A new lease.
+    /// Grant a new lease.
     Grant,
-    /// A renewal of this one.
+    /// Renew this lease.
     Renew(edge::Lease),
 }
 
-/// The lease and the health of the platform.
+/// Keeps the lease and the health of the platform.
 #[derive(Clone, Debug)]
 pub struct Renewer {
     ttl: Millis,
@@ -34,7 +35,7 @@
 }
 
 impl Renewer {
-    /// Begins without a lease.
+    /// Makes the state without a lease.
     #[must_use]
     pub fn new(ttl: Millis) -> Self {
         Self {
@@ -46,19 +47,19 @@
         }
     }
 
-    /// Yields the lease, which may have lapsed since its last renewal.
+    /// Returns the lease, which may have expired since its last renewal.
     #[must_use]
     pub fn lease(&self) -> Option<edge::Lease> {
         self.lease
     }
 
-    /// Yields whether the platform answers.
+    /// Returns whether the platform answers.
     #[must_use]
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Yields what to ask now, if anything.
+    /// Returns the request that is due now, if any.
     #[must_use]
     pub fn due(&self, now: Millis) -> Option<Request> {
         if now < self.next_request {
@@ -67,8 +68,8 @@
         Some(self.lease.map_or(Request::Grant, Request::Renew))
     }
 
-    /// Takes the answer to [`Ask::Grant`], asked at `asked`. With a new lease the records that
-    /// stood under the last one are to be written anew.
+    /// Handles the answer to [`Request::Grant`], sent at `requested_at`. With a new lease, the
+    /// records that were attached to the last one must be written again.
     pub fn on_grant(
         &mut self,
         answer: &edge::Result<edge::Lease>,
@@ -85,15 +86,15 @@
         }
     }
 
-    /// Takes the answer to [`Ask::Renew`], asked at `asked`.
+    /// Handles the answer to [`Request::Renew`], sent at `requested_at`.
     pub fn on_renewal(&mut self, answer: &edge::Result<bool>, requested_at: Millis, now: Millis) {
         match answer {
             Ok(true) => {
                 self.note_answer(now);
                 self.next_request = requested_at.plus(self.ttl_fraction(RENEWALS_PER_TTL));
             }
-            // The lease lapsed: this VM was paused, or there was an outage that it has not seen.
-            // Others may be about to renew, so what holds after an outage holds here.
+            // The lease has expired: this VM was paused, or it missed an outage. Other VMs may be
+            // about to renew, so the same wait applies as after an outage.
             Ok(false) => {
                 self.lease = None;
                 self.health = Health::Down;
--- a/crates/node/src/controllers/claims/tests.rs
+++ b/crates/node/src/controllers/claims/tests.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// What `vm0` knows; it owns `owned`.
+/// The inputs of `vm0`, which owns no shard.
 fn facts<'a>(vms: &'a [Vm], shards: &'a [id::Shard], owners: &'a [Owner]) -> Facts<'a> {
     Facts {
         now: START,
@@ -53,8 +53,8 @@
     }
 }
 
-/// Lets `vm0` decide each 20 ms for a while, and counts the claims and the hand-overs. All that it
-/// does succeeds.
+/// Lets `vm0` decide every 20 ms for a while, and counts claims and hand-overs. All of its actions
+/// succeed.
 fn simulate(mut facts: Facts<'_>, span: Millis) -> (usize, usize) {
     let mut claims = Claims::new(START);
     let mut owned = facts.owned.to_vec();
@@ -91,26 +91,30 @@
     mine.count()
 }
 
-// All VMs of a centre restart. Every shard is free; this VM listens first, then claims its part and
-// nothing else: a burst, then one shard each CLAIM_PACE, so that the others' commits aren't crowded out.
+// All VMs of a centre restart and every shard is free. This VM first learns who owns what, then
+// claims its share and nothing else: a burst, then one shard per CLAIM_INTERVAL, so that there is
+// room for the commits of others.
 #[test]
-fn a_mass_restart_is_paced_and_each_vm_claims_its_part() {
+fn a_mass_restart_is_paced_and_each_vm_claims_its_share() {
     let (vms, shards) = (vms(4), shards(64));
-    let target = target_count(&vms, &shards);
+    let share = target_count(&vms, &shards);
     let facts = facts(&vms, &shards, &[]);
     assert_eq!(simulate(facts, DISCOVERY_TIME).0, 0);
     let after = |intervals| DISCOVERY_TIME.plus(Millis::new(intervals * CLAIM_INTERVAL.as_u64()));
     let burst = usize::try_from(CLAIM_BURST).unwrap();
-    assert!(target > burst + 2, "the target of {target} shows no pace");
+    assert!(
+        share > burst + 2,
+        "a share of {share} is too small to show the interval"
+    );
     assert_eq!(simulate(facts, after(1)).0, burst);
     assert_eq!(simulate(facts, after(3)).0, burst + 2);
-    assert_eq!(simulate(facts, Millis::new(60_000)), (target, 0));
+    assert_eq!(simulate(facts, Millis::new(60_000)), (share, 0));
 }
 
-// A rack with half of the VMs goes. What the survivors have stays with them; of what the others
-// had, this VM claims its part and leaves the rest to the other survivors.
+// A rack with half of the VMs fails. The survivors keep their shards; of the others' shards this VM
+// claims its share and leaves the rest to the other survivors.
 #[test]
-fn when_a_rack_goes_only_its_shards_are_claimed() {
+fn when_a_rack_fails_only_its_shards_are_claimed() {
     let (mut vms, shards) = (vms(8), shards(64));
     let before = facts(&vms, &shards, &[]);
     let owner = |s| {
@@ -137,7 +141,7 @@
 }
 
 // A VM comes up, dies and comes up again within seconds. Shards handed to it at once would be
-// without an owner for a lease time each time; it gets them after it has been up for STEADY.
+// without an owner for a lease time each time; it gets them after it has been up for MIN_UPTIME.
 #[rstest]
 #[case::just_started(Millis::new(START.as_u64() - 1), 0)]
 #[case::up_for_long(Millis::ZERO, 5)]
@@ -154,11 +158,12 @@
     );
 }
 
-// The VM stops: all its shards go, in a moment; without another VM it serves them to the last.
+// A VM that stops hands over all its shards quickly. Without another VM it serves them until the
+// end.
 #[rstest]
 #[case(2, 64)]
 #[case(1, 0)]
-fn a_vm_that_stops_hands_all_over(#[case] count: usize, #[case] handed: usize) {
+fn a_vm_that_stops_hands_over_all_shards(#[case] count: usize, #[case] handed: usize) {
     let (mut vms, shards) = (vms(count), shards(64));
     vms[0].stopping = true;
     let facts = Facts {
@@ -168,8 +173,8 @@
     assert_eq!(simulate(facts, Millis::new(2_000)), (0, handed));
 }
 
-// An outage ends. Every lease has lapsed and every record is gone; an owner that never stopped
-// needs a moment to renew, and a VM that claimed at once would take its shard over.
+// An outage ends. All leases have expired and all records are gone. An owner that never stopped
+// needs a moment to renew, and a VM that claimed at once would take over its shard.
 #[rstest]
 #[case::down(Health::Down, 0)]
 #[case::just_back(Health::Since(START), 0)]
@@ -186,13 +191,13 @@
     );
 }
 
-// A centre is cut off. Its shards stay its own, whoever is thought down, until an operator declares
-// it lost; then the VMs of other centres take them over, and a VM of it takes none.
+// A centre is cut off. Its shards stay in it, whoever is thought to be down, until an operator
+// declares it lost; then the VMs of other centres take them over, and its own VMs claim none.
 #[rstest]
 #[case::other_cut_off("d", &[], 0)]
 #[case::other_lost("d", &["d"], 1)]
 #[case::own_lost("c", &["c"], 0)]
-fn another_centre_takes_over_only_where_one_is_lost(
+fn another_centre_takes_over_only_if_the_centre_is_lost(
     #[case] home: &str,
     #[case] lost: &[&str],
     #[case] claimed: usize,
@@ -210,13 +215,14 @@
     assert_eq!(simulate(facts, Millis::new(1_000)).0, claimed);
 }
 
-// A claim fails as the dead owner's lease still runs. It is tried again, but ever more seldom: a VM
-// that alone thinks all others down would otherwise read every record of its centre all the time.
+// A claim fails because the dead owner's lease is still running. It is retried with growing delays:
+// a VM that is alone in thinking all others down would otherwise read every record of its centre
+// all the time.
 #[test]
-fn a_claim_that_fails_is_tried_again_with_growing_pauses() {
+fn a_failed_claim_is_retried_with_growing_delays() {
     let (vms, shards) = (vms(1), shards(1));
     let mut claims = Claims::new(START);
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     for step in 0..1_000 {
         let now = START.plus(Millis::new(step * 20));
         let facts = Facts {
@@ -225,8 +231,11 @@
         };
         if !claims.decide(&facts).is_empty() {
             claims.note_failure(&shards[0], now);
-            tries.push(now.since(START).as_u64());
+            attempts.push(now.since(START).as_u64());
         }
     }
-    assert_eq!(tries, [0, 500, 1_500, 3_500, 7_500, 11_500, 15_500, 19_500]);
+    assert_eq!(
+        attempts,
+        [0, 500, 1_500, 3_500, 7_500, 11_500, 15_500, 19_500]
+    );
 }
--- a/crates/node/src/controllers/config.rs
+++ b/crates/node/src/controllers/config.rs
@@ -1,14 +1,14 @@
-//! The operators' configuration as one VM holds it.
+//! The operators' configuration as held by one VM.
 //!
-//! There is one document with one revision, at one key of the platform. A VM only ever moves up to
-//! a higher revision, whoever offers it, so an accepted change can't revert on a VM that has it.
-//! A VM that starts holds nothing and mustn't serve until it has caught up, see [`boot`].
+//! There is one document with one revision, at one key of the platform. A VM only ever takes a
+//! higher revision, whoever offers it, so an accepted change can't be reverted on a VM that has it.
+//! A VM that starts has no document and mustn't serve until it has caught up, see [`boot`].
 //!
-//! How a revision gets about: the VM that had the change accepted offers it to its peers at once;
-//! each VM that moves up sends heartbeats at once, which carry the revision; a VM that hears of a
-//! higher one pulls it. [`WATCHERS`] VMs of each centre watch the key, and all others read it
-//! every [`POLL`]: a watch by each VM would have the platform hold one waiting call a VM, while its
-//! rates grow more slowly than the fleet.
+//! A revision spreads as follows: the VM that had the change accepted offers it to its peers at
+//! once. Each VM that takes it sends heartbeats at once, which carry the revision, and a VM that
+//! receives a higher revision pulls the document. [`WATCHERS`] VMs of each centre watch the key,
+//! and all others read it every [`POLL_INTERVAL`]: watches by all VMs would make the platform keep
+//! one waiting call for each VM, while its rate limits grow more slowly than the fleet.
 
 use std::sync::Arc;
 
@@ -19,40 +19,40 @@
 pub mod change;
 pub mod edit;
 
-/// The platform's key of the document, JSON of [`Config`].
+/// The platform's key of the document, which is the JSON of a [`Config`].
 pub const KEY: &str = "config";
 
-/// VMs of each centre that watch the key. Two, so that one may die unnoticed without delaying a
-/// change; in eight centres they are 16 waiting calls in place of 380.
+/// Number of VMs of each centre that watch the key. Two, so that one may die unnoticed without
+/// delaying a change; in eight centres these are 16 waiting calls instead of 380.
 pub const WATCHERS: usize = 2;
 
-/// How often a VM that doesn't watch reads the key. It is the safety net below heartbeats: at 380
-/// VMs it costs 13 reads a second of the platform's 2,000.
+/// How often a VM that doesn't watch reads the key, as a fallback for heartbeats. At 380 VMs this
+/// costs 13 reads a second of the platform's 2,000.
 pub const POLL_INTERVAL: Millis = Millis::new(30_000);
 
-/// The document that a VM holds.
+/// The document in force on a VM.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
     config: Option<Arc<Config>>,
 }
 
-/// What became of a document offered to a VM.
+/// The result of offering a document to a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
     /// It is now in force.
     Taken,
-    /// It is in force already.
+    /// It was in force already.
     Known,
-    /// It is older than the one in force, and is dropped.
+    /// It is older than the one in force and was dropped.
     Older,
-    /// It has the revision of the one in force and other content; it is dropped. Only a platform
-    /// that lost accepted writes brings this about.
+    /// It has the revision of the one in force but other content, and was dropped. This only
+    /// happens if the platform lost accepted writes.
     Forked,
 }
 
 impl Current {
-    /// Offers an accepted document. Only a higher revision is taken: an older one comes from a
-    /// peer that was paused or cut off, and taking it would revert an accepted change.
+    /// Offers an accepted document. Only a higher revision is taken: an older one comes from a peer
+    /// that was paused or cut off, and would revert an accepted change.
     pub fn offer(&mut self, config: &Arc<Config>) -> Offer {
         let Some(held) = &self.config else {
             self.config = Some(Arc::clone(config));
@@ -71,33 +71,33 @@
         Offer::Forked
     }
 
-    /// Yields the document in force; `None` before the VM has caught up for the first time.
+    /// Returns the document in force; `None` before the VM has caught up for the first time.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
 
-    /// Yields the revision in force, 0 before the first.
+    /// Returns the revision in force, 0 before the first.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.revision)
     }
 
-    /// Tells whether a peer's revision is worth a pull.
+    /// Returns whether a peer's revision is higher, so that it should be pulled.
     #[must_use]
     pub fn is_behind(&self, revision: u64) -> bool {
         revision > self.revision()
     }
 }
 
-/// What one source said to a VM that starts.
+/// The answer of one source to a VM that starts.
 #[derive(Clone, Debug)]
 pub enum Source {
     /// It hasn't answered yet.
     Waiting,
-    /// It can't be reached, or has nothing to offer as it starts itself.
+    /// It can't be reached, or it is starting itself and has no document.
     Silent,
-    /// It holds this document.
+    /// It has this document.
     Holds(Arc<Config>),
 }
 
@@ -106,16 +106,16 @@
 pub enum Boot {
     /// Not yet.
     Wait,
-    /// With this document.
+    /// Yes, with this document.
     Serve(Arc<Config>),
 }
 
 /// Decides whether a VM that starts may serve, and with which revision.
 ///
-/// Where the platform answers, its document is at least as high as any accepted before the
-/// question, and the VM serves. In an outage the VM hears every peer out and serves with the
-/// highest revision; with none it waits: a VM that served without the operators' configuration
-/// would let work through that a selector forbids.
+/// If the platform answers, its document is at least as high as any that was accepted before the
+/// question, and the VM serves. In an outage the VM waits for the answers of all peers and serves
+/// with the highest revision. If there is none, it keeps waiting: without the operators'
+/// configuration it would let work through that a selector forbids.
 #[must_use]
 pub fn boot(platform: &Source, peers: &[Source]) -> Boot {
     if matches!(platform, Source::Waiting) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Which revision a VM has in force, as its heartbeats say.
+/// The revision in force on a VM, as reported by its heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForce {
     /// The VM.
@@ -146,14 +146,14 @@
     pub up: bool,
 }
 
-/// How far a revision has got.
+/// How far a revision has spread.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rollout {
-    /// VMs that are up and have it, or a higher one, in force.
+    /// VMs that are up and have this or a higher revision in force.
     pub reached: Vec<id::Vm>,
-    /// VMs that are up and don't.
+    /// VMs that are up and have a lower one in force.
     pub behind: Vec<id::Vm>,
-    /// VMs that aren't heard; they take the highest revision before they serve again.
+    /// VMs that are down. They take the highest revision before they serve again.
     pub silent: Vec<id::Vm>,
 }
 
@@ -172,11 +172,11 @@
     rollout
 }
 
-/// Parses the document as the platform holds it.
+/// Parses the document as stored in the platform.
 ///
 /// # Errors
 ///
-/// Fails where the value isn't JSON of a [`Config`].
+/// Fails if the value isn't the JSON of a [`Config`].
 pub fn parse(value: &[u8]) -> serde_json::Result<Config> {
     serde_json::from_slice(value)
 }
--- a/crates/node/src/controllers/config/change.rs
+++ b/crates/node/src/controllers/config/change.rs
@@ -1,11 +1,12 @@
-//! One change of the configuration, from the operator's edit to an outcome that is true.
+//! One change of the configuration, from the operator's edit to a reliable outcome.
 //!
-//! A compare-and-swap lets one of two operators who race succeed. A lost answer leaves the change
-//! in doubt: the write may have taken effect, or may still do so. Only two things settle it: the
-//! document names the change's nonce, or the key has moved past the revision that the change
-//! expected without naming it. Until then the change is *unknown*, and is told as such.
+//! A compare-and-swap lets one of two racing operators succeed. If an answer is lost, the change is
+//! in doubt: the write may have taken effect, or may still do so. The doubt is resolved only if the
+//! document contains the change's nonce, or if the key has moved past the revision that the write
+//! compares with and the document doesn't contain it. Until then the outcome is *unknown*, and the
+//! operator is told so.
 //!
-//! [`Change`] decides and [`run`] does the traffic.
+//! [`Change`] decides and [`run`] does the I/O.
 
 use std::time::Duration;
 
@@ -25,52 +26,52 @@
 use super::edit::Edit;
 use super::parse;
 
-/// How many nonces of earlier revisions the document names. A change is settled by them unless
-/// more others were accepted while its answer was lost; at the letter's 2,400 changes a day 64
-/// are half an hour's, in 600 bytes.
+/// Number of nonces of earlier revisions that the document keeps. They resolve a change in doubt
+/// unless more other changes were accepted while its answer was lost. At 2,400 changes a day, 64
+/// cover half an hour, in 600 bytes.
 pub const MAX_RECENT_NONCES: usize = 64;
 
-/// How often a change that names no expected revision starts anew after it lost a race. Each lost
-/// race means that another change was accepted; eight operators at once all succeed.
+/// How often a change that names no expected revision is tried when it keeps losing races. Each
+/// lost race means that another change was accepted, so eight operators at once all succeed.
 const MAX_TRIES: u32 = 8;
 
-/// The pause between two tries to settle a change in doubt: a few times the platform's answer
-/// time, so that an outage isn't met with a burst.
+/// The delay between two attempts to resolve a change in doubt: a few times the platform's response
+/// time, so that an outage doesn't cause a burst of requests.
 const READ_BACK_DELAY: Duration = Duration::from_millis(50);
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// It is part of the configuration from this revision on.
     Accepted(Box<Config>),
-    /// It isn't and won't be part of the configuration, which stands at this revision.
+    /// It isn't part of the configuration and won't be. The configuration is at this revision.
     Conflict {
         /// The revision.
         revision: u64,
     },
-    /// It may be part of the configuration, or become so later, as this revision.
+    /// It may be part of the configuration, or may become so later, as this revision.
     Unknown {
         /// The revision.
         revision: u64,
     },
-    /// It was never sent, as the platform doesn't answer.
+    /// It was never sent because the platform doesn't answer.
     NotSent(edge::Fault),
     /// It isn't allowed.
     Bad(Refusal),
 }
 
-/// What is to be done next for a change.
+/// The next step of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Read the key, and call [`Change::on_read`].
     Read,
     /// Run the transaction, and call [`Change::on_commit`].
     Commit(Txn),
-    /// The change is over.
+    /// The change is finished.
     Done(Outcome),
 }
 
-/// A change under way.
+/// A change in progress.
 #[derive(Clone, Debug)]
 pub struct Change {
     edit: Edit,
@@ -88,13 +89,13 @@
     base_revision: u64,
     config: Config,
     txn: Txn,
-    /// Whether an answer to it was lost.
+    /// Whether an answer to the write was lost.
     in_doubt: bool,
 }
 
 impl Change {
-    /// Begins a change. `nonce` is drawn at random and used for no other change; with an
-    /// `expected` revision of the configuration the change is made to that one only.
+    /// Makes a change. `nonce` must be random and used for no other change. With an `expected`
+    /// revision of the configuration, the change is made only to that one.
     #[must_use]
     pub fn new(edit: Edit, nonce: u64, expected: Option<u64>, deadline: Millis) -> Self {
         Self {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Takes what the key holds.
+    /// Handles the value read from the key.
     pub fn on_read(&mut self, read: edge::Result<Option<Entry>>, now: Millis) -> Step {
         match (read, &self.attempt) {
             (Ok(entry), None) => self.build(entry.as_ref()),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Takes what became of the transaction.
+    /// Handles the result of the transaction.
     pub fn on_commit(&mut self, outcome: edge::Result<edge::Outcome>, now: Millis) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::Read;
@@ -138,7 +139,7 @@
                 attempt.in_doubt = true;
                 self.until_deadline(Step::Read, now)
             }
-            // The write of this try had no effect, but an earlier one of the same bytes may have.
+            // This write had no effect, but an earlier one with the same bytes may have had one.
             Err(_) if attempt.in_doubt => self.until_deadline(Step::Read, now),
             Err(fault) => Step::Done(Outcome::NotSent(fault)),
         }
@@ -179,8 +180,8 @@
         Step::Commit(txn)
     }
 
-    /// Decides by a document that has moved past the revision that the write compares with: the
-    /// write can't take effect any more, so the document says for good whether it did.
+    /// Decides by a document that has moved past the revision that the write compares with. The
+    /// write can't take effect any more, so the document shows definitely whether it did.
     fn resolve(&mut self, entry: Option<&Entry>) -> Step {
         let Some(attempt) = &self.attempt else {
             return Step::Read;
@@ -195,7 +196,7 @@
             Some(nonce) if nonce == self.nonce => {
                 Step::Done(Outcome::Accepted(Box::new(attempt.config.clone())))
             }
-            // So many others were accepted since that the document no longer tells.
+            // So many other changes were accepted since that the document no longer shows it.
             None if attempt.in_doubt => Step::Done(unknown),
             _ => self.retry(current.revision),
         }
@@ -222,7 +223,7 @@
     }
 }
 
-/// Makes a change, pausing between tries to settle one in doubt.
+/// Makes a change, with a delay between attempts to resolve one in doubt.
 pub async fn run(platform: &dyn Platform, clock: &Clock, mut change: Change) -> Outcome {
     let mut step = Step::Read;
     loop {
@@ -247,8 +248,8 @@
     }
 }
 
-/// Looks up the nonce of the change that made a revision; `None` where the document no longer
-/// says, or hasn't got there.
+/// Returns the nonce of the change that made a revision; `None` if the document no longer contains
+/// it, or hasn't reached that revision.
 #[must_use]
 pub fn nonce_at(config: &Config, revision: u64) -> Option<u64> {
     let offset = config.revision.checked_sub(revision)?;
--- a/crates/node/src/controllers/config/change/tests.rs
+++ b/crates/node/src/controllers/config/change/tests.rs
@@ -36,7 +36,7 @@
 async fn change_in_doubt(memory: &Memory) -> Change {
     let mut change = Change::new(label("high"), 11, None, DEADLINE);
     let Step::Commit(txn) = change.on_read(Ok(None), Millis::ZERO) else {
-        panic!("no write");
+        panic!("expected a commit step");
     };
     memory.play(Play::LoseAnswer);
     let lost = memory.commit(&txn, Weight::Change).await;
@@ -44,15 +44,15 @@
     change
 }
 
-// The operator's VM sends the change and its answer is lost; or the write itself is. Reading back
-// shows which, and the same bytes are sent again where the key hasn't moved. The operator is told
-// "accepted" once, and the change is there once.
+// Either the answer to a change or the write itself is lost. Reading the key back shows which; if
+// the key hasn't moved, the same bytes are sent again. The operator is told "accepted" once, and
+// the change is applied once.
 #[rstest]
 #[case(Play::LoseAnswer)]
 #[case(Play::LoseWrite)]
 #[case(Play::Delay)]
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back(#[case] play: Play) {
+async fn a_lost_answer_is_resolved_by_reading_back(#[case] play: Play) {
     let memory = Memory::default();
     memory.play(play);
     let outcome = make_change(&memory, 11, "high").await;
@@ -62,26 +62,26 @@
     assert_eq!((config.revision, config.nonce), (1, 11));
 }
 
-// The answer is lost after the write took effect, and two others are accepted before the change is
-// read back. The key's own nonce is now another's: only the list of recent nonces still tells that
-// the change was accepted, and "rejected" would be a lie.
+// The answer is lost after the write took effect, and two other changes are accepted before the key
+// is read back. The document's own nonce is now another one, so only the list of recent nonces
+// shows that the change was accepted. "Rejected" would be wrong.
 #[tokio::test]
-async fn a_change_under_later_ones_is_still_known_as_accepted() {
+async fn a_change_followed_by_others_is_still_known_as_accepted() {
     let memory = Memory::default();
     let mut change = change_in_doubt(&memory).await;
     make_change(&memory, 12, "low").await;
     make_change(&memory, 13, "mid").await;
     let step = change.on_read(memory.read(KEY).await, Millis::ZERO);
     let Step::Done(outcome) = step else {
-        panic!("not settled: {step:?}");
+        panic!("not resolved: {step:?}");
     };
     assert_eq!(accepted_revision(&outcome), 1);
 }
 
-// As above, but so many others follow that the document has forgotten: the operator is told that
-// it isn't known, not that the change was rejected.
+// As above, but so many changes follow that the document no longer contains the nonce: the operator
+// is told that the outcome is unknown, not that the change was rejected.
 #[tokio::test]
-async fn a_change_that_the_document_has_forgotten_is_told_as_unknown() {
+async fn a_change_that_the_document_no_longer_contains_is_reported_as_unknown() {
     let memory = Memory::default();
     let mut change = change_in_doubt(&memory).await;
     for nonce in 0..=MAX_RECENT_NONCES as u64 {
@@ -91,10 +91,10 @@
     assert_eq!(step, Step::Done(Outcome::Unknown { revision: 1 }));
 }
 
-// The platform goes down with the change in doubt and stays down past the deadline. The write may
-// still land, so "not accepted" would be a lie.
+// The platform goes down while the change is in doubt and stays down past the deadline. The write
+// may still take effect, so "not accepted" would be wrong.
 #[test]
-fn a_change_in_doubt_at_its_deadline_is_told_as_unknown() {
+fn a_change_in_doubt_at_its_deadline_is_reported_as_unknown() {
     let down = || edge::Fault::Down("outage".to_owned());
     let mut change = Change::new(label("high"), 11, None, DEADLINE);
     change.on_read(Ok(None), Millis::ZERO);
@@ -105,23 +105,23 @@
     assert_eq!(step, Step::Done(Outcome::Unknown { revision: 1 }));
 }
 
-// The platform is down before anything is sent: the change can't be accepted any more, and the
+// The platform is down before anything is sent. The change can't be accepted any more, and the
 // operator may be told so.
 #[tokio::test]
-async fn a_change_that_was_never_sent_is_told_as_such() {
+async fn a_change_that_was_never_sent_is_reported_as_not_sent() {
     let memory = Memory::default();
     memory.set_down(true);
     let outcome = make_change(&memory, 11, "high").await;
     assert!(matches!(outcome, Outcome::NotSent(edge::Fault::Down(_))));
 }
 
-// Two operators read revision 1 and both change it. The one who named the revision is told that it
-// moved; the one who didn't is accepted on top of the other's.
+// Two operators read revision 1 and both change it. The one that named the revision is told that
+// there is a newer one; the one that didn't has its change applied on top of the other.
 #[rstest]
 #[case(Some(1), None)]
 #[case(None, Some(3))]
 #[tokio::test]
-async fn the_loser_of_a_race_starts_anew_unless_it_named_a_revision(
+async fn the_loser_of_a_race_retries_unless_it_named_a_revision(
     #[case] expected: Option<u64>,
     #[case] accepted: Option<u64>,
 ) {
@@ -129,7 +129,7 @@
     make_change(&memory, 10, "first").await;
     let mut change = Change::new(label("mine"), 11, expected, DEADLINE);
     let Step::Commit(txn) = change.on_read(memory.read(KEY).await, Millis::ZERO) else {
-        panic!("no write");
+        panic!("expected a commit step");
     };
     make_change(&memory, 12, "theirs").await;
     let refused = memory.commit(&txn, Weight::Change).await;
--- a/crates/node/src/controllers/config/edit.rs
+++ b/crates/node/src/controllers/config/edit.rs
@@ -1,5 +1,5 @@
-//! The edits that operators make. An edit names only what it sets, so it can be made anew to a
-//! later revision after it lost a race.
+//! The edits that operators make. An edit contains only what it sets, so it can be applied again to
+//! a later revision after it lost a race.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,61 +13,61 @@
 use wire::code::Refusal;
 use wire::id;
 
-/// The outcome of an edit.
+/// The result of an edit.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
 /// One edit of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Edit {
-    /// Sets a label, or removes it where the value is absent.
+    /// Sets a label, or removes it if the value is absent.
     Label {
-        /// Whose label.
+        /// The subject that carries the label.
         subject: Subject,
         /// The label's name.
         name: String,
         /// The label's value.
         value: Option<String>,
     },
-    /// Adds a selector or replaces the one of that name.
+    /// Adds a selector, or replaces the one of that name.
     Selector(Selector),
     /// Removes a selector.
     RemoveSelector(id::Selector),
-    /// Adds a caller or replaces the one of that name.
+    /// Adds a caller, or replaces the one of that name.
     Caller(Caller),
     /// Removes a caller.
     RemoveCaller(id::Caller),
-    /// Adds an endpoint or replaces the one of that name.
+    /// Adds an endpoint, or replaces the one of that name.
     Endpoint(Endpoint),
     /// Removes an endpoint.
     RemoveEndpoint(id::Endpoint),
     /// Declares a data centre lost.
     Lost(id::Centre),
-    /// Takes that back.
+    /// Takes a data centre off the lost ones.
     Found(id::Centre),
-    /// Makes several edits in one revision, or none of them.
+    /// Makes all of these edits in one revision, or none of them.
     Several(Vec<Edit>),
 }
 
-/// What carries labels.
+/// A subject that carries labels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
     /// A caller.
     Caller(id::Caller),
-    /// A program; it need not have a line yet.
+    /// A program. It need not have an entry yet.
     Program(id::Program),
     /// An endpoint.
     Endpoint(id::Endpoint),
 }
 
 impl Edit {
-    /// Makes the edit.
+    /// Applies the edit.
     ///
     /// # Errors
     ///
-    /// Fails with [`Code::UnknownSubject`] where the edit's subject isn't in the configuration;
-    /// `config` is then of no use.
+    /// Fails with [`Code::UnknownSubject`] if the edit's subject isn't in the configuration.
+    /// `config` may then be partly edited and must be discarded.
     pub fn apply(&self, config: &mut Config) -> Result<()> {
         match self {
             Self::Label {
--- a/crates/node/src/controllers/config/tests.rs
+++ b/crates/node/src/controllers/config/tests.rs
@@ -18,8 +18,8 @@
     }
 }
 
-// A peer that was paused wakes up and offers the revision that it held before. A VM that took it
-// would go back to work under a selector that an operator has since withdrawn.
+// A peer that was paused resumes and offers the revision that it had before. A VM that took it
+// would again follow a selector that an operator has withdrawn since.
 #[rstest]
 #[case(4, 40, Offer::Taken, 4)]
 #[case(3, 30, Offer::Known, 3)]
@@ -41,9 +41,9 @@
     );
 }
 
-// A VM restarts. It holds nothing; what it hears decides whether it may serve, and with what. In an
-// outage it must hear every peer out, as the one that it hasn't heard may be the one that accepted
-// the latest change.
+// A VM restarts without a document. The answers that it gets decide whether it may serve, and with
+// which revision. In an outage it must wait for every peer, because the one that hasn't answered
+// may be the one that accepted the latest change.
 #[rstest]
 #[case::platform_not_asked_yet(Source::Waiting, vec![Source::Holds(config(5, 0))], None)]
 #[case::platform(Source::Holds(config(7, 0)), vec![Source::Waiting], Some(7))]
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_rollout_tells_vms_that_lag_from_vms_that_are_silent() {
+fn a_rollout_separates_lagging_vms_from_silent_ones() {
     let vms = [
         vm("a", 9, true),
         vm("b", 8, true),
--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -1,5 +1,5 @@
-//! The VMs of the centre as the journal sees them: they hold each other's batches while the
-//! platform is down, and yield them to a new owner.
+//! The journal's access to the other VMs of the centre: they hold each other's batches while the
+//! platform is down, and return them to a new owner.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -25,7 +25,8 @@
 use crate::core::Core;
 use crate::peer;
 
-/// How long another VM may take: an answer waits for it, and the next holder is asked after it.
+/// How long another VM may take to answer. A caller's answer waits for it, and the next holder is
+/// asked only afterwards.
 const ANSWER_TIMEOUT: Millis = Millis::new(500);
 
 /// A batch to hold.
@@ -36,14 +37,14 @@
     held: Batch,
 }
 
-/// A new owner that asks for what is held.
+/// A new owner's request for the held batches.
 #[derive(Serialize, Deserialize)]
 struct Collect {
     shard: id::Shard,
     epoch: u64,
 }
 
-/// Batches that are in the journal.
+/// Batches that have reached the journal.
 #[derive(Serialize, Deserialize)]
 struct Drained {
     shard: id::Shard,
@@ -51,12 +52,12 @@
     seq: u64,
 }
 
-/// The other VMs, as the journal calls them.
+/// Calls other VMs for the journal.
 pub struct PeerClient(Weak<Core>);
 
 impl PeerClient {
-    /// Makes the journal's access to other VMs. It doesn't keep the node alive, as the node keeps
-    /// the journals.
+    /// Makes the journal's access to other VMs. It holds a weak reference because the node owns the
+    /// journals.
     #[must_use]
     pub fn new(core: &Arc<Core>) -> Self {
         Self(Arc::downgrade(core))
@@ -124,8 +125,8 @@
     }
 }
 
-/// How many VMs hold a shard's batches, in a centre that has as many; two of them may then be gone
-/// while two acknowledge.
+/// Number of VMs that hold a shard's batches, in a centre that has as many. Two of them may then
+/// fail while two acknowledge.
 const MAX_HOLDERS: usize = 4;
 
 /// Chooses the VMs that hold a shard's batches.
@@ -138,7 +139,7 @@
         .filter(|l| {
             l.centre == own.centre && l.vm != own.vm && l.liveness == Liveness::Up && !l.stopping
         })
-        // One of which only the settings speak can't be named as this run of its process.
+        // A VM known from the settings only has no known process, which a holder needs.
         .filter(|l| l.process != 0)
         .collect();
     let candidates = others.iter().map(|l| Candidate {
@@ -154,7 +155,7 @@
     holders.collect()
 }
 
-/// Takes a batch to hold.
+/// Stores a batch for another VM.
 pub(super) fn hold(core: &Core, body: &[u8]) -> Option<Bytes> {
     let hold: Hold = call::decode(body)?;
     let answer = core
@@ -164,13 +165,13 @@
     frame::encode(&answer).ok()
 }
 
-/// Yields what is held to a new owner.
+/// Returns the held batches to a new owner.
 pub(super) async fn collect(core: &Core, body: &[u8]) -> Option<Bytes> {
     let collect: Collect = call::decode(body)?;
     frame::encode(&collect_copies(core, &collect).await).ok()
 }
 
-/// Drops what is in the journal.
+/// Drops the batches that have reached the journal.
 pub(super) fn drained(core: &Core, body: &[u8]) -> Option<Bytes> {
     let drained: Drained = call::decode(body)?;
     let mut copies = core.control.copies();
--- a/crates/node/src/controllers/members.rs
+++ b/crates/node/src/controllers/members.rs
@@ -1,14 +1,15 @@
-//! Which VMs there are and which of them are up.
+//! Membership: which VMs exist and which of them are up.
 //!
-//! Each VM sends a heartbeat to a few others each [`ROUND`] and is answered with one. A heartbeat
-//! carries the sender's own line, news of others and a digest of all that the sender knows, so the
-//! traffic of a VM doesn't grow with the fleet, and news reaches all in a number of rounds that
-//! grows with its logarithm.
+//! Each VM sends a heartbeat to a few others every [`ROUND_INTERVAL`], and each is answered with a
+//! heartbeat. A heartbeat carries the sender's own status, updates on other VMs and a digest of
+//! everything that the sender knows. The traffic of a VM therefore doesn't grow with the fleet, and
+//! an update reaches all VMs in a number of rounds that grows with the logarithm of the fleet.
 //!
-//! A VM that doesn't answer is *suspected*; the suspicion is news, and the VM that hears it of
-//! itself refutes it with a higher incarnation. One that doesn't for [`SUSPICION`] is *down*. A VM
-//! back from a pause is told that it is down by the first that it speaks to, and comes up again
-//! in the same way. Nothing that must not happen twice rests on any of this: see the journal.
+//! A VM that doesn't answer is *suspected*. The suspicion is spread as an update; when the
+//! suspected VM receives it, it refutes it with a higher incarnation. A VM that doesn't refute
+//! within [`SUSPICION_TIMEOUT`] is *down*. A VM that resumes after a pause learns from the first VM
+//! it contacts that it is thought to be down, and comes up again with a higher incarnation as well.
+//! Membership only decides whom to ask: what must not happen twice is protected by the journal.
 
 use std::net::SocketAddr;
 
@@ -33,22 +34,23 @@
 
 /// The time between two rounds of heartbeats.
 pub const ROUND_INTERVAL: Millis = Millis::new(1_000);
-/// VMs of the own data centre that get a heartbeat each round. With 2 a VM hears 4 frames from its
-/// centre each round, and is missed by no one for a whole round in `e^-2`, one in seven.
+/// Number of VMs of the own data centre that get a heartbeat each round. With 2, a VM receives 4
+/// frames from its centre each round on average, and the probability that nobody contacts it for a
+/// whole round is `e^-2`, one in seven.
 pub const FANOUT: usize = 2;
-/// Each so many rounds one VM of another data centre gets a heartbeat too.
+/// Every so many rounds, one VM of another data centre gets a heartbeat too.
 const REMOTE_EVERY: u64 = 2;
-/// Each so many rounds one VM that is down gets a heartbeat too: after a cut both sides think the
-/// other down, and no one else would ever speak across again.
+/// Every so many rounds, one VM that is down gets a heartbeat too: after a network partition both
+/// sides think the other down, and without this no VM would contact the other side again.
 const DOWN_EVERY: u64 = 3;
-/// How long a suspected VM has to refute: two rounds for the news to reach it and one for its
-/// answer to get about.
+/// How long a suspected VM has to refute: two rounds for the suspicion to reach it and one for its
+/// refutation to spread.
 pub const SUSPICION_TIMEOUT: Millis = Millis::new(3_000);
-/// How long a VM that is down is remembered: long enough that no heartbeat of before its death is
-/// still about, short enough that the 170 VMs replaced on an ordinary day don't pile up.
+/// How long a VM that is down is remembered: long enough that no heartbeat from before its death is
+/// still in transit, short enough that the 170 VMs replaced on an ordinary day don't accumulate.
 const DOWN_RETENTION: Millis = Millis::new(60 * 60 * 1_000);
-/// A gap between two rounds from which on this VM was paused itself: what it thinks of others'
-/// silence is then worth nothing.
+/// A gap between two rounds from which on this VM assumes that it was paused itself. It then can't
+/// conclude anything from the silence of others.
 const PAUSE_THRESHOLD: Millis = Millis::new(2_500);
 
 /// Why a VM is down.
@@ -56,33 +58,33 @@
 pub enum Reason {
     /// It was suspected and didn't refute in time.
     Silent,
-    /// It was suspected, and the platform's list no longer has it.
+    /// It was suspected, and the platform's list no longer contains it.
     Unlisted,
-    /// Another VM says so.
+    /// Another VM reported it.
     Told,
 }
 
-/// A VM came up or went down, for the log.
+/// A VM that came up or went down, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is up.
+    /// The VM is up.
     Up(id::Vm),
-    /// It is down.
+    /// The VM is down.
     Down(id::Vm, Reason),
 }
 
 /// What is known of one VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What is told of it.
+    /// Its latest status.
     pub status: Status,
-    /// Since when it has been in its present state.
+    /// Since when it has been up, suspected or down.
     pub since: Millis,
-    /// Whether the platform's list had it.
+    /// Whether the platform's list has ever contained it.
     was_listed: bool,
 }
 
-/// The VMs, this one among them.
+/// The table of all VMs, including this one.
 #[derive(Clone, Debug)]
 pub struct Table {
     me: id::Vm,
@@ -91,26 +93,28 @@
     members: Vec<Member>,
     updates: Queue<id::Vm>,
     changes: Vec<Change>,
-    /// The centre's VMs in a drawn order, taken from the end; each is met once before any twice.
+    /// The other VMs of the centre in random order, taken from the end. Each gets one heartbeat
+    /// before any gets a second.
     next_targets: Vec<id::Vm>,
     rounds: u64,
     last_round: Option<Millis>,
 }
 
-/// Where the platform's list has a VM.
+/// What the platform's list says about a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// Live.
+    /// It is live.
     Live,
-    /// About to leave.
+    /// It is about to leave.
     Leaving,
-    /// Not at all.
+    /// It isn't in the list.
     Absent,
 }
 
 impl Table {
-    /// Makes the table of a VM that starts. Its incarnation is the time, so that it is above any
-    /// of an earlier run; where the clock was set back, others tell it a higher one.
+    /// Makes the table of a VM that starts. Its incarnation is the time, so that it is higher than
+    /// that of any earlier run. If the clock was set back, other VMs report a higher one and this
+    /// VM exceeds that.
     #[must_use]
     pub fn new(mut status: Status, now: Millis) -> Self {
         status.liveness = Liveness::Up;
@@ -130,25 +134,25 @@
         table
     }
 
-    /// Yields the VMs, sorted by name.
+    /// Returns the VMs, sorted by name.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Yields this VM's own line.
+    /// Returns this VM's own status.
     #[must_use]
     pub fn own(&self) -> &Status {
         &self.members[self.own_index()].status
     }
 
-    /// Looks a VM up.
+    /// Looks up a VM.
     #[must_use]
     pub fn find(&self, vm: &id::Vm) -> Option<&Member> {
         Some(&self.members[self.position(vm).ok()?])
     }
 
-    /// Changes what this VM tells of itself, which others hear with its next heartbeats.
+    /// Changes this VM's own status, which others receive with its next heartbeats.
     pub fn set_own(&mut self, change: impl FnOnce(&mut Status)) {
         let index = self.own_index();
         let before = self.members[index].status.stopping;
@@ -158,12 +162,12 @@
         }
     }
 
-    /// Yields who came up and went down since the last call.
+    /// Returns which VMs came up and went down since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes what is told of a VM, by itself or by another.
+    /// Merges a VM's status, received from that VM or from another one.
     pub fn merge(&mut self, received: &Status, now: Millis) {
         if received.vm == self.me && self.position(&self.me).is_ok() {
             self.refute(received);
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Notes that a VM didn't answer.
+    /// Suspects a VM that didn't answer.
     pub fn suspect(&mut self, vm: &id::Vm, now: Millis) {
         if *vm == self.me {
             return;
@@ -189,8 +193,9 @@
         }
     }
 
-    /// Takes the platform's list, which lags both ways. That a VM leaves is taken at its word. That
-    /// it is gone counts only for one that was listed and is suspected: one that speaks is up.
+    /// Applies the platform's list, which lags both for new and for removed VMs. An entry that says
+    /// a VM is leaving is always believed. A missing entry counts only for a VM that was listed
+    /// before and is suspected: a VM that answers is up.
     pub fn apply_list(&mut self, lookup: impl Fn(&id::Vm) -> Listed, now: Millis) {
         for index in 0..self.members.len() {
             let vm = self.members[index].status.vm.clone();
@@ -213,7 +218,8 @@
         }
     }
 
-    /// Begins a round: ends suspicions that weren't refuted, and draws whom to send a heartbeat.
+    /// Begins a round: marks VMs as down whose suspicion wasn't refuted in time, and picks the VMs
+    /// that get a heartbeat.
     pub fn begin_round<R: Rng>(&mut self, now: Millis, random: &mut R) -> Vec<id::Vm> {
         let gap = self.last_round.map_or(Millis::ZERO, |last| now.since(last));
         self.last_round = Some(now);
@@ -225,7 +231,7 @@
         self.targets(random)
     }
 
-    /// Draws whom to send a heartbeat, as in a round, for news that shouldn't wait.
+    /// Picks the VMs that get a heartbeat, as in a round, for updates that shouldn't wait.
     pub fn targets<R: Rng>(&mut self, random: &mut R) -> Vec<id::Vm> {
         let mut targets = Vec::with_capacity(FANOUT + 2);
         for _ in 0..FANOUT {
@@ -247,8 +253,9 @@
         targets
     }
 
-    /// Picks up to `most` lines for a heartbeat to a VM that are news. What is thought of that VM
-    /// itself, where it isn't thought up, goes with each: only it can tell better.
+    /// Takes up to `max` statuses to spread with a heartbeat to a VM. If the receiver itself isn't
+    /// thought to be up, its status is added to every heartbeat, because only the receiver can
+    /// refute it.
     pub fn take_updates(&mut self, to: &id::Vm, max: usize) -> Vec<Status> {
         let sends = broadcast::transmit_limit(self.members.len());
         let names = self.updates.take(max, sends);
@@ -261,7 +268,7 @@
         statuses
     }
 
-    /// Adds all lines to a digest, so that two VMs that know the same have the same digest.
+    /// Adds all statuses to a digest. Two VMs that know the same have the same digest.
     pub fn digest(&self, hash: &mut Xxh3) {
         for Member { status, .. } in &self.members {
             hash.update(status.vm.as_str().as_bytes());
@@ -306,7 +313,8 @@
             return;
         }
         let previous = member.status.liveness;
-        // The list's word that the VM leaves holds for as long as it runs.
+        // Once the platform's list says that the VM is leaving, that holds as long as this process
+        // runs.
         let leaving = member.status.stopping && member.status.incarnation == received.incarnation;
         member.status = received.clone();
         member.status.stopping |= leaving;
@@ -326,8 +334,8 @@
         }
     }
 
-    /// Answers a line about this VM itself that says it isn't up, or that an earlier run got to a
-    /// higher incarnation.
+    /// Refutes a status of this VM itself that says it isn't up, or that has a higher incarnation
+    /// because it stems from an earlier run.
     fn refute(&mut self, received: &Status) {
         let index = self.own_index();
         let own = &mut self.members[index].status;
@@ -341,9 +349,10 @@
         }
     }
 
-    /// Starts anew after this VM was paused: the suspicions that it held ran out while no one could
-    /// refute to it, and ending them now would have it think VMs down that are up. Others may think
-    /// this VM down; a higher incarnation tells them better without waiting to be told.
+    /// Adjusts the state after this VM was paused. Suspicions ran out during the pause while nobody
+    /// could refute them to this VM, so ending them now would mark healthy VMs as down. Others may
+    /// think that this VM is down; a higher incarnation corrects them without waiting for their
+    /// report.
     fn resume_after_pause(&mut self, gap: Millis) {
         for member in &mut self.members {
             if member.status.liveness == Liveness::Suspect {
@@ -393,7 +402,7 @@
         None
     }
 
-    /// Yields the other VMs of the own data centre that aren't down.
+    /// Returns the other VMs of the own data centre that aren't down.
     #[must_use]
     pub fn same_centre(&self) -> Vec<id::Vm> {
         let others = self.members.iter().map(|m| &m.status);
@@ -417,7 +426,8 @@
     }
 }
 
-/// Builds the line of a VM that is known from settings only. Its incarnation is below any real one.
+/// Builds the status of a VM that is known from the settings only. Its incarnation is lower than
+/// any real one.
 #[must_use]
 pub fn seed(vm: &id::Vm, centre: &id::Centre, address: SocketAddr) -> Status {
     Status {
--- a/crates/node/src/controllers/members/exchange.rs
+++ b/crates/node/src/controllers/members/exchange.rs
@@ -1,4 +1,4 @@
-//! What one VM puts into its heartbeats and takes from others'.
+//! What a VM puts into its heartbeats, and how it merges those of others.
 
 use wire::clock::Millis;
 use wire::id;
@@ -13,24 +13,25 @@
 use super::loads::Loads;
 use super::owners::Owners;
 
-/// Lines of VMs in a frame. An ordinary day of the letter's fleet has 178 restarts and failures,
-/// each news of a few lines; 12 a frame carry a rack of 20 in two frames.
+/// The most VM statuses in a frame. A fleet of 380 VMs has 178 restarts and failures on an ordinary
+/// day, each of which causes a few updates; with 12 in a frame, the failure of a rack of 20 VMs
+/// fits in two frames.
 const MAX_VMS: usize = 12;
-/// Lines of shards in a frame.
+/// The most shard owners in a frame.
 const MAX_OWNERS: usize = 12;
-/// Loads in a frame: at 4 frames sent a round and about 50 bytes each this is 1.6 KB a second of
-/// the 4 KB that the letter allows.
+/// The most load reports in a frame: at 4 frames a round and about 50 bytes a report these are 1.6
+/// KB a second, of the 4 KB a second that are allowed.
 const MAX_LOADS: usize = 8;
-/// Endpoints in a frame that leave or no longer do.
+/// The most endpoints in a frame that are leaving or no longer are.
 const MAX_LISTINGS: usize = 12;
-/// How long what a VM knows must have been unchanged before a differing digest means that it
-/// missed something, rather than that news is on its way.
+/// How long this VM's knowledge must have been unchanged before a differing digest means that this
+/// VM missed an update, and not that the update is still spreading.
 const SETTLING_TIME: Millis = Millis::new(5_000);
-/// The least time between two exchanges of all lines: 380 VMs and 512 shards are 45 KB, thus
-/// 1.5 KB a second while digests go on to differ.
+/// The minimum time between two full syncs. The state of 380 VMs and 512 shards is 45 KB, that is
+/// 1.5 KB a second while digests keep differing.
 const SYNC_INTERVAL: Millis = Millis::new(30_000);
 
-/// All that a VM hears and tells.
+/// Everything that a VM receives and sends with heartbeats.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     /// The VMs.
@@ -39,7 +40,7 @@
     pub owners: Owners,
     /// The endpoints' loads.
     pub loads: Loads,
-    /// The endpoints that leave by the platform's list.
+    /// The endpoints that are leaving according to the platform's list.
     pub listings: Listings,
     digest: u64,
     changed_at: Millis,
@@ -51,7 +52,7 @@
 pub enum Next {
     /// Nothing.
     Nothing,
-    /// Send [`Exchange::all`] to the same VM.
+    /// Send [`Exchange::full_sync`] to the same VM.
     Sync,
 }
 
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Builds a heartbeat with all lines, which asks for all of the other's.
+    /// Builds a heartbeat with all statuses and owners, which asks the receiver for all of its own.
     pub fn full_sync(&mut self, now: Millis) -> Heartbeat {
         self.update_digest(now);
         self.synced_at = Some(now);
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Builds the last heartbeat of a VM that has given up its shards and goes.
+    /// Builds the last heartbeat of a VM that has given up its shards and shuts down.
     pub fn leave(&mut self) -> Heartbeat {
         let me = self.table.own().vm.clone();
         for owner in claims::stale_ownerships(&me, &[], self.owners.entries()) {
@@ -112,7 +113,7 @@
         last
     }
 
-    /// Takes a heartbeat and builds the answer.
+    /// Merges a heartbeat and builds the answer.
     pub fn answer(&mut self, heartbeat: &Heartbeat, now: Millis) -> Heartbeat {
         self.merge(heartbeat, now);
         if heartbeat.full {
@@ -121,7 +122,7 @@
         self.heartbeat(&heartbeat.me.vm, now)
     }
 
-    /// Takes the answer to a heartbeat.
+    /// Merges the answer to a heartbeat.
     pub fn on_answer(&mut self, heartbeat: &Heartbeat, now: Millis) -> Next {
         self.merge(heartbeat, now);
         self.update_digest(now);
--- a/crates/node/src/controllers/members/heartbeat.rs
+++ b/crates/node/src/controllers/members/heartbeat.rs
@@ -1,5 +1,5 @@
-//! The heartbeat's frame. Field names are one letter long, as they go with each frame; unknown
-//! ones are skipped, so that a newer VM can add to it.
+//! The frame of a heartbeat. Field names have one letter to keep frames small. Unknown fields are
+//! skipped, so that a newer VM can add fields.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use wire::clock::Millis;
 use wire::id;
 
-/// Whether a VM is up; a later one replaces an earlier one of the same incarnation.
+/// Whether a VM is up. Within one incarnation a later variant replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "u8", into = "u8")]
 pub enum Liveness {
@@ -36,7 +36,7 @@
     }
 }
 
-/// What is told of a VM.
+/// The status of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The VM.
@@ -45,38 +45,39 @@
     /// Its data centre.
     #[serde(rename = "c")]
     pub centre: id::Centre,
-    /// Its listener for VMs.
+    /// The address of its listener for VMs.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Its size beside the others.
+    /// Its size relative to the other VMs.
     #[serde(rename = "s")]
     pub size: u32,
-    /// Drawn at random at each start of the process: names what this run of it holds for others.
+    /// A random number drawn at each start of the process. Other VMs use it to name the batches
+    /// that they have this run of the process hold.
     #[serde(rename = "p", default)]
     pub process: u64,
-    /// Raised only by the VM itself, each time that it is doubted.
+    /// Raised only by the VM itself, each time that it refutes a suspicion.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Whether it is up.
     #[serde(rename = "l")]
     pub liveness: Liveness,
-    /// Whether it is on its way out.
+    /// Whether it is shutting down.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub stopping: bool,
-    /// The configuration revision that it has in force.
+    /// The configuration revision in force on it.
     #[serde(rename = "r", default)]
     pub revision: u64,
 }
 
 impl Status {
-    /// Yields what decides between two lines of a VM: the higher is the later.
+    /// Returns the key by which statuses of one VM are ordered: the higher one is later.
     #[must_use]
     pub fn rank(&self) -> (u64, Liveness) {
         (self.incarnation, self.liveness)
     }
 }
 
-/// What is told of a shard's owner.
+/// The owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The shard.
@@ -85,38 +86,38 @@
     /// The VM.
     #[serde(rename = "v")]
     pub vm: id::Vm,
-    /// The number of the ownership.
+    /// The epoch of the ownership.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// Whether the VM has given the shard up.
+    /// Whether the VM has given up the shard.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub free: bool,
 }
 
 impl Owner {
-    /// Yields what decides between two lines of a shard: the higher is the later.
+    /// Returns the key by which owners of one shard are ordered: the higher one is later.
     #[must_use]
     pub fn rank(&self) -> (u64, bool) {
         (self.epoch, self.free)
     }
 }
 
-/// What is told of an endpoint, by its keeper.
+/// The load of an endpoint, as reported by the VM that polls it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: id::Endpoint,
-    /// How old the report is. Ages are told in place of times, as clocks of VMs don't agree.
+    /// The age of the report. Ages are sent instead of times because the clocks of VMs differ.
     #[serde(rename = "a")]
     pub age: Millis,
     /// Whether it answers.
     #[serde(rename = "u")]
     pub up: bool,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub leaving: bool,
-    /// Calls that it works on.
+    /// Calls that it is running.
     #[serde(rename = "r")]
     pub running: u32,
     /// Calls that wait at it.
@@ -136,7 +137,7 @@
     /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: id::Endpoint,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     #[serde(rename = "x")]
     pub leaving: bool,
     /// How long ago the list was read.
@@ -144,33 +145,33 @@
     pub age: Millis,
 }
 
-/// A heartbeat, and the answer to one.
+/// A heartbeat, or the answer to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's own line.
+    /// The sender's own status.
     #[serde(rename = "m")]
     pub me: Status,
-    /// The digest of all lines of VMs and shards that the sender has.
+    /// The digest of all VM statuses and shard owners that the sender knows.
     #[serde(rename = "h")]
     pub digest: u64,
-    /// Whether the sender wants all lines.
+    /// Whether the sender asks for the receiver's full state.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub full: bool,
-    /// News of VMs.
+    /// Updates on VMs.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub vms: Vec<Status>,
-    /// News of shards.
+    /// Updates on shard owners.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub owners: Vec<Owner>,
     /// Loads of endpoints.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<Load>,
-    /// News of endpoints that leave.
+    /// Updates on endpoints that are leaving.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub listings: Vec<Listing>,
 }
 
-// serde calls it with a reference.
+// serde calls this function with a reference.
 #[allow(clippy::trivially_copy_pass_by_ref)]
 fn is_false(flag: &bool) -> bool {
     !*flag
--- a/crates/node/src/controllers/members/listings.rs
+++ b/crates/node/src/controllers/members/listings.rs
@@ -1,7 +1,7 @@
-//! Which endpoints leave by the platform's list.
+//! Which endpoints are leaving according to the platform's list.
 //!
-//! Two VMs of a centre read the list, as reads by all would grow with the fleet; what they find
-//! reaches the others with heartbeats.
+//! Only two VMs of a centre read the list, because reads by all VMs would grow with the fleet.
+//! Their findings reach the other VMs with heartbeats.
 
 use wire::clock::Millis;
 use wire::id;
@@ -10,8 +10,8 @@
 use super::broadcast::Queue;
 use super::heartbeat::Listing;
 
-/// By how much a finding must be newer than the known one, in milliseconds; see the slack of load
-/// reports.
+/// By how much a finding must be newer than the known one, in milliseconds, for the same reason as
+/// with load reports: each hop adds its transit time to the apparent time of a finding.
 const SLACK: Millis = Millis::new(200);
 
 #[derive(Clone, Debug)]
@@ -29,22 +29,23 @@
 }
 
 impl Listings {
-    /// Tells whether an endpoint leaves.
+    /// Returns whether an endpoint is leaving.
     #[must_use]
     pub fn leaves(&self, endpoint: &id::Endpoint) -> bool {
         self.position(endpoint)
             .is_ok_and(|at| self.entries[at].leaving)
     }
 
-    /// Yields the endpoints that leave.
+    /// Returns the endpoints that are leaving.
     pub fn leaving(&self) -> impl Iterator<Item = &id::Endpoint> {
         self.entries
             .iter()
-            .filter(|r| r.leaving)
-            .map(|r| &r.endpoint)
+            .filter(|e| e.leaving)
+            .map(|e| &e.endpoint)
     }
 
-    /// Takes a finding, the own ones too; news where it differs from what was known.
+    /// Merges a finding of this VM or of another one. It is sent to others if it differs from what
+    /// was known.
     pub fn merge(&mut self, received: &Listing, now: Millis) {
         let entry = Entry {
             endpoint: received.endpoint.clone(),
@@ -52,7 +53,7 @@
             read_at: Millis::new(now.as_u64().saturating_sub(received.age.as_u64())),
         };
         match self.position(&received.endpoint) {
-            // One that never left is no news.
+            // An endpoint that was never leaving is no update.
             Err(_) if !received.leaving => return,
             Err(at) => self.entries.insert(at, entry),
             Ok(at) if entry.read_at < self.entries[at].read_at.plus(SLACK) => return,
@@ -65,7 +66,7 @@
         self.updates.push(received.endpoint.clone());
     }
 
-    /// Picks up to `most` findings that are news, for a heartbeat in a fleet of `vms`.
+    /// Takes up to `max` findings to send with a heartbeat in a fleet of `vms`.
     pub fn take_updates(&mut self, max: usize, vms: usize, now: Millis) -> Vec<Listing> {
         let names = self.updates.take(max, broadcast::transmit_limit(vms));
         let entries = names
@@ -81,6 +82,6 @@
     }
 
     fn position(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
-        self.entries.binary_search_by(|r| r.endpoint.cmp(endpoint))
+        self.entries.binary_search_by(|e| e.endpoint.cmp(endpoint))
     }
 }
--- a/crates/node/src/controllers/members/loads.rs
+++ b/crates/node/src/controllers/members/loads.rs
@@ -1,8 +1,9 @@
-//! What keepers tell of the endpoints of the own data centre.
+//! Load reports of the endpoints of the own data centre.
 //!
-//! Loads change all the time, so the traffic would grow with endpoints times VMs. Each frame
-//! therefore has room for so many lines and no more: where there are more endpoints than fit,
-//! reports grow older instead of the traffic larger, and owners add their own dispatches since.
+//! Loads change all the time, so sending each change to each VM would cause traffic that grows with
+//! the number of endpoints times the number of VMs. Each frame therefore has room for a fixed
+//! number of reports. With more endpoints than fit, the reports become older but the traffic
+//! doesn't grow; owners add the calls that they have dispatched since a report was made.
 
 use wire::clock::Millis;
 use wire::id;
@@ -10,19 +11,19 @@
 use super::super::poller::Audience;
 use super::heartbeat;
 
-/// How often one VM passes a report on. Two, as each VM hears four frames a round.
+/// How often one VM forwards a report. Two suffice because each VM receives four frames a round.
 const MAX_SENDS: u32 = 2;
 /// By how much a report must be newer than the known one, in milliseconds. Each hop adds its
-/// transit time to the apparent time of a report; without the slack a report would come back as
-/// newer than itself.
+/// transit time to the apparent time of a report, so without this margin a report would come back
+/// as newer than itself.
 const SLACK: Millis = Millis::new(200);
 
-/// An endpoint's last known report.
+/// An endpoint's latest known report.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What it says; its age is that of the moment it was taken in.
+    /// The report. Its age is the one at the time when this VM received it.
     pub load: heartbeat::Load,
-    /// When it was made, by this VM's clock.
+    /// When the report was made, by this VM's clock.
     pub made_at: Millis,
     sent: u32,
 }
@@ -34,14 +35,14 @@
 }
 
 impl Loads {
-    /// Yields all reports.
+    /// Returns all reports.
     #[must_use]
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Takes a report, from the endpoint or from another VM. That an endpoint leaves isn't taken
-    /// back by an older report.
+    /// Merges a report, from the endpoint or from another VM. An older report can't revert that an
+    /// endpoint is leaving.
     pub fn merge(&mut self, load: &heartbeat::Load, now: Millis) {
         let new = Entry {
             load: load.clone(),
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Takes a report from the endpoint itself.
+    /// Merges a report that this VM got from the endpoint itself. One for [`Audience::Local`] isn't
+    /// forwarded.
     pub fn record(&mut self, load: &heartbeat::Load, audience: Audience, now: Millis) {
         self.merge(load, now);
         if audience == Audience::Local
@@ -65,17 +67,17 @@
         }
     }
 
-    /// Picks up to `most` reports for a frame: those sent least first, then the newest, and first
-    /// of all those that say that an endpoint leaves or doesn't answer.
+    /// Takes up to `max` reports for a frame: those of endpoints that are leaving or don't answer
+    /// first, then those sent least often, then the newest.
     pub fn take_reports(&mut self, max: usize, now: Millis) -> Vec<heartbeat::Load> {
         let mut due: Vec<&mut Entry> = self
             .entries
             .iter_mut()
-            .filter(|r| r.sent < MAX_SENDS)
+            .filter(|e| e.sent < MAX_SENDS)
             .collect();
-        due.sort_by_key(|r| {
-            let healthy = r.load.up && !r.load.leaving;
-            (healthy, r.sent, std::cmp::Reverse(r.made_at))
+        due.sort_by_key(|e| {
+            let healthy = e.load.up && !e.load.leaving;
+            (healthy, e.sent, std::cmp::Reverse(e.made_at))
         });
         due.truncate(max);
         let reports = due.into_iter().map(|entry| {
@@ -89,11 +91,11 @@
 
     fn position(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
         self.entries
-            .binary_search_by(|r| r.load.endpoint.cmp(endpoint))
+            .binary_search_by(|e| e.load.endpoint.cmp(endpoint))
     }
 
-    /// Drops what the configuration no longer has.
+    /// Drops the reports of endpoints that `keep` rejects, as the configuration no longer has them.
     pub fn retain(&mut self, keep: impl Fn(&id::Endpoint) -> bool) {
-        self.entries.retain(|r| keep(&r.load.endpoint));
+        self.entries.retain(|e| keep(&e.load.endpoint));
     }
 }
--- a/crates/node/src/controllers/members/owners.rs
+++ b/crates/node/src/controllers/members/owners.rs
@@ -1,7 +1,7 @@
-//! Who owns which shard, as heartbeats tell.
+//! Which VM owns which shard, as learned from heartbeats.
 //!
-//! The journal decides; these lines only say whom to ask. A line with a higher number of ownership
-//! replaces a lower one, so an owner that was paused and speaks again changes nothing.
+//! The journal decides on ownership; these entries only say which VM to ask. An entry with a higher
+//! epoch replaces one with a lower epoch, so an owner that resumes after a pause changes nothing.
 
 use wire::id;
 use xxhash_rust::xxh3::Xxh3;
@@ -10,7 +10,7 @@
 use super::broadcast::Queue;
 use super::heartbeat::Owner;
 
-/// The lines, sorted by shard.
+/// The entries, sorted by shard.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
     entries: Vec<Owner>,
@@ -18,20 +18,20 @@
 }
 
 impl Owners {
-    /// Yields all lines.
+    /// Returns all entries.
     #[must_use]
     pub fn entries(&self) -> &[Owner] {
         &self.entries
     }
 
-    /// Looks a shard's line up.
+    /// Looks up the owner of a shard.
     #[must_use]
     pub fn find(&self, shard: &id::Shard) -> Option<&Owner> {
         Some(&self.entries[self.position(shard).ok()?])
     }
 
-    /// Takes a line, the own ones too; it is news where it is later than the known one. Yields
-    /// whether it was.
+    /// Merges an entry of this VM or of another one, and queues it for sending if it is later than
+    /// the known entry. Returns whether it was.
     pub fn merge(&mut self, new: &Owner) -> bool {
         match self.position(&new.shard) {
             Err(at) => self.entries.insert(at, new.clone()),
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Picks up to `most` lines that are news, for a heartbeat in a fleet of `vms`.
+    /// Takes up to `max` entries to send with a heartbeat in a fleet of `vms`.
     pub fn take_updates(&mut self, max: usize, vms: usize) -> Vec<Owner> {
         let shards = self.updates.take(max, broadcast::transmit_limit(vms));
         shards
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// Adds all lines to a digest.
+    /// Adds all entries to a digest.
     pub fn digest(&self, hash: &mut Xxh3) {
         for entry in &self.entries {
             hash.update(entry.shard.centre.as_str().as_bytes());
--- a/crates/node/src/controllers/members/tests.rs
+++ b/crates/node/src/controllers/members/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// The table of `me`, who knows `other` as up with incarnation 5.
+/// The table of `me`, which knows `other` as up with incarnation 5.
 fn table() -> Table {
     let mut table = Table::new(status("me", 0, Liveness::Up), START);
     table.merge(&status("other", 5, Liveness::Up), START);
@@ -32,7 +32,7 @@
         .rank()
 }
 
-fn run(table: &mut Table, from: Millis, rounds: u64) {
+fn run_rounds(table: &mut Table, from: Millis, rounds: u64) {
     let mut random = SmallRng::seed_from_u64(1);
     for round in 1..=rounds {
         table.begin_round(
@@ -42,45 +42,46 @@
     }
 }
 
-// News of a VM arrives in any order and more than once; each VM must end up with the same.
+// Updates on a VM arrive in any order and more than once; the result must be the same.
 #[rstest]
 #[case::older(status("other", 4, Liveness::Down), (5, Liveness::Up))]
 #[case::suspect(status("other", 5, Liveness::Suspect), (5, Liveness::Suspect))]
 #[case::down(status("other", 5, Liveness::Down), (5, Liveness::Down))]
 #[case::refuted(status("other", 6, Liveness::Up), (6, Liveness::Up))]
-fn the_later_line_counts(#[case] received: Status, #[case] expected: (u64, Liveness)) {
+fn the_later_status_wins(#[case] received: Status, #[case] expected: (u64, Liveness)) {
     let mut table = table();
     table.merge(&received, START);
     table.merge(&status("other", 5, Liveness::Up), START);
     assert_eq!(other(&table), expected);
 }
 
-// A VM doesn't answer. It is suspected first, as one lost packet mustn't cost its shards; without
-// word from it, it is down after the time that a refutation takes. Its refutation, later, counts.
+// A VM that doesn't answer is suspected first, because one lost packet mustn't cost its shards.
+// Without a refutation it is down after the time that a refutation takes. A later refutation still
+// counts.
 #[test]
 fn a_silent_vm_is_suspected_then_down_and_comes_back() {
     let mut table = table();
     let vm = id::Vm::parse("other").unwrap();
     table.suspect(&vm, START);
-    run(&mut table, START, 2);
+    run_rounds(&mut table, START, 2);
     assert_eq!(other(&table), (5, Liveness::Suspect));
-    run(&mut table, START.plus(Millis::new(2_000)), 1);
+    run_rounds(&mut table, START.plus(Millis::new(2_000)), 1);
     assert_eq!(other(&table), (5, Liveness::Down));
     table.merge(&status("other", 6, Liveness::Up), START);
     let changes = [Change::Down(vm.clone(), Reason::Silent), Change::Up(vm)];
     assert_eq!(table.take_changes(), changes);
 }
 
-// This VM was paused for a minute with a suspicion open. No one could refute to it meanwhile: ended
-// now, it would have a healthy VM down, and its shards claimed. And as others may have this VM
-// down, it takes a higher incarnation.
+// This VM is paused for a minute while it suspects another VM. Nobody could refute the suspicion
+// during the pause: ending it now would mark a healthy VM as down and have its shards claimed.
+// Others may think that this VM is down, so it takes a higher incarnation.
 #[test]
-fn a_vm_back_from_a_pause_gives_suspects_their_time() {
+fn a_vm_that_resumes_gives_suspects_time_to_refute() {
     let mut table = table();
-    run(&mut table, START, 1);
+    run_rounds(&mut table, START, 1);
     table.suspect(&id::Vm::parse("other").unwrap(), START.plus(ROUND_INTERVAL));
     let before = table.own().incarnation;
-    run(&mut table, START.plus(Millis::new(60_000)), 1);
+    run_rounds(&mut table, START.plus(Millis::new(60_000)), 1);
     assert_eq!(other(&table), (5, Liveness::Suspect));
     assert_eq!(table.own().incarnation, before + 1);
 }
@@ -89,7 +90,7 @@
 #[case::suspect(0, Liveness::Suspect, 1)]
 #[case::down(0, Liveness::Down, 1)]
 #[case::earlier_run(7, Liveness::Up, 8)]
-fn a_vm_refutes_what_is_told_of_it(
+fn a_vm_refutes_reports_that_it_is_not_up(
     #[case] ahead: u64,
     #[case] liveness: Liveness,
     #[case] after: u64,
@@ -100,13 +101,14 @@
     assert_eq!(table.own().rank(), (before + after, Liveness::Up));
 }
 
-// The platform's list lags: it may still lack a VM that has just started, so a VM that is heard is
-// up whatever it says. One that is also silent needn't be waited for.
+// The platform's list lags: it may lack a VM that has just started, so a VM that answers is up
+// whatever the list says. If a VM is missing from the list and doesn't answer either, it is down
+// without a wait.
 #[rstest]
 #[case::heard(false, Listed::Absent, Liveness::Up, false)]
 #[case::silent(true, Listed::Absent, Liveness::Down, false)]
 #[case::leaving(false, Listed::Leaving, Liveness::Up, true)]
-fn the_list_counts_as_far_as_it_can_be_believed(
+fn the_platforms_list_counts_where_it_is_reliable(
     #[case] silent: bool,
     #[case] listed: Listed,
     #[case] liveness: Liveness,
--- a/crates/node/src/controllers/poller.rs
+++ b/crates/node/src/controllers/poller.rs
@@ -1,8 +1,9 @@
-//! Which endpoints this VM keeps, when it asks them, and what their answers mean.
+//! Which endpoints this VM polls, when it does so, and how it evaluates their answers.
 //!
-//! Each endpoint has one keeper, the VM of its data centre that rendezvous hashing gives it, so
-//! that 600 endpoints are asked 600 times a second in all and not once by each of 380 VMs. A keeper
-//! that dies is replaced when it is thought down; two keepers for a while do no harm.
+//! Each endpoint has one poller: the VM of its data centre that rendezvous hashing assigns to it.
+//! 600 endpoints are therefore polled 600 times a second in total, and not once by each of 380 VMs.
+//! A poller that dies is replaced when it is thought to be down. Two pollers at the same time for a
+//! while do no harm.
 
 use serde::Deserialize;
 use settings::config::Endpoint;
@@ -17,47 +18,48 @@
 
 pub mod sweep;
 
-/// How often an endpoint is asked for its load. A leaving one must get nothing after 3 s: a second
-/// until it is asked, one for the spread, one to spare.
+/// How often an endpoint is asked for its load. An endpoint that leaves must get no calls after 3
+/// s: 1 s until it is polled, 1 s to spread the report and 1 s of margin.
 pub const LOAD_INTERVAL: Millis = Millis::new(1_000);
-/// How often a runner is asked what it holds; see [`sweep::GRACE`] for the time until a leak is
-/// found.
+/// How often a runner is asked which programs it has cached; see [`sweep::GRACE`] for the time
+/// until a leak is found.
 pub const CACHE_INTERVAL: Millis = Millis::new(15_000);
-/// Questions in a row without an answer from which on an endpoint isn't up. One may be lost.
+/// Consecutive polls without an answer after which an endpoint counts as down. A single answer may
+/// be lost.
 const FAILURE_THRESHOLD: u32 = 2;
-/// How old a told report may grow while nothing changes.
+/// The maximum age of a published report while nothing changes.
 const REFRESH_INTERVAL: Millis = Millis::new(5_000);
-/// Which part of its calls more or fewer make a report worth telling: one eighth moves a placement
-/// by less than the lag of the reports does.
+/// A report is published if the number of calls changed by this fraction, one eighth. A smaller
+/// change affects placement by less than the lag of the reports does.
 const CHANGE_DIVISOR: u32 = 8;
-/// The least change of calls that is worth telling.
+/// The smallest change of the number of calls that is published.
 const MIN_CHANGE: u32 = 2;
 
-/// What an endpoint is asked.
+/// What an endpoint is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Question {
     /// Its load.
     Load,
-    /// What it holds.
+    /// The programs it has cached.
     Cache,
 }
 
-/// A question to an endpoint.
+/// A poll of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// The endpoint.
     pub endpoint: id::Endpoint,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// What it is asked.
+    /// What it is asked for.
     pub question: Question,
 }
 
-/// An endpoint's report; what it leaves out is taken for nothing.
+/// An endpoint's report. Missing fields count as zero or false.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// Calls that it works on.
+    /// Calls that it is running.
     pub running: u32,
     /// Calls that wait at it.
     pub waiting: u32,
@@ -67,20 +69,20 @@
     pub cache_tokens_free: u64,
     /// Whether it takes no new calls.
     pub leaving: bool,
-    /// The report's age.
+    /// The age of the report.
     pub age_ms: Millis,
 }
 
-/// Whether a report is told to other VMs.
+/// To whom a report is published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// It is.
+    /// To the other VMs of the centre.
     Centre,
-    /// It is kept here only, as it differs little from the last one told.
+    /// To this VM only, because it differs little from the last one published to others.
     Local,
 }
 
-/// An endpoint that this VM keeps.
+/// An endpoint that this VM polls.
 #[derive(Clone, Debug)]
 struct Target {
     endpoint: id::Endpoint,
@@ -91,15 +93,15 @@
     published: Option<(heartbeat::Load, Millis)>,
 }
 
-/// The endpoints that this VM keeps, sorted by name.
+/// The endpoints that this VM polls, sorted by name.
 #[derive(Clone, Debug, Default)]
 pub struct Poller {
     targets: Vec<Target>,
 }
 
 impl Poller {
-    /// Takes up and gives up endpoints as the configuration and the live VMs say, and yields the
-    /// questions that are due. A data centre without a live VM has no keepers.
+    /// Updates the polled endpoints to the configuration and the live VMs, and returns the polls
+    /// that are due. The endpoints of a data centre without a live VM aren't polled.
     pub fn due(&mut self, all: &[Endpoint], vms: &[Vm], me: &id::Vm, now: Millis) -> Vec<Poll> {
         let mine = |e: &&Endpoint| poller(e, vms) == Some(me);
         let mine: Vec<&Endpoint> = all.iter().filter(mine).collect();
@@ -125,8 +127,8 @@
         polls
     }
 
-    /// Takes the answer to a question for the load, `None` where there was none, and yields what
-    /// to publish.
+    /// Handles the answer to a load poll, `None` if there was none. Returns what to publish and to
+    /// whom.
     pub fn on_answer(
         &mut self,
         endpoint: &id::Endpoint,
@@ -182,7 +184,7 @@
     }
 }
 
-/// Chooses the VM that keeps an endpoint.
+/// Chooses the VM that polls an endpoint.
 fn poller<'a>(endpoint: &Endpoint, vms: &'a [Vm]) -> Option<&'a id::Vm> {
     let eligible = vms
         .iter()
--- a/crates/node/src/controllers/poller/sweep.rs
+++ b/crates/node/src/controllers/poller/sweep.rs
@@ -1,20 +1,22 @@
-//! Which programs' cache an endpoint holds although the programs are gone.
+//! Finds cache that endpoints hold for programs that are gone.
 //!
-//! Releases are repeated until confirmed, but only to endpoints that the journal names as holders.
-//! An engine may hold more: cache events come late and with gaps, and an attempt that was given up
-//! may have been cached. The keeper therefore asks what is held, and asks each program's owner
-//! whether it is gone. Only an owner's word counts: a shard without an owner, or an owner that
-//! doesn't answer, says nothing. The owner sends the order, under its fence.
+//! Releases are repeated until they are confirmed, but are sent only to endpoints that the journal
+//! names as holders. An engine may hold more: cache events arrive late and with gaps, and an
+//! abandoned attempt may have been cached. The poller therefore asks the endpoint which programs it
+//! holds, and asks the owner of each program whether that is gone. Only an owner's answer counts:
+//! nothing follows from a shard without an owner, or from an owner that doesn't answer. The owner
+//! sends the release order with its fence.
 
 use wire::clock::Millis;
 use wire::id;
 
-/// How long a program must have been gone by its owner's word: longer than a hand-over or takeover
-/// takes, so that an owner which has lost its shard without knowing it doesn't release what the
-/// new owner has just begun. With [`super::CACHE`] a leak is found within 45 s.
+/// How long an owner must report a program as gone before it is released. This is longer than a
+/// hand-over or takeover takes, so that an owner that has lost its shard without noticing doesn't
+/// release a program that the new owner has just started. With [`super::CACHE_INTERVAL`] a leak is
+/// found within 45 s.
 pub const GRACE: Millis = Millis::new(15_000);
 
-/// What an owner said of a program that an endpoint holds.
+/// A program that an endpoint holds and that its owner reported as gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Candidate {
     endpoint: id::Endpoint,
@@ -23,16 +25,16 @@
     since: Millis,
 }
 
-/// What owners have said to be gone.
+/// The programs that owners reported as gone.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
     candidates: Vec<Candidate>,
 }
 
 impl Sweep {
-    /// Takes an owner's answer, of ownership number `epoch`, on the programs of its shard that an
-    /// endpoint holds: `held` of which it says that `gone` are. Yields those that have been gone
-    /// for [`GRACE`] under the same ownership, for the owner to release.
+    /// Handles the answer of an owner with this `epoch` about the programs of its shard that an
+    /// endpoint holds: of `held`, those in `gone` are gone. Returns the programs that have been
+    /// gone for [`GRACE`] in the same epoch, which the owner should release.
     pub fn on_answer(
         &mut self,
         endpoint: &id::Endpoint,
@@ -62,7 +64,7 @@
         due
     }
 
-    /// Drops what an endpoint no longer holds.
+    /// Drops the programs that an endpoint no longer holds.
     pub fn retain_held(&mut self, endpoint: &id::Endpoint, held: &[id::Program]) {
         self.candidates
             .retain(|c| c.endpoint != *endpoint || held.contains(&c.program));
--- a/crates/node/src/controllers/poller/tests.rs
+++ b/crates/node/src/controllers/poller/tests.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// A keeper with one endpoint that has told a report of 16 calls.
+/// A poller with one endpoint that has published a report of 16 calls.
 fn poller() -> (Poller, id::Endpoint) {
     let (mut poller, endpoint, vms) = (Poller::default(), endpoint("e"), vms(1));
     poller.due(std::slice::from_ref(&endpoint), &vms, &vms[0].vm, START);
@@ -48,8 +48,8 @@
     (poller, endpoint.name)
 }
 
-// Each endpoint is asked by one VM and by no other, also after a VM has died: asked by none, its
-// load would grow old and its leaving unseen; asked by all, 380 VMs would ask 600 endpoints.
+// Each endpoint is polled by exactly one VM, also after a VM has died. If nobody polled it, its
+// load would become old and its leaving unnoticed; if all did, 380 VMs would poll 600 endpoints.
 #[rstest]
 #[case::all_up(&[])]
 #[case::one_dead(&[1])]
@@ -68,15 +68,15 @@
     assert_eq!(polled, names);
 }
 
-// A report goes to all VMs of the centre; one that says what they know already would cost as much
-// as one that matters.
+// A report goes to all VMs of the centre. One with nothing new would cost as much as one that
+// matters.
 #[rstest]
-#[case::same(report(16), 1_000, Audience::Local)]
-#[case::little(report(17), 1_000, Audience::Local)]
-#[case::much(report(18), 1_000, Audience::Centre)]
+#[case::unchanged(report(16), 1_000, Audience::Local)]
+#[case::small_change(report(17), 1_000, Audience::Local)]
+#[case::large_change(report(18), 1_000, Audience::Centre)]
 #[case::old(report(16), 5_000, Audience::Centre)]
 #[case::leaving(Report { leaving: true, ..report(16) }, 1_000, Audience::Centre)]
-fn only_reports_that_matter_are_told(
+fn only_reports_with_a_significant_change_are_published(
     #[case] report: Report,
     #[case] later: u64,
     #[case] audience: Audience,
@@ -87,9 +87,9 @@
     assert_eq!(answer.unwrap().1, audience);
 }
 
-// One lost answer doesn't take an endpoint out of use; two in a row do, and that is told.
+// One lost answer doesn't take an endpoint out of use. Two in a row do, and this is published.
 #[test]
-fn an_endpoint_that_does_not_answer_twice_is_not_up() {
+fn an_endpoint_that_does_not_answer_twice_is_down() {
     let (mut poller, endpoint) = poller();
     assert_eq!(poller.on_answer(&endpoint, None, START), None);
     let (load, audience) = poller.on_answer(&endpoint, None, START).unwrap();
@@ -100,15 +100,15 @@
     assert_eq!((load.up, audience), (true, Audience::Centre));
 }
 
-// A runner holds a program that its owner says is gone. It is released after the owner has said so
-// for GRACE, under one ownership: an owner that lost its shard without knowing may take a program
-// that the new owner has just begun for gone.
+// A runner holds a program that its owner reports as gone. It is released after the owner has
+// reported so for GRACE in one epoch: an owner that has lost its shard without noticing may report
+// a program as gone that the new owner has just started.
 #[rstest]
 #[case::at_once(0, 1, 1, true, false)]
 #[case::in_time(GRACE.as_u64(), 1, 1, true, true)]
 #[case::new_owner(GRACE.as_u64(), 1, 2, true, false)]
-#[case::begun_meanwhile(GRACE.as_u64(), 1, 1, false, false)]
-fn a_program_is_swept_when_it_was_gone_for_long(
+#[case::started_meanwhile(GRACE.as_u64(), 1, 1, false, false)]
+fn a_program_is_swept_after_the_grace_period(
     #[case] later: u64,
     #[case] first: u64,
     #[case] second: u64,
--- a/crates/node/src/controllers/rendezvous.rs
+++ b/crates/node/src/controllers/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Weighted rendezvous hashing: which VM should have a shard, an endpoint or a duty.
+//! Weighted rendezvous hashing: assigns shards, endpoints and duties to VMs.
 //!
-//! Each VM computes the same choice from the same list of VMs, without asking anyone. A VM that
-//! comes or goes moves only what it should have: with `n` VMs of one size, one part in `n`. A VM
-//! of twice the size gets twice as much.
+//! Each VM computes the same assignment from the same list of VMs, without communication. If a VM
+//! joins or leaves, only its own share moves: with `n` VMs of one size, one in `n`. A VM of twice
+//! the size gets twice the share.
 
 use std::cmp::Ordering;
 
@@ -14,11 +14,11 @@
 pub struct Candidate<'a> {
     /// The VM.
     pub vm: &'a id::Vm,
-    /// Its size; one of 0 is never chosen.
+    /// Its size. A VM of size 0 is never chosen.
     pub size: u32,
 }
 
-/// Chooses the VM that should have `subject`; `None` without a candidate of any size.
+/// Chooses the VM that `subject` is assigned to; `None` if no candidate has a size above 0.
 pub fn choose<'a>(
     subject: &str,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -28,7 +28,7 @@
     scored.max_by(by_score).map(|(_, vm)| vm)
 }
 
-/// Chooses the `count` VMs that should have `subject`, the first first.
+/// Chooses `count` VMs for `subject`, the most preferred first.
 pub fn choose_several<'a>(
     subject: &str,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -45,14 +45,14 @@
     a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1))
 }
 
-/// Draws `size / -ln(u)` with `u` uniform in (0, 1) from the hash of subject and VM. The largest
-/// draw of several falls to each VM with a chance in proportion to its size.
+/// Computes `size / -ln(u)`, with `u` uniform in (0, 1) from the hash of subject and VM. The
+/// probability that a VM has the highest score is proportional to its size.
 fn score(subject: &str, candidate: Candidate<'_>) -> f64 {
     let mut hash = Xxh3::new();
     hash.update(subject.as_bytes());
     hash.update(&[0]);
     hash.update(candidate.vm.as_str().as_bytes());
-    // The upper 32 bits are plenty for a choice, and convert without loss.
+    // The upper 32 bits suffice for a choice, and convert to `f64` without loss.
     let upper = u32::try_from(hash.digest() >> 32).unwrap_or(u32::MAX);
     let uniform = (f64::from(upper) + 0.5) / (f64::from(u32::MAX) + 1.0);
     f64::from(candidate.size) / -uniform.ln()
--- a/crates/node/src/controllers/rendezvous/tests.rs
+++ b/crates/node/src/controllers/rendezvous/tests.rs
@@ -27,9 +27,9 @@
     );
 }
 
-// A VM goes. Shards that moved between VMs that stay would each cost a hand-over for nothing.
+// A VM leaves. Each shard that moved between the remaining VMs would cost an unnecessary hand-over.
 #[test]
-fn only_what_the_gone_vm_had_moves() {
+fn only_the_share_of_a_removed_vm_moves() {
     let vms = vms(5);
     let before = choices(&vms, |_| 1);
     let after = choices(&vms, |at| u32::from(at != 2));
--- a/crates/node/src/controllers/run.rs
+++ b/crates/node/src/controllers/run.rs
@@ -1,4 +1,4 @@
-//! The tasks that do the controllers' traffic.
+//! The tasks that do the controllers' I/O.
 
 pub mod claims;
 pub mod config;
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -1,4 +1,4 @@
-//! Keeps the lease, claims shards and hands them over.
+//! Renews the lease, claims shards and hands them over.
 
 use std::sync::Arc;
 
@@ -30,11 +30,12 @@
 use crate::controllers::run::members;
 use crate::core::Core;
 
-/// How often decisions are taken: the pace of claims. Each one lists all VMs anew.
+/// The time between two decisions, equal to the interval of claims. Each decision lists all VMs
+/// again.
 const DECISION_INTERVAL: Millis = Millis::new(100);
-/// How often records that may be left over are looked at.
+/// How often possibly stale records are checked.
 const CLEANUP_INTERVAL: Millis = Millis::new(1_000);
-/// How long the next owner may take to answer when it is told of a hand-over.
+/// How long the next owner may take to answer the notice of a hand-over.
 const HANDOVER_NOTICE_TIMEOUT: Millis = Millis::new(500);
 
 /// How a claim or a hand-over ended.
@@ -43,7 +44,7 @@
     Released(id::Shard, id::Vm),
 }
 
-/// What the task keeps.
+/// The state of the task.
 struct Task {
     core: Arc<Core>,
     renewer: Renewer,
@@ -57,7 +58,7 @@
     completions: mpsc::UnboundedSender<Completion>,
 }
 
-/// Runs until the node has stopped, and then ends the lease, which frees what is left.
+/// Runs until the node has stopped, and then revokes the lease, which frees the remaining shards.
 pub async fn run(core: Arc<Core>) {
     let (sender, mut completions) = mpsc::unbounded_channel();
     let now = core.clock.now();
@@ -82,12 +83,12 @@
         }
     }
     if let Some(lease) = task.renewer.lease() {
-        let _or_it_lapses = core.platform.revoke(lease).await;
+        let _expires_anyway = core.platform.revoke(lease).await;
     }
 }
 
-/// Waits until each shard of the own data centre has an owner, for a lease time at most: what has
-/// none by then, has a dead owner or the platform is down.
+/// Waits until each shard of the own data centre has an owner, for a lease time at most. A shard
+/// without an owner by then had an owner that died, or the platform is down.
 pub async fn wait_for_owners(core: &Core) {
     let own = &core.settings.vm.centre;
     let shards = core.settings.centres.iter().find(|c| c.name == *own);
@@ -97,7 +98,7 @@
         let own_shards = view.owners.iter().filter(|o| o.shard.centre == *own);
         own_shards.count() >= wanted
     });
-    let _or_not = timeout(core.settings.platform.lease.as_duration(), all).await;
+    let _timed_out = timeout(core.settings.platform.lease.as_duration(), all).await;
 }
 
 impl Task {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Writes the records of all owned shards anew under a new lease.
+    /// Writes the records of all owned shards again under a new lease.
     fn reclaim(&self, lease: edge::Lease) {
         for owned in self.core.registry.owned() {
             let core = self.core.clone();
@@ -167,7 +168,7 @@
                 core.control.urgent.notify_one();
             }
         }
-        // What is left at the node's end is handed over by its shutdown, all at once.
+        // The node's shutdown hands over the remaining shards, all at once.
         if core.stopping.is_cancelled() {
             return;
         }
@@ -202,7 +203,7 @@
                 let (core, completions) = (self.core.clone(), self.completions.clone());
                 self.core.tasks.spawn(async move {
                     let served = claim(&core, &shard, lease).await;
-                    let _task_over = completions.send(Completion::Claimed(shard, served));
+                    let _task_ended = completions.send(Completion::Claimed(shard, served));
                 });
             }
             Action::Release { shard, .. } if self.busy.contains(&shard) => {}
@@ -215,7 +216,7 @@
                 let (core, completions) = (self.core.clone(), self.completions.clone());
                 self.core.tasks.spawn(async move {
                     core.registry.release(&shard).await;
-                    let _task_over = completions.send(Completion::Released(shard, to));
+                    let _task_ended = completions.send(Completion::Released(shard, to));
                 });
             }
         }
@@ -235,7 +236,8 @@
             Completion::Released(shard, to) => {
                 self.busy.retain(|s| *s != shard);
                 self.stale_records.push(shard);
-                // The line that says so goes to the next owner at once.
+                // This marks the shard as given up, and the heartbeat below sends that to the next
+                // owner at once.
                 self.decide();
                 let core = self.core.clone();
                 self.core.tasks.spawn(async move {
@@ -245,9 +247,9 @@
         }
     }
 
-    /// Removes records that name this VM for shards that it doesn't serve: a removal or a claim
-    /// whose answer was lost. The VM goes on renewing its lease, so such a record would keep its
-    /// shard from every VM for as long as this one lives.
+    /// Removes records that name this VM for shards that it doesn't serve. They remain if the
+    /// answer to a removal or a claim was lost. This VM keeps renewing its lease, so such a record
+    /// would block the shard for every VM as long as this one lives.
     async fn remove_stale_records(&mut self) {
         let now = self.core.clock.now();
         if now.since(self.last_cleanup) < CLEANUP_INTERVAL || self.renewer.health() == Health::Down
@@ -303,13 +305,14 @@
 async fn reclaim(core: &Core, shard: &id::Shard, lease: edge::Lease) {
     match core.registry.reclaim(shard, lease).await {
         Ok(true) => {}
-        // The journal's fence ends the ownership, at the next append at the latest.
+        // The journal's fence ends the ownership at the next append at the latest.
         Ok(false) => log::warn!("{} shard={shard} reason=record", Event::ShardLost),
         Err(fault) => log::warn!("{} shard={shard} failed=\"{fault}\"", Event::ShardClaimed),
     }
 }
 
-/// Removes a shard's record where it names this VM; `true` where it surely doesn't any more.
+/// Removes a shard's record if it names this VM. Returns `true` if it surely doesn't name this VM
+/// any more.
 async fn remove_record(core: &Core, shard: &id::Shard) -> bool {
     let key = key::owner(shard);
     let Ok(read) = core.platform.read(&key).await else {
--- a/crates/node/src/controllers/run/config.rs
+++ b/crates/node/src/controllers/run/config.rs
@@ -39,37 +39,38 @@
 
 /// How long a VM may take to send the configuration.
 const PULL_TIMEOUT: Millis = Millis::new(1_000);
-/// The pause between two tries of a VM that starts and finds no configuration.
+/// The delay between two attempts of a VM that starts and finds no configuration.
 const BOOT_RETRY_DELAY: Millis = Millis::new(500);
-/// How often a VM looks whether it is one of those that watch.
+/// How often a VM checks whether it is one of the watchers.
 const WATCHER_CHECK_INTERVAL: Millis = Millis::new(2_000);
-/// How long a change in doubt is looked into before the operator is told that it isn't known.
+/// How long the outcome of a change in doubt is investigated before the operator is told that it is
+/// unknown.
 const CHANGE_TIMEOUT: Millis = Millis::new(3_000);
-/// VMs that an accepted change is sent to before the operator hears of it, in each centre. With
-/// three, the change outlives the accepting VM and two others in an outage that begins right
-/// after, and 24 of the letter's 380 VMs pass it on.
+/// Number of VMs in each centre that get an accepted change before the operator is answered. With
+/// three, the change survives the loss of the accepting VM and two others in an outage that begins
+/// right afterwards, and 24 of 380 VMs forward it.
 const PUSHES_PER_CENTRE: usize = 3;
-/// How long the operator waits for the VMs to have a change in force; the users' limit is 4 s.
+/// How long the operator waits until a change is in force on the VMs. The users' limit is 4 s.
 const ROLLOUT_TIMEOUT: Millis = Millis::new(3_000);
-/// The pause between two rounds of asking which VMs have a change in force.
+/// The delay between two rounds of asking VMs whether a change is in force.
 const SURVEY_INTERVAL: Millis = Millis::new(200);
-/// VMs that are asked at once.
+/// Number of VMs that are asked at once.
 const SURVEY_CONCURRENCY: usize = 32;
 
-/// The platform, as a log line names where a revision came from.
+/// How log lines name the platform as the source of a revision.
 const PLATFORM: &str = "platform";
 
-/// Asks for the configuration.
+/// A request for the configuration.
 #[derive(Serialize, Deserialize)]
 struct Pull {}
 
-/// The configuration, as the platform holds it; absent where the VM starts itself.
+/// The configuration in the format of the platform; absent if the VM is starting itself.
 #[derive(Serialize, Deserialize)]
 struct Document {
     config: Option<Bytes>,
 }
 
-/// Takes the highest configuration among platform and peers, and returns when the VM may serve.
+/// Takes the highest configuration of platform and peers, and returns when the VM may serve.
 pub async fn boot(core: &Arc<Core>) {
     loop {
         let (platform, peers) = tokio::join!(read(core), ask_peers(core));
@@ -78,7 +79,7 @@
             return;
         }
         log::warn!(
-            "{} reason=\"no configuration to be had yet\"",
+            "{} reason=\"no configuration available yet\"",
             Event::NodeStarted
         );
         tokio::select! {
@@ -88,10 +89,11 @@
     }
 }
 
-/// Follows the platform's key: watches it where that is this VM's duty, else reads it now and then.
+/// Follows the platform's key: watches it if this VM is a watcher, and otherwise reads it every
+/// [`POLL_INTERVAL`].
 pub async fn follow(core: Arc<Core>) {
     let follow = async {
-        // Spread over the whole time, so that VMs that started together don't read together.
+        // The first wait is random, so that VMs that started together don't read together.
         let mut wait = Millis::new(rand::random::<u64>() % POLL_INTERVAL.as_u64());
         loop {
             if is_watcher(&core) {
@@ -125,13 +127,13 @@
     frame::encode(&document).ok()
 }
 
-/// Takes the configuration of another VM where it is higher.
+/// Takes the configuration of another VM if its revision is higher.
 pub async fn pull(core: &Arc<Core>, from: SocketAddr) {
     offer(core, pull_from(core, from).await, &from.to_string());
 }
 
-/// Makes an operator's change. Once it is accepted it is sent to VMs of each centre, and the answer
-/// tells on which VMs it is in force.
+/// Makes an operator's change. An accepted change is sent to VMs of each centre. Also returns on
+/// which VMs it is in force.
 pub async fn make(core: &Arc<Core>, edit: Edit, expected: Option<u64>) -> (Outcome, Rollout) {
     let deadline = core.clock.now().plus(CHANGE_TIMEOUT);
     let change = change::Change::new(edit, rand::random(), expected, deadline);
@@ -145,7 +147,7 @@
     (outcome, reached)
 }
 
-/// Sorts the VMs by whether a revision is in force, as far as heartbeats have told.
+/// Sorts the VMs by whether a revision is in force, according to their heartbeats.
 #[must_use]
 pub fn rollout(core: &Core, revision: u64) -> Rollout {
     let exchange = core.control.exchange();
@@ -157,7 +159,7 @@
     classify(revision, &members.collect::<Vec<_>>())
 }
 
-/// Asks the VMs that aren't known to have a revision, until all have or the time is over.
+/// Asks the VMs that aren't known to have a revision, until all have it or the time is over.
 pub async fn survey(core: &Arc<Core>, revision: u64) -> Rollout {
     let end = core.clock.now().plus(ROLLOUT_TIMEOUT);
     loop {
@@ -196,13 +198,13 @@
         Offer::Forked => {
             let revision = config.revision;
             log::error!(
-                "{} revision={revision} reason=\"another one of this number is in force\"",
+                "{} revision={revision} reason=\"another document with this revision is in force\"",
                 Event::RevisionDropped
             );
             return;
         }
     }
-    // Another may have been taken meanwhile: what is published is what is held.
+    // Another document may have been taken in the meantime, so this publishes the one in force.
     core.view.send_if_modified(|view| {
         let held = core.control.current_config().config().cloned();
         let Some(held) = held.filter(|h| h.revision >= view.config.revision) else {
@@ -274,7 +276,7 @@
     parse(&bytes).map_or(Source::Silent, |config| Source::Holds(Arc::new(config)))
 }
 
-/// Tells whether this VM is one of the [`WATCHERS`] of its data centre.
+/// Returns whether this VM is one of the [`WATCHERS`] of its data centre.
 #[must_use]
 pub fn is_watcher(core: &Core) -> bool {
     let exchange = core.control.exchange();
@@ -289,7 +291,7 @@
     rendezvous::choose_several(KEY, candidates, WATCHERS).contains(&&own.vm)
 }
 
-/// Watches the key until the watch breaks off or is no longer this VM's duty.
+/// Watches the key until the watch ends or this VM is no longer a watcher.
 async fn watch(core: &Core) {
     let read = core.platform.read(KEY).await;
     let from = match &read {
--- a/crates/node/src/controllers/run/members.rs
+++ b/crates/node/src/controllers/run/members.rs
@@ -1,4 +1,4 @@
-//! Sends and answers heartbeats, and publishes what they tell.
+//! Sends and answers heartbeats, and publishes what they contain.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,15 +25,16 @@
 use crate::view;
 
 /// How long a VM may take to answer a heartbeat. Data centres are some milliseconds apart; half a
-/// round leaves a busy VM its time without two rounds overlapping.
+/// round gives a busy VM time without letting two rounds overlap.
 const HEARTBEAT_TIMEOUT: Millis = Millis::new(500);
-/// How long a VM may take whose answer waits for it to pull a configuration first.
+/// How long a VM may take to answer a heartbeat if it first pulls a configuration.
 pub const PULL_TIMEOUT: Millis = Millis::new(1_500);
 
-/// VMs that a VM which stops tells at once; all of the centre in today's deployments.
+/// Number of VMs that a stopping VM notifies at once; in present deployments these are all of its
+/// centre.
 const MAX_SUCCESSORS: usize = 16;
 
-/// Starts to send heartbeats, first to the VMs that the settings name.
+/// Starts to send heartbeats, first to the VMs named by the settings.
 pub fn start(core: &Arc<Core>) {
     let now = core.clock.now();
     let mut exchange = core.control.exchange();
@@ -46,8 +47,8 @@
     core.tasks.spawn(run(core.clone()));
 }
 
-/// Answers a heartbeat. Where the sender has a higher revision it is pulled first, so that the
-/// answer says what is in force.
+/// Answers a heartbeat. If the sender has a higher revision, it is pulled first, so that the answer
+/// contains the revision then in force.
 pub async fn serve(core: &Arc<Core>, body: &[u8]) -> Option<Bytes> {
     let heartbeat: Heartbeat = call::decode(body)?;
     if core
@@ -62,7 +63,7 @@
     frame::encode(&answer).ok()
 }
 
-/// Sends one heartbeat and takes its answer.
+/// Sends one heartbeat and handles its answer.
 pub async fn send_heartbeat(core: &Arc<Core>, to: &id::Vm, time_limit: Millis) {
     let now = core.clock.now();
     let prepared = {
@@ -94,7 +95,7 @@
     publish(core);
 }
 
-/// Sends heartbeats to several VMs at once and waits for all.
+/// Sends heartbeats to several VMs at once and waits for all of them.
 pub async fn send_heartbeats(core: &Arc<Core>, targets: Vec<id::Vm>, time_limit: Millis) {
     let mut sends = tokio::task::JoinSet::new();
     for to in targets {
@@ -104,7 +105,7 @@
     while sends.join_next().await.is_some() {}
 }
 
-/// Publishes what is known of VMs, owners and loads where it has changed.
+/// Publishes the known VMs, owners and loads if they have changed.
 pub fn publish(core: &Core) {
     let mut exchange = core.control.exchange();
     let changes = exchange.table.take_changes();
@@ -152,8 +153,8 @@
     announce_leave(&core).await;
 }
 
-/// Draws whom to tell news that shouldn't wait. A VM that stops tells all that may take its shards
-/// over, as callers wait for these.
+/// Picks the VMs that get an urgent update. A stopping VM notifies all that may take over its
+/// shards, because callers are waiting for these.
 fn urgent_targets(core: &Core, random: &mut SmallRng) -> Vec<id::Vm> {
     let mut exchange = core.control.exchange();
     let mut targets = exchange.table.targets(random);
@@ -164,8 +165,8 @@
     targets
 }
 
-/// Tells other VMs that this one goes and has given up its shards, so that no one waits until its
-/// silence is noticed.
+/// Tells other VMs that this one is shutting down and has given up its shards, so that they needn't
+/// wait until its silence is noticed.
 async fn announce_leave(core: &Arc<Core>) {
     let (frame, targets) = {
         let mut exchange = core.control.exchange();
@@ -210,8 +211,8 @@
     .collect()
 }
 
-/// Joins what keepers report with what the platform's list says: the earlier sign that an endpoint
-/// leaves counts.
+/// Combines the load reports with the platform's list: an endpoint counts as leaving as soon as one
+/// of the two says so.
 fn loads(exchange: &Exchange) -> Vec<view::Load> {
     let mut loads: Vec<view::Load> = exchange.loads.entries().iter().map(load).collect();
     for endpoint in exchange.listings.leaving() {
--- a/crates/node/src/controllers/run/poller.rs
+++ b/crates/node/src/controllers/run/poller.rs
@@ -1,4 +1,5 @@
-//! Asks endpoints for their load, and reads the platform's list where that is this VM's duty.
+//! Polls endpoints for their load and cache, and reads the platform's list if this VM is one of
+//! those that do.
 
 use std::sync::Arc;
 
@@ -30,19 +31,20 @@
 use crate::http::body;
 use crate::peer;
 
-/// How often it is looked what is due: a quarter of the time between two questions. Each look
-/// chooses the keeper of every endpoint anew, which at 150 endpoints and 95 VMs of a centre is
-/// 14,000 hashes.
+/// How often due polls are determined: a quarter of the time between two polls. Each time the
+/// poller of every endpoint is chosen again, which is 14,000 hashes for 150 endpoints and 95 VMs in
+/// a centre.
 const SCHEDULE_INTERVAL: Millis = Millis::new(250);
-/// How often the platform's list is read by the two VMs of a centre whose duty it is: 16 reads a
+/// How often each of the two VMs of a centre that read the platform's list does so: 16 reads a
 /// second in eight centres.
 const LIST_INTERVAL: Millis = Millis::new(1_000);
-/// How long an endpoint may take to answer; half the time between two questions.
+/// How long an endpoint may take to answer; half the time between two polls.
 const ANSWER_TIMEOUT: Millis = Millis::new(500);
-/// The longest report in bytes: 4 KB would do for a load, a cache may hold some thousand programs.
+/// The maximum size of a report. 4 KB would suffice for a load, but a cache may hold some thousand
+/// programs.
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
-/// What an endpoint holds, as it reports.
+/// An endpoint's report of the programs it has cached.
 #[derive(Deserialize)]
 struct Cache {
     programs: Vec<Holding>,
@@ -58,20 +60,20 @@
 struct GoneQuery {
     shard: id::Shard,
     endpoint: id::Endpoint,
-    /// Which of these are gone?
+    /// The programs to check for being gone.
     programs: Vec<id::Program>,
-    /// These are to be released, where they are gone.
+    /// The programs to release if they are gone.
     release: Vec<id::Program>,
 }
 
-/// What a shard's owner says.
+/// The answer of a shard's owner.
 #[derive(Serialize, Deserialize)]
 struct Verdict {
     epoch: u64,
     gone: Vec<id::Program>,
 }
 
-/// Asks endpoints until the node has stopped.
+/// Polls endpoints until the node has stopped.
 pub async fn run(core: Arc<Core>) {
     let mut next_list = Millis::ZERO;
     loop {
@@ -136,7 +138,7 @@
     members::publish(core);
 }
 
-/// Asks a runner what it holds, and the owners of the programs whether these are gone.
+/// Asks a runner which programs it holds, and their owners whether these are gone.
 async fn poll_cache(core: &Arc<Core>, poll: &Poll) {
     let Some(report): Option<Cache> = query(core, poll, "/cache").await else {
         return;
@@ -156,7 +158,8 @@
     }
 }
 
-/// Asks a shard's owner which programs are gone, and has it release those that have been for long.
+/// Asks a shard's owner which programs are gone, and has it release those that have been gone for
+/// the grace period.
 async fn sweep_shard(
     core: &Arc<Core>,
     endpoint: &id::Endpoint,
@@ -185,7 +188,7 @@
             release,
             ..query
         };
-        let _asked_again_next_time = ask_owner(core, &release_request).await;
+        let _repeated_next_time = ask_owner(core, &release_request).await;
     }
 }
 
@@ -200,7 +203,8 @@
     answer.ok()?
 }
 
-/// Answers for a shard that this VM owns which programs are gone, and releases what is asked.
+/// Answers which programs of a shard that this VM owns are gone, and releases those that are to be
+/// released.
 pub async fn serve(core: &Arc<Core>, body: &[u8]) -> Option<Bytes> {
     let held: GoneQuery = call::decode(body)?;
     frame::encode(&answer_as_owner(core, &held).await).ok()
@@ -242,7 +246,8 @@
         .table
         .apply_list(|vm| list_status(&machines, vm.as_str()), now);
     for endpoint in &endpoints.endpoints {
-        // One that isn't listed may be too new for the list, or listed nowhere: that says nothing.
+        // An endpoint that isn't listed may be too new for the list, or may never be listed:
+        // nothing follows from that.
         let leaving = match list_status(&machines, endpoint.name.as_str()) {
             Listed::Absent => continue,
             listed => listed == Listed::Leaving,
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of the configuration: racing operators, lost answers, outages, restarts and old
-//! nodes that wake up, against the sequence of documents that the platform accepted.
+//! Stateful fuzzing of the configuration: racing operators, lost answers, outages, restarts and
+//! paused nodes that resume, checked against the sequence of documents that the platform accepted.
 
 #[path = "support/runs.rs"]
 mod runs;
@@ -34,14 +34,14 @@
 use wire::id;
 
 const NODES: usize = 4;
-const OPEN: usize = 3;
+const MAX_PENDING: usize = 3;
 const SEED: u64 = 5;
 const CASES: u32 = 512;
 const DEADLINE: Millis = Millis::new(1_000);
 
 #[derive(Clone, Debug)]
-enum Move {
-    Begin { node: usize, named: bool },
+enum Operation {
+    Begin { node: usize, with_expected: bool },
     Advance { change: usize },
     Lose(Play),
     Outage(bool),
@@ -56,17 +56,17 @@
 }
 
 #[derive(Clone, Debug)]
-struct Script;
+struct Scenario;
 
-impl ReferenceStateMachine for Script {
+impl ReferenceStateMachine for Scenario {
     type State = ();
-    type Transition = Move;
+    type Transition = Operation;
 
     fn init_state() -> BoxedStrategy<()> {
         Just(()).boxed()
     }
 
-    fn transitions((): &()) -> BoxedStrategy<Move> {
+    fn transitions((): &()) -> BoxedStrategy<Operation> {
         let node = 0..NODES;
         let play = prop_oneof![
             Just(Play::LoseAnswer),
@@ -74,23 +74,25 @@
             Just(Play::Delay),
         ];
         prop_oneof![
-            4 => (node.clone(), any::<bool>()).prop_map(|(node, named)| Move::Begin { node, named }),
-            12 => (0..OPEN).prop_map(|change| Move::Advance { change }),
-            2 => play.prop_map(Move::Lose),
-            2 => any::<bool>().prop_map(Move::Outage),
-            1 => Just(Move::Deliver),
-            1 => Just(Move::Wait),
-            4 => (node.clone(), node.clone()).prop_map(|(from, to)| Move::Heartbeat { from, to }),
-            2 => node.clone().prop_map(|node| Move::Poll { node }),
-            1 => node.clone().prop_map(|node| Move::Pause { node }),
-            2 => node.clone().prop_map(|node| Move::Wake { node }),
-            1 => node.clone().prop_map(|node| Move::Crash { node }),
-            2 => node.prop_map(|node| Move::Restart { node }),
+            4 => (node.clone(), any::<bool>())
+                .prop_map(|(node, with_expected)| Operation::Begin { node, with_expected }),
+            12 => (0..MAX_PENDING).prop_map(|change| Operation::Advance { change }),
+            2 => play.prop_map(Operation::Lose),
+            2 => any::<bool>().prop_map(Operation::Outage),
+            1 => Just(Operation::Deliver),
+            1 => Just(Operation::Wait),
+            4 => (node.clone(), node.clone())
+                .prop_map(|(from, to)| Operation::Heartbeat { from, to }),
+            2 => node.clone().prop_map(|node| Operation::Poll { node }),
+            1 => node.clone().prop_map(|node| Operation::Pause { node }),
+            2 => node.clone().prop_map(|node| Operation::Wake { node }),
+            1 => node.clone().prop_map(|node| Operation::Crash { node }),
+            2 => node.prop_map(|node| Operation::Restart { node }),
         ]
         .boxed()
     }
 
-    fn apply((): (), _: &Move) {}
+    fn apply((): (), _: &Operation) {}
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -103,11 +105,11 @@
 struct Node {
     phase: Phase,
     held: Current,
-    /// The highest revision that this run of the node had in force.
-    reached: u64,
+    /// The highest revision in force since this node started.
+    highest_revision: u64,
 }
 
-struct Open {
+struct Pending {
     node: usize,
     nonce: u64,
     change: Change,
@@ -120,11 +122,11 @@
     memory: Memory,
     down: bool,
     nodes: Vec<Node>,
-    open: Vec<Open>,
-    nonces: u64,
-    /// Every document that the platform ever held, by revision from 1.
+    pending: Vec<Pending>,
+    last_nonce: u64,
+    /// All documents that the platform has stored, by revision from 1.
     history: Vec<Config>,
-    /// Nonces of changes that an operator was told won't happen.
+    /// Nonces of changes that an operator was told won't take effect.
     rejected: Vec<u64>,
 }
 
@@ -137,8 +139,8 @@
         self.runtime.block_on(self.memory.read(KEY))
     }
 
-    /// Reads the key past any outage, as only the oracle can.
-    fn truth(&self) -> Config {
+    /// Reads the key even in an outage, which only the test can.
+    fn stored(&self) -> Config {
         self.memory.set_down(false);
         let entry = self.read().unwrap();
         self.memory.set_down(self.down);
@@ -146,37 +148,37 @@
     }
 
     fn record(&mut self) {
-        let truth = self.truth();
+        let stored = self.stored();
         let known = self.history.len() as u64;
-        if truth.revision == known {
+        if stored.revision == known {
             let last = self.history.last().cloned().unwrap_or_default();
-            assert_eq!(truth, last, "a document changed without a new revision");
+            assert_eq!(stored, last, "a document changed without a new revision");
             return;
         }
-        assert_eq!(truth.revision, known + 1, "a revision was left out");
+        assert_eq!(stored.revision, known + 1, "a revision was skipped");
         let labels = |c: &Config| c.programs.first().map_or(0, |p| p.labels.iter().count());
         assert_eq!(
-            labels(&truth) as u64,
-            truth.revision,
+            labels(&stored) as u64,
+            stored.revision,
             "an accepted change is lost"
         );
-        self.history.push(truth);
+        self.history.push(stored);
     }
 
-    fn begin(&mut self, node: usize, named: bool) {
-        if self.open.len() >= OPEN || self.nodes[node].phase != Phase::Running {
+    fn begin(&mut self, node: usize, with_expected: bool) {
+        if self.pending.len() >= MAX_PENDING || self.nodes[node].phase != Phase::Running {
             return;
         }
-        self.nonces += 1;
-        let nonce = self.nonces;
+        self.last_nonce += 1;
+        let nonce = self.last_nonce;
         let edit = Edit::Label {
             subject: Subject::Program(id::Program::parse("p").unwrap()),
             name: format!("change{nonce}"),
             value: Some("set".to_owned()),
         };
-        let expected = named.then(|| self.nodes[node].held.revision());
+        let expected = with_expected.then(|| self.nodes[node].held.revision());
         let deadline = self.now().plus(DEADLINE);
-        self.open.push(Open {
+        self.pending.push(Pending {
             node,
             nonce,
             change: Change::new(edit, nonce, expected, deadline),
@@ -185,38 +187,44 @@
     }
 
     fn advance(&mut self, at: usize) {
-        if at >= self.open.len() || self.nodes[self.open[at].node].phase != Phase::Running {
+        if at >= self.pending.len() || self.nodes[self.pending[at].node].phase != Phase::Running {
             return;
         }
         let now = self.now();
-        let step = self.open[at].step.clone();
+        let step = self.pending[at].step.clone();
         let next = match step {
             Step::Read => {
                 let read = self.read();
-                self.open[at].change.on_read(read, now)
+                self.pending[at].change.on_read(read, now)
             }
             Step::Commit(txn) => {
                 let commit = self.memory.commit(&txn, Weight::Change);
                 let outcome = self.runtime.block_on(commit);
-                self.open[at].change.on_commit(outcome, now)
+                self.pending[at].change.on_commit(outcome, now)
             }
-            Step::Done(_) => unreachable!("a change that is over was kept"),
+            Step::Done(_) => unreachable!("a finished change is still pending"),
         };
         if let Step::Done(outcome) = next {
-            let open = self.open.remove(at);
+            let pending = self.pending.remove(at);
             self.record();
-            self.finish(&open, outcome);
+            self.finish(&pending, outcome);
         } else {
-            self.open[at].step = next;
+            self.pending[at].step = next;
         }
     }
 
-    fn finish(&mut self, open: &Open, outcome: Outcome) {
+    fn finish(&mut self, pending: &Pending, outcome: Outcome) {
         match outcome {
             Outcome::Accepted(config) => {
                 let at = usize::try_from(config.revision).unwrap() - 1;
-                let truth = self.history.get(at).expect("accepted, but never held");
-                assert_eq!(truth.nonce, open.nonce, "accepted, but another's revision");
+                let stored = self
+                    .history
+                    .get(at)
+                    .expect("an accepted revision was never stored");
+                assert_eq!(
+                    stored.nonce, pending.nonce,
+                    "an accepted revision contains another change"
+                );
                 let config = Arc::new(*config);
                 for node in &mut self.nodes {
                     if node.phase == Phase::Running {
@@ -226,7 +234,7 @@
             }
             Outcome::Unknown { .. } => {}
             Outcome::Conflict { .. } | Outcome::NotSent(_) | Outcome::Bad(_) => {
-                self.rejected.push(open.nonce);
+                self.rejected.push(pending.nonce);
             }
         }
     }
@@ -236,7 +244,8 @@
         if from == to || both.iter().any(|n| n.phase != Phase::Running) {
             return;
         }
-        // Both offer what they hold, whatever the other says: an old node may do so on waking.
+        // Both offer their document, whatever the other has: a node that resumes may offer an old
+        // one.
         let held = both.map(|node| node.held.config().cloned());
         for (at, config) in [(to, &held[0]), (from, &held[1])] {
             if let Some(config) = config {
@@ -258,8 +267,9 @@
     fn crash(&mut self, node: usize) {
         self.nodes[node].phase = Phase::Dead;
         self.nodes[node].held = Current::default();
-        // The operator hears nothing of changes under way there; their writes may still land.
-        self.open.retain(|open| open.node != node);
+        // The operator gets no answer for changes in progress there, but their writes may still
+        // take effect.
+        self.pending.retain(|pending| pending.node != node);
     }
 
     fn restart(&mut self, node: usize) {
@@ -284,10 +294,10 @@
         assert_eq!(
             Some(config.revision),
             highest,
-            "a node serves with less than it heard"
+            "a node serves with a revision lower than the highest it received"
         );
         self.nodes[node].held.offer(&config);
-        self.nodes[node].reached = config.revision;
+        self.nodes[node].highest_revision = config.revision;
         self.nodes[node].phase = Phase::Running;
     }
 
@@ -295,22 +305,32 @@
         self.record();
         for nonce in &self.rejected {
             let held = self.history.iter().any(|c| c.nonce == *nonce);
-            assert!(!held, "change {nonce} was told as rejected and is in force");
+            assert!(
+                !held,
+                "change {nonce} was reported as rejected but is in force"
+            );
         }
         for node in self.nodes.iter_mut().filter(|n| n.phase != Phase::Dead) {
             let revision = node.held.revision();
-            assert!(revision >= node.reached, "a node went back");
-            node.reached = revision;
+            assert!(
+                revision >= node.highest_revision,
+                "a node's revision decreased"
+            );
+            node.highest_revision = revision;
             let Some(config) = node.held.config().filter(|c| c.revision > 0) else {
                 continue;
             };
             let at = usize::try_from(config.revision).unwrap() - 1;
-            let truth = self.history.get(at);
-            assert_eq!(truth, Some(&**config), "a node holds what wasn't accepted");
+            let stored = self.history.get(at);
+            assert_eq!(
+                stored,
+                Some(&**config),
+                "a node has a document that was not accepted"
+            );
         }
     }
 
-    fn calm(&mut self) {
+    fn end_faults(&mut self) {
         self.down = false;
         self.memory.set_down(false);
         self.memory.deliver();
@@ -319,7 +339,7 @@
             self.restart(node);
             self.nodes[node].phase = Phase::Running;
         }
-        while !self.open.is_empty() {
+        while !self.pending.is_empty() {
             self.advance(0);
             self.check();
         }
@@ -348,7 +368,7 @@
 
 impl StateMachineTest for Fleet {
     type SystemUnderTest = Self;
-    type Reference = Script;
+    type Reference = Scenario;
 
     fn init_test((): &()) -> Self {
         let time = Arc::new(AtomicU64::new(0));
@@ -360,8 +380,8 @@
             memory: Memory::new(Clock::Manual(time)),
             down: false,
             nodes: Vec::new(),
-            open: Vec::new(),
-            nonces: 0,
+            pending: Vec::new(),
+            last_nonce: 0,
             history: Vec::new(),
             rejected: Vec::new(),
         };
@@ -369,44 +389,47 @@
             fleet.nodes.push(Node {
                 phase: Phase::Dead,
                 held: Current::default(),
-                reached: 0,
+                highest_revision: 0,
             });
             fleet.restart(at);
         }
         fleet
     }
 
-    fn apply(mut fleet: Self, (): &(), action: Move) -> Self {
+    fn apply(mut fleet: Self, (): &(), action: Operation) -> Self {
         match action {
-            Move::Begin { node, named } => fleet.begin(node, named),
-            Move::Advance { change } => fleet.advance(change),
-            Move::Lose(play) => fleet.memory.play(play),
-            Move::Outage(down) => {
+            Operation::Begin {
+                node,
+                with_expected,
+            } => fleet.begin(node, with_expected),
+            Operation::Advance { change } => fleet.advance(change),
+            Operation::Lose(play) => fleet.memory.play(play),
+            Operation::Outage(down) => {
                 fleet.down = down;
                 fleet.memory.set_down(down);
             }
-            Move::Deliver => fleet.memory.deliver(),
-            Move::Wait => {
+            Operation::Deliver => fleet.memory.deliver(),
+            Operation::Wait => {
                 fleet.time.fetch_add(DEADLINE.as_u64(), Ordering::SeqCst);
             }
-            Move::Heartbeat { from, to } => fleet.heartbeat(from, to),
-            Move::Poll { node } => fleet.poll(node),
-            Move::Pause { node } if fleet.nodes[node].phase == Phase::Running => {
+            Operation::Heartbeat { from, to } => fleet.heartbeat(from, to),
+            Operation::Poll { node } => fleet.poll(node),
+            Operation::Pause { node } if fleet.nodes[node].phase == Phase::Running => {
                 fleet.nodes[node].phase = Phase::Paused;
             }
-            Move::Wake { node } if fleet.nodes[node].phase == Phase::Paused => {
+            Operation::Wake { node } if fleet.nodes[node].phase == Phase::Paused => {
                 fleet.nodes[node].phase = Phase::Running;
             }
-            Move::Pause { .. } | Move::Wake { .. } => {}
-            Move::Crash { node } => fleet.crash(node),
-            Move::Restart { node } => fleet.restart(node),
+            Operation::Pause { .. } | Operation::Wake { .. } => {}
+            Operation::Crash { node } => fleet.crash(node),
+            Operation::Restart { node } => fleet.restart(node),
         }
         fleet.check();
         fleet
     }
 
     fn teardown(mut fleet: Self, (): ()) {
-        fleet.calm();
+        fleet.end_faults();
     }
 }
 
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -1,5 +1,5 @@
-//! Several real nodes in one process, on loopback, over a platform in memory: what the controllers
-//! decide, carried by their tasks.
+//! Several real nodes in one process, on loopback, with an in-memory platform: tests the
+//! controllers' tasks together with their decisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,9 +31,9 @@
 use wire::clock::Millis;
 use wire::id;
 
-/// How long an event is waited for. Far above what any takes, so that a busy machine changes no
-/// verdict.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// How long to wait for an event. Far longer than any event takes, so that a busy machine doesn't
+/// change a result.
+const EVENT_TIMEOUT: Duration = Duration::from_mins(1);
 const SHARDS: usize = 6;
 
 fn settings(name: &str, seeds: &[(&str, SocketAddr)]) -> Settings {
@@ -61,33 +61,36 @@
     settings::vm::parse(&text).unwrap()
 }
 
-async fn node(name: &str, memory: &Memory, seeds: &[(&str, SocketAddr)]) -> Handle {
+async fn start_node(name: &str, memory: &Memory, seeds: &[(&str, SocketAddr)]) -> Handle {
     let platform = Arc::new(memory.clone());
     let started = start::start_on(settings(name, seeds), Clock::System, platform);
-    timeout(PATIENCE, started).await.expect("starts").unwrap()
+    timeout(EVENT_TIMEOUT, started)
+        .await
+        .expect("starts")
+        .unwrap()
 }
 
-async fn three(memory: &Memory) -> Vec<Handle> {
-    let first = node("a", memory, &[]).await;
+async fn start_three(memory: &Memory) -> Vec<Handle> {
+    let first = start_node("a", memory, &[]).await;
     let seed = [("a", first.peers())];
-    let second = node("b", memory, &seed).await;
-    let third = node("c", memory, &seed).await;
+    let second = start_node("b", memory, &seed).await;
+    let third = start_node("c", memory, &seed).await;
     vec![first, second, third]
 }
 
-/// Waits until something holds of a node's view.
-async fn until(core: &Core, what: &str, holds: impl Fn(&node::view::View) -> bool) {
+/// Waits until a condition holds for a node's view.
+async fn wait_for_view(core: &Core, what: &str, holds: impl Fn(&node::view::View) -> bool) {
     let mut views = core.view.subscribe();
-    let waited = timeout(PATIENCE, views.wait_for(|view| holds(view))).await;
+    let waited = timeout(EVENT_TIMEOUT, views.wait_for(|view| holds(view))).await;
     waited
         .unwrap_or_else(|_| panic!("{what}: {:?}", core.view()))
         .unwrap();
 }
 
-/// Waits until a node knows an owner of each shard, and each is one of `vms`.
+/// Waits until a node knows an owner of each shard, and each owner is one of `vms`.
 async fn owned_by(handle: &Handle, vms: &[&str]) {
     let core = handle.core();
-    until(core, "owners", |view| {
+    wait_for_view(core, "owners", |view| {
         let known = |o: &node::view::Owner| vms.contains(&o.vm.as_str());
         view.owners.len() == SHARDS && view.owners.iter().all(known)
     })
@@ -108,14 +111,14 @@
 }
 
 // An operator changes a label at one VM. When the operator is answered, the change is in force on
-// all three. The platform then goes down at once, and the accepting VM is replaced: it takes the
-// change from a peer, and mustn't serve before.
+// all three. The platform then goes down at once and the accepting VM is replaced: the new VM takes
+// the change from a peer, and mustn't serve before.
 #[tokio::test]
 async fn an_accepted_change_survives_an_outage_and_a_restart() {
     let memory = Memory::default();
-    let mut nodes = three(&memory).await;
+    let mut nodes = start_three(&memory).await;
     for node in &nodes {
-        until(node.core(), "three up", |view| view.peers.len() == 3).await;
+        wait_for_view(node.core(), "three up", |view| view.peers.len() == 3).await;
     }
     let (outcome, reached) = change(&nodes[0], "high").await;
     assert!(matches!(outcome, Outcome::Accepted(_)), "{outcome:?}");
@@ -123,16 +126,16 @@
     memory.set_down(true);
     let seed = [("b", nodes[1].peers())];
     nodes.remove(0).shutdown().await;
-    let again = node("a", &memory, &seed).await;
+    let again = start_node("a", &memory, &seed).await;
     assert_eq!(again.core().view().config.revision, 1);
 }
 
 // Two operators change the same label at two VMs at once. Both are told "accepted", each with a
-// revision of its own, and every VM ends up with the later one.
+// different revision, and every VM ends up with the later one.
 #[tokio::test]
-async fn operators_who_race_are_both_told_the_truth() {
+async fn racing_operators_both_get_a_correct_answer() {
     let memory = Memory::default();
-    let nodes = three(&memory).await;
+    let nodes = start_three(&memory).await;
     let (one, two) = tokio::join!(change(&nodes[0], "high"), change(&nodes[1], "low"));
     let revision = |outcome: &Outcome| match outcome {
         Outcome::Accepted(config) => config.revision,
@@ -142,16 +145,16 @@
     revisions.sort_unstable();
     assert_eq!(revisions, [1, 2]);
     for node in &nodes {
-        until(node.core(), "revision 2", |view| view.config.revision == 2).await;
+        wait_for_view(node.core(), "revision 2", |view| view.config.revision == 2).await;
     }
 }
 
-// Three VMs share the shards. One shuts down: the others have its shards, and know it, without
-// waiting for a lease, as it says so before it goes.
+// Three VMs share the shards and one shuts down. The others get its shards without waiting for a
+// lease to expire, because it announces its leave.
 #[tokio::test]
 async fn shards_of_a_vm_that_stops_go_to_the_others() {
     let memory = Memory::default();
-    let mut nodes = three(&memory).await;
+    let mut nodes = start_three(&memory).await;
     for node in &nodes {
         owned_by(node, &["a", "b", "c"]).await;
     }
@@ -161,15 +164,15 @@
     }
 }
 
-// A VM that owns shards dies without a word. Its peer suspects it, then thinks it down, tries its
-// shards until the lease has lapsed, and has them all.
+// A VM that owns shards dies without notice. Its peer suspects it, then marks it down, retries the
+// claims until the lease has expired, and then has all shards.
 #[test]
 fn shards_of_a_vm_that_dies_go_to_the_others() {
     let memory = Memory::default();
     let runtimes = [0, 1].map(|_| tokio::runtime::Runtime::new().unwrap());
-    let first = runtimes[0].block_on(node("a", &memory, &[]));
+    let first = runtimes[0].block_on(start_node("a", &memory, &[]));
     let seed = [("a", first.peers())];
-    let second = runtimes[1].block_on(node("b", &memory, &seed));
+    let second = runtimes[1].block_on(start_node("b", &memory, &seed));
     runtimes[1].block_on(owned_by(&second, &["a", "b"]));
     let [dies, stays] = runtimes;
     dies.shutdown_background();
@@ -177,7 +180,7 @@
     assert_eq!(second.core().registry.owned().len(), SHARDS);
 }
 
-async fn runner() -> Server {
+async fn start_runner() -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = runner::Settings {
         lag: Millis::ZERO,
@@ -186,7 +189,7 @@
     runner::serve(listener, settings, Clock::System).unwrap()
 }
 
-async fn add(handle: &Handle, name: &str, runner: &Server) {
+async fn add_endpoint(handle: &Handle, name: &str, runner: &Server) {
     let endpoint = Endpoint {
         name: id::Endpoint::parse(name).unwrap(),
         kind: Kind::Runner,
@@ -202,24 +205,24 @@
     assert!(matches!(outcome, Outcome::Accepted(_)), "{outcome:?}");
 }
 
-// A runner is drained by hand and says so in its load report only; another is taken off the
-// platform's list of live ones while its report says nothing. Neither may get new work from any
-// VM, whichever of them keeps it or reads the list.
+// One runner is drained by hand and says so only in its load report; another is marked as leaving
+// in the platform's list while its report doesn't say so. Every VM must learn of both, whichever VM
+// polls the runners or reads the list.
 #[tokio::test]
-async fn every_vm_hears_that_an_endpoint_leaves() {
+async fn every_vm_learns_that_an_endpoint_is_leaving() {
     let memory = Memory::default();
-    let nodes = three(&memory).await;
-    let runners = [runner().await, runner().await];
+    let nodes = start_three(&memory).await;
+    let runners = [start_runner().await, start_runner().await];
     for (name, runner) in ["reports", "listed"].iter().zip(&runners) {
-        add(&nodes[0], name, runner).await;
+        add_endpoint(&nodes[0], name, runner).await;
     }
-    let leaves = |view: &node::view::View, name: &str, leaving: bool| {
+    let has_status = |view: &node::view::View, name: &str, leaving: bool| {
         let load = view.load(&id::Endpoint::parse(name).unwrap());
         load.is_some_and(|l| l.up && l.leaving == leaving)
     };
     for node in &nodes {
-        let both = |v: &_| leaves(v, "reports", false) && leaves(v, "listed", false);
-        until(node.core(), "loads", both).await;
+        let both = |v: &_| has_status(v, "reports", false) && has_status(v, "listed", false);
+        wait_for_view(node.core(), "loads", both).await;
     }
     memory.set_machines(vec![Machine {
         name: "listed".to_owned(),
@@ -229,34 +232,34 @@
     let drain = json!({"order": "drain", "fence": 1});
     client::post(runners[0].address(), "/orders", &[], &drain).await;
     for node in &nodes {
-        let both = |v: &_| leaves(v, "reports", true) && leaves(v, "listed", true);
-        until(node.core(), "leaving", both).await;
+        let both = |v: &_| has_status(v, "reports", true) && has_status(v, "listed", true);
+        wait_for_view(node.core(), "leaving", both).await;
     }
 }
 
-// A runner holds the cache of a program that no journal knows: its release was lost with the VM
-// that ordered it, say. The keeper finds it, its owner says that it is gone, and once that has
-// stood for the grace the runner is told to let go.
+// A runner holds the cache of a program that no journal knows, for example because the release was
+// lost with the VM that ordered it. The poller finds it and its owner says that it is gone. After
+// the grace period the runner is told to release it.
 #[tokio::test]
 async fn cache_of_a_gone_program_is_swept() {
     let memory = Memory::default();
     let time = Arc::new(AtomicU64::new(1_000_000));
     let clock = Clock::Manual(time.clone());
-    let alone = start::start_on(settings("a", &[]), clock, Arc::new(memory)).await;
-    let alone = alone.unwrap();
-    owned_by(&alone, &["a"]).await;
-    let runner = runner().await;
+    let single = start::start_on(settings("a", &[]), clock, Arc::new(memory)).await;
+    let single = single.unwrap();
+    owned_by(&single, &["a"]).await;
+    let runner = start_runner().await;
     let turn = json!({"model": "m", "messages": [{"role": "user", "content": "hello #tokens=1"}]});
     let headers = [(runner::PROGRAM, "gone")];
     client::ask(runner.address(), "/v1/chat/completions", &headers, &turn).await;
     let held = async || client::get(runner.address(), "/cache").await["programs"].to_string();
     assert!(held().await.contains("gone"));
-    add(&alone, "r", &runner).await;
+    add_endpoint(&single, "r", &runner).await;
     let swept = async {
         while held().await.contains("gone") {
             time.fetch_add(100, Ordering::SeqCst);
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, swept).await.expect("swept");
+    timeout(EVENT_TIMEOUT, swept).await.expect("swept");
 }
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -1,6 +1,6 @@
-//! Some VMs' heartbeats, leases and claims in one process under a played clock, over a platform in
-//! memory. The decisions are the real ones; the journal is reduced to a number of ownership that a
-//! claim raises, which is what fences.
+//! Simulates the heartbeats, leases and claims of several VMs in one process, with a manual clock
+//! and an in-memory platform. The decisions are the real ones. The journal is reduced to an epoch
+//! that a claim raises, which provides the fencing.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -35,7 +35,7 @@
 use wire::frame;
 use wire::id;
 
-/// The time between two turns of the claims, which divides a round of heartbeats.
+/// The time between two decisions on claims. A round of heartbeats is a multiple of it.
 pub const TICK: Millis = Millis::new(200);
 pub const LEASE: Millis = Millis::new(5_000);
 
@@ -46,14 +46,14 @@
     Dead,
 }
 
-/// What a VM sent.
+/// What a VM has sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sent {
     pub frames: u64,
     pub bytes: u64,
 }
 
-/// An ownership that a VM believes it has.
+/// An ownership that a VM believes to have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owned {
     pub shard: id::Shard,
@@ -64,20 +64,20 @@
     pub name: id::Vm,
     pub centre: id::Centre,
     pub phase: Phase,
-    /// Cut off from all other VMs.
+    /// Whether it is cut off from all other VMs.
     pub cut: bool,
-    /// Cut off from the platform.
+    /// Whether it is cut off from the platform.
     pub platform_cut: bool,
-    /// Whether it was ever hindered since it started, so that it may lose shards.
+    /// Whether a fault has affected it since it started, so that it may lose shards.
     pub disturbed: bool,
     pub exchange: Exchange,
     pub claims: Claims,
     pub renewer: Renewer,
     pub owned: Vec<Owned>,
-    /// Shards that it gave up, or failed to claim, whose record may still name it.
+    /// Shards that it gave up or failed to claim, whose record may still name it.
     pub stale_records: Vec<id::Shard>,
-    pub released: Option<Millis>,
-    pub claimed: Vec<Millis>,
+    pub last_release: Option<Millis>,
+    pub recent_claims: Vec<Millis>,
     pub sent: Sent,
 }
 
@@ -91,7 +91,8 @@
 }
 
 impl Fleet {
-    /// Makes a fleet of `centres` data centres with so many VMs and shards each, all running.
+    /// Makes a fleet of `centres` data centres with `vms` VMs and `shards` shards each, all
+    /// running.
     pub fn new(centres: usize, vms: usize, shards: u16) -> Self {
         let time = Arc::new(AtomicU64::new(1_000_000));
         let names = (0..centres).map(|n| id::Centre::parse(&format!("centre{n}")).unwrap());
@@ -147,8 +148,8 @@
             renewer: Renewer::new(LEASE),
             owned: Vec::new(),
             stale_records: Vec::new(),
-            released: None,
-            claimed: Vec::new(),
+            last_release: None,
+            recent_claims: Vec::new(),
             sent: Sent::default(),
         }
     }
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Lets one tick pass.
+    /// Advances the time by one tick.
     pub fn tick(&mut self) {
         let now = Millis::new(self.time.fetch_add(TICK.as_u64(), Ordering::SeqCst)).plus(TICK);
         let step = now.as_u64() / TICK.as_u64();
@@ -229,7 +230,7 @@
         Some(self.transmit(to, &answer))
     }
 
-    /// Counts a frame, and passes it through its codec.
+    /// Counts a frame, and encodes and decodes it.
     fn transmit(&mut self, from: usize, heartbeat: &Heartbeat) -> Heartbeat {
         let bytes = frame::encode(heartbeat).unwrap();
         let sent = &mut self.vms[from].sent;
@@ -270,29 +271,30 @@
         }
     }
 
-    /// Writes the ownership records anew under a new lease; where another VM holds one, it is lost.
+    /// Writes the ownership records again under a new lease. If a record names another VM, the
+    /// shard is lost.
     fn reclaim(&mut self, at: usize) {
         for owned in self.vms[at].owned.clone() {
             let key = format!("owner/{}", owned.shard);
-            let Ok(present) = self.call_platform(at, self.memory.read(&key)) else {
+            let Ok(current) = self.call_platform(at, self.memory.read(&key)) else {
                 continue;
             };
-            let mine = self.vms[at].name.as_str().as_bytes();
-            if present.as_ref().is_some_and(|e| e.value != mine) {
+            let own_name = self.vms[at].name.as_str().as_bytes();
+            if current.as_ref().is_some_and(|e| e.value != own_name) {
                 self.lose(at, &owned.shard);
                 continue;
             }
-            let base = present.map_or(0, |e| e.revision);
+            let base = current.map_or(0, |e| e.revision);
             let txn = Txn {
                 compares: vec![compare(&key, base)],
-                writes: vec![put(&key, mine, self.vms[at].renewer.lease())],
+                writes: vec![put(&key, own_name, self.vms[at].renewer.lease())],
             };
             let _again_at_next_append =
                 self.call_platform(at, self.memory.commit(&txn, Weight::Claim));
         }
     }
 
-    /// Does what an append to the journal does: finds out that another VM has opened the shard.
+    /// Does what an append to the journal does: detects that another VM has opened the shard.
     fn append(&mut self, at: usize) {
         for owned in self.vms[at].owned.clone() {
             let key = format!("epoch/{}", owned.shard);
@@ -305,17 +307,17 @@
         }
     }
 
-    /// Removes records of shards that the VM doesn't serve. The VM goes on renewing its lease, so a
-    /// record whose removal was lost would keep its shard from everyone for ever.
+    /// Removes records of shards that the VM doesn't serve. The VM keeps renewing its lease, so a
+    /// record whose removal was lost would block its shard for ever.
     fn remove_stale_records(&mut self, at: usize) {
         for shard in std::mem::take(&mut self.vms[at].stale_records) {
             let key = format!("owner/{shard}");
             let served = self.vms[at].owned.iter().any(|o| o.shard == shard);
             let read = self.call_platform(at, self.memory.read(&key));
-            let mine = self.vms[at].name.as_str().as_bytes();
+            let own_name = self.vms[at].name.as_str().as_bytes();
             let gone = match read {
                 _ if served => true,
-                Ok(Some(entry)) if entry.value == mine => {
+                Ok(Some(entry)) if entry.value == own_name => {
                     let txn = Txn {
                         compares: vec![compare(&key, entry.revision)],
                         writes: vec![Write::Delete(key)],
@@ -372,11 +374,14 @@
     fn claim(&mut self, at: usize, shard: &id::Shard, now: Millis) {
         let epoch = self.claim_shard(at, shard);
         let vm = &mut self.vms[at];
-        vm.claimed
+        vm.recent_claims
             .retain(|at| now.since(*at) < claims::CLAIM_INTERVAL);
-        vm.claimed.push(now);
-        let most = claims::CLAIM_BURST + 1;
-        assert!(vm.claimed.len() as u64 <= most, "claims without pace");
+        vm.recent_claims.push(now);
+        let max_claims = claims::CLAIM_BURST + 1;
+        assert!(
+            vm.recent_claims.len() as u64 <= max_claims,
+            "claims exceed their rate"
+        );
         let Ok(epoch) = epoch else {
             vm.claims.note_failure(shard, now);
             vm.stale_records.push(shard.clone());
@@ -401,26 +406,27 @@
         vm.exchange.owners.merge(&ownership);
     }
 
-    /// Claims as the journal does: the ownership record under the lease, and the number raised, in
-    /// one transaction. A record of this VM itself, of an earlier run or a lost answer, is no bar.
+    /// Claims like the journal: one transaction writes the ownership record under the lease and
+    /// raises the epoch. A record that names this VM itself, from an earlier run or a lost answer,
+    /// doesn't prevent the claim.
     fn claim_shard(&mut self, at: usize, shard: &id::Shard) -> edge::Result<u64> {
         let held = || Fault::Invalid("held".to_owned());
         let lease = self.vms[at].renewer.lease().ok_or_else(held)?;
         let (record, counter) = (format!("owner/{shard}"), format!("epoch/{shard}"));
-        let present = self.call_platform(at, self.memory.read(&record))?;
-        let mine = self.vms[at].name.as_str().as_bytes();
-        if present.as_ref().is_some_and(|e| e.value != mine) {
+        let current = self.call_platform(at, self.memory.read(&record))?;
+        let own_name = self.vms[at].name.as_str().as_bytes();
+        if current.as_ref().is_some_and(|e| e.value != own_name) {
             return Err(held());
         }
         let last = self.call_platform(at, self.memory.read(&counter))?;
         let epoch = last.as_ref().map_or(0, |e| number(&e.value)) + 1;
         let txn = Txn {
             compares: vec![
-                compare(&record, present.map_or(0, |e| e.revision)),
+                compare(&record, current.map_or(0, |e| e.revision)),
                 compare(&counter, last.map_or(0, |e| e.revision)),
             ],
             writes: vec![
-                put(&record, mine, Some(lease)),
+                put(&record, own_name, Some(lease)),
                 put(&counter, &epoch.to_le_bytes(), None),
             ],
         };
@@ -433,16 +439,19 @@
     fn release(&mut self, at: usize, shard: &id::Shard, to: &id::Vm, now: Millis) {
         let vm = &mut self.vms[at];
         let stopping = vm.exchange.table.own().stopping;
-        let least = if stopping {
+        let min_interval = if stopping {
             claims::STOP_HANDOVER_INTERVAL
         } else {
             claims::HANDOVER_INTERVAL
         };
-        if let Some(last) = vm.released.replace(now) {
-            assert!(now.since(last) >= least, "hand-overs without pace");
+        if let Some(last) = vm.last_release.replace(now) {
+            assert!(
+                now.since(last) >= min_interval,
+                "hand-overs exceed their rate"
+            );
         }
         let index = vm.owned.iter().position(|o| o.shard == *shard);
-        let owned = vm.owned.remove(index.expect("released what it has"));
+        let owned = vm.owned.remove(index.expect("last_release what it has"));
         let ownership = Owner {
             shard: owned.shard,
             vm: vm.name.clone(),
@@ -472,13 +481,13 @@
         self.seed(at);
     }
 
-    /// Yields how many VMs serve a shard as far as they know.
+    /// Returns the VMs that believe to serve a shard.
     pub fn servers(&self, shard: &id::Shard) -> Vec<&Vm> {
         let serves = |v: &&Vm| v.phase != Phase::Dead && v.owned.iter().any(|o| o.shard == *shard);
         self.vms.iter().filter(serves).collect()
     }
 
-    /// Tells whether all VMs are thought up by all.
+    /// Returns whether all VMs think that all VMs are up.
     pub fn all_up(&self) -> bool {
         let all = |v: &Vm| {
             let members = v.exchange.table.members();
--- a/crates/node/tests/support/runs.rs
+++ b/crates/node/tests/support/runs.rs
@@ -1,9 +1,10 @@
-//! How many cases a search plays, and from which seed.
+//! The number of cases and the seed of a property test.
 
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
 
-/// Plays `cases` of them, or as many as the environment names.
+/// Returns a configuration that runs `cases` cases, or the number given by the environment variable
+/// `PROPTEST_CASES`.
 pub fn runs(cases: u32, seed: u64) -> Config {
     let named = std::env::var("PROPTEST_CASES").ok();
     Config {
