--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -136,18 +136,18 @@
     let own = exchange.table.own();
     let members = exchange.table.members().iter().map(|m| &m.status);
     let others: Vec<_> = members
-        .filter(|l| {
-            l.centre == own.centre && l.vm != own.vm && l.liveness == Liveness::Up && !l.stopping
+        .filter(|s| {
+            s.centre == own.centre && s.vm != own.vm && s.liveness == Liveness::Up && !s.stopping
         })
         // A VM known from the settings only has no known process, which a holder needs.
-        .filter(|l| l.process != 0)
+        .filter(|s| s.process != 0)
         .collect();
-    let candidates = others.iter().map(|l| Candidate {
-        vm: &l.vm,
-        size: l.size,
+    let candidates = others.iter().map(|s| Candidate {
+        vm: &s.vm,
+        size: s.size,
     });
     let chosen = rendezvous::choose_several(&format!("copies/{shard}"), candidates, MAX_HOLDERS);
-    let process = |vm: &id::Vm| others.iter().find(|l| l.vm == *vm).map_or(0, |l| l.process);
+    let process = |vm: &id::Vm| others.iter().find(|s| s.vm == *vm).map_or(0, |s| s.process);
     let holders = chosen.into_iter().map(|vm| Holder {
         vm: vm.clone(),
         incarnation: process(vm),
--- a/crates/node/src/controllers/members.rs
+++ b/crates/node/src/controllers/members.rs
@@ -407,8 +407,8 @@
     pub fn same_centre(&self) -> Vec<id::Vm> {
         let others = self.members.iter().map(|m| &m.status);
         others
-            .filter(|l| l.centre == self.centre && l.liveness != Liveness::Down && l.vm != self.me)
-            .map(|l| l.vm.clone())
+            .filter(|s| s.centre == self.centre && s.liveness != Liveness::Down && s.vm != self.me)
+            .map(|s| s.vm.clone())
             .collect()
     }
 
--- a/crates/node/src/controllers/members/exchange.rs
+++ b/crates/node/src/controllers/members/exchange.rs
@@ -153,7 +153,7 @@
 
     fn full_state(&self) -> Heartbeat {
         let others = self.table.members().iter().map(|m| &m.status);
-        let known = others.filter(|l| l.liveness != Liveness::Down || l.incarnation > 0);
+        let known = others.filter(|s| s.liveness != Liveness::Down || s.incarnation > 0);
         Heartbeat {
             me: self.table.own().clone(),
             digest: self.digest,
--- a/crates/node/src/controllers/poller.rs
+++ b/crates/node/src/controllers/poller.rs
@@ -106,7 +106,7 @@
         let mine = |e: &&Endpoint| poller(e, vms) == Some(me);
         let mine: Vec<&Endpoint> = all.iter().filter(mine).collect();
         self.targets
-            .retain(|k| mine.iter().any(|e| e.name == k.endpoint));
+            .retain(|t| mine.iter().any(|e| e.name == t.endpoint));
         let mut polls = Vec::new();
         for endpoint in mine {
             let target = self.target_mut(&endpoint.name, now);
@@ -180,7 +180,7 @@
     }
 
     fn position(&self, endpoint: &id::Endpoint) -> std::result::Result<usize, usize> {
-        self.targets.binary_search_by(|k| k.endpoint.cmp(endpoint))
+        self.targets.binary_search_by(|t| t.endpoint.cmp(endpoint))
     }
 }
 
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -36,7 +36,7 @@
 /// How often possibly stale records are checked.
 const CLEANUP_INTERVAL: Millis = Millis::new(1_000);
 /// How long the next owner may take to answer the notice of a hand-over.
-const HANDOVER_NOTICE_TIMEOUT: Millis = Millis::new(500);
+const NOTICE_TIMEOUT: Millis = Millis::new(500);
 
 /// How a claim or a hand-over ended.
 enum Completion {
@@ -241,7 +241,7 @@
                 self.decide();
                 let core = self.core.clone();
                 self.core.tasks.spawn(async move {
-                    members::send_heartbeat(&core, &to, HANDOVER_NOTICE_TIMEOUT).await
+                    members::send_heartbeat(&core, &to, NOTICE_TIMEOUT).await
                 });
             }
         }
--- a/crates/node/src/controllers/run/config.rs
+++ b/crates/node/src/controllers/run/config.rs
@@ -182,8 +182,8 @@
     let live = |centre: &id::Centre| {
         let members = exchange.table.members().iter().map(|m| &m.status);
         let live =
-            members.filter(|l| l.centre == *centre && l.liveness == Liveness::Up && l.vm != *own);
-        let names: Vec<id::Vm> = live.take(PUSHES_PER_CENTRE).map(|l| l.vm.clone()).collect();
+            members.filter(|s| s.centre == *centre && s.liveness == Liveness::Up && s.vm != *own);
+        let names: Vec<id::Vm> = live.take(PUSHES_PER_CENTRE).map(|s| s.vm.clone()).collect();
         names
     };
     let centres = core.settings.centres.iter().map(|c| &c.name);
@@ -283,10 +283,10 @@
     let own = exchange.table.own();
     let members = exchange.table.members().iter().map(|m| &m.status);
     let eligible =
-        members.filter(|l| l.centre == own.centre && l.liveness != Liveness::Down && !l.stopping);
-    let candidates = eligible.map(|l| Candidate {
-        vm: &l.vm,
-        size: l.size,
+        members.filter(|s| s.centre == own.centre && s.liveness != Liveness::Down && !s.stopping);
+    let candidates = eligible.map(|s| Candidate {
+        vm: &s.vm,
+        size: s.size,
     });
     rendezvous::choose_several(KEY, candidates, WATCHERS).contains(&&own.vm)
 }
--- a/crates/node/src/controllers/run/poller.rs
+++ b/crates/node/src/controllers/run/poller.rs
@@ -68,7 +68,7 @@
 
 /// The answer of a shard's owner.
 #[derive(Serialize, Deserialize)]
-struct Verdict {
+struct GoneAnswer {
     epoch: u64,
     gone: Vec<id::Program>,
 }
@@ -172,7 +172,7 @@
         programs,
         release: Vec::new(),
     };
-    let Some(Verdict { epoch, gone }) = ask_owner(core, &query).await else {
+    let Some(GoneAnswer { epoch, gone }) = ask_owner(core, &query).await else {
         return;
     };
     let now = core.clock.now();
@@ -192,31 +192,31 @@
     }
 }
 
-async fn ask_owner(core: &Arc<Core>, held: &GoneQuery) -> Option<Verdict> {
+async fn ask_owner(core: &Arc<Core>, query: &GoneQuery) -> Option<GoneAnswer> {
     let view = core.view();
-    let owner = view.owner(&held.shard)?;
+    let owner = view.owner(&query.shard)?;
     if owner.vm == core.settings.vm.name {
-        return answer_as_owner(core, held).await;
+        return answer_as_owner(core, query).await;
     }
     let address = view.peer(&owner.vm).filter(|p| p.up)?.address;
-    let answer = call::send(core, address, peer::HELD, held, ANSWER_TIMEOUT).await;
+    let answer = call::send(core, address, peer::HELD, query, ANSWER_TIMEOUT).await;
     answer.ok()?
 }
 
 /// Answers which programs of a shard that this VM owns are gone, and releases those that are to be
 /// released.
 pub async fn serve(core: &Arc<Core>, body: &[u8]) -> Option<Bytes> {
-    let held: GoneQuery = call::decode(body)?;
-    frame::encode(&answer_as_owner(core, &held).await).ok()
+    let query: GoneQuery = call::decode(body)?;
+    frame::encode(&answer_as_owner(core, &query).await).ok()
 }
 
-async fn answer_as_owner(core: &Core, held: &GoneQuery) -> Option<Verdict> {
-    if !held.release.is_empty() {
+async fn answer_as_owner(core: &Core, query: &GoneQuery) -> Option<GoneAnswer> {
+    if !query.release.is_empty() {
         core.registry
-            .sweep(&held.shard, &held.endpoint, &held.release);
+            .sweep(&query.shard, &query.endpoint, &query.release);
     }
-    let (epoch, gone) = core.registry.gone(&held.shard, &held.programs).await?;
-    Some(Verdict { epoch, gone })
+    let (epoch, gone) = core.registry.gone(&query.shard, &query.programs).await?;
+    Some(GoneAnswer { epoch, gone })
 }
 
 async fn query<T: DeserializeOwned>(core: &Core, poll: &Poll, path: &str) -> Option<T> {
@@ -240,12 +240,12 @@
     };
     machines.sort_by(|a, b| a.name.cmp(&b.name));
     let now = core.clock.now();
-    let endpoints = core.view().config.clone();
+    let configuration = core.view().config.clone();
     let mut exchange = core.control.exchange();
     exchange
         .table
         .apply_list(|vm| list_status(&machines, vm.as_str()), now);
-    for endpoint in &endpoints.endpoints {
+    for endpoint in &configuration.endpoints {
         // An endpoint that isn't listed may be too new for the list, or may never be listed:
         // nothing follows from that.
         let leaving = match list_status(&machines, endpoint.name.as_str()) {
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -451,7 +451,9 @@
             );
         }
         let index = vm.owned.iter().position(|o| o.shard == *shard);
-        let owned = vm.owned.remove(index.expect("last_release what it has"));
+        let owned = vm
+            .owned
+            .remove(index.expect("releases a shard that it owns"));
         let ownership = Owner {
             shard: owned.shard,
             vm: vm.name.clone(),
