--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -36,7 +36,7 @@
 /// How often possibly stale records are checked.
 const CLEANUP_INTERVAL: Millis = Millis::new(1_000);
 /// How long the next owner may take to answer the notice of a hand-over.
-const NOTICE_TIMEOUT: Millis = Millis::new(500);
+const TIMEOUT: Millis = Millis::new(500);
 
 /// How a claim or a hand-over ended.
 enum Completion {
@@ -240,9 +240,9 @@
                 // owner at once.
                 self.decide();
                 let core = self.core.clone();
-                self.core.tasks.spawn(async move {
-                    members::send_heartbeat(&core, &to, NOTICE_TIMEOUT).await
-                });
+                self.core
+                    .tasks
+                    .spawn(async move { members::heartbeat(&core, &to, TIMEOUT).await });
             }
         }
     }
--- a/crates/node/src/controllers/run/config.rs
+++ b/crates/node/src/controllers/run/config.rs
@@ -141,7 +141,7 @@
     let mut reached = Rollout::default();
     if let Outcome::Accepted(config) = &outcome {
         apply(core, &Arc::new((**config).clone()), "change");
-        members::send_heartbeats(core, push_targets(core), members::PULL_TIMEOUT).await;
+        members::heartbeats(core, push_targets(core), members::PULL_TIMEOUT).await;
         reached = survey(core, config.revision).await;
     }
     (outcome, reached)
@@ -168,7 +168,7 @@
             return known;
         }
         for batch in known.behind.chunks(SURVEY_CONCURRENCY) {
-            members::send_heartbeats(core, batch.to_vec(), members::PULL_TIMEOUT).await;
+            members::heartbeats(core, batch.to_vec(), members::PULL_TIMEOUT).await;
         }
         if !rollout(core, revision).behind.is_empty() {
             sleep(SURVEY_INTERVAL.as_duration()).await;
--- a/crates/node/src/controllers/run/members.rs
+++ b/crates/node/src/controllers/run/members.rs
@@ -64,7 +64,7 @@
 }
 
 /// Sends one heartbeat and handles its answer.
-pub async fn send_heartbeat(core: &Arc<Core>, to: &id::Vm, time_limit: Millis) {
+pub async fn heartbeat(core: &Arc<Core>, to: &id::Vm, time_limit: Millis) {
     let now = core.clock.now();
     let prepared = {
         let mut exchange = core.control.exchange();
@@ -96,11 +96,11 @@
 }
 
 /// Sends heartbeats to several VMs at once and waits for all of them.
-pub async fn send_heartbeats(core: &Arc<Core>, targets: Vec<id::Vm>, time_limit: Millis) {
+pub async fn heartbeats(core: &Arc<Core>, targets: Vec<id::Vm>, time_limit: Millis) {
     let mut sends = tokio::task::JoinSet::new();
     for to in targets {
         let core = core.clone();
-        sends.spawn(async move { send_heartbeat(&core, &to, time_limit).await });
+        sends.spawn(async move { heartbeat(&core, &to, time_limit).await });
     }
     while sends.join_next().await.is_some() {}
 }
@@ -132,7 +132,7 @@
     loop {
         let now = core.clock.now();
         let targets = core.control.exchange().table.begin_round(now, &mut random);
-        send_heartbeats(&core, targets, HEARTBEAT_TIMEOUT).await;
+        heartbeats(&core, targets, HEARTBEAT_TIMEOUT).await;
         publish(&core);
         let remaining = members::ROUND_INTERVAL
             .as_u64()
@@ -141,7 +141,7 @@
             () = tokio::time::sleep(Millis::new(remaining).as_duration()) => {}
             () = core.control.urgent.notified() => {
                 let targets = urgent_targets(&core, &mut random);
-                send_heartbeats(&core, targets, HEARTBEAT_TIMEOUT).await;
+                heartbeats(&core, targets, HEARTBEAT_TIMEOUT).await;
             }
             () = core.stopping.cancelled(), if !stopping => {
                 stopping = true;
--- a/crates/node/tests/claims_fuzz.rs
+++ b/crates/node/tests/claims_fuzz.rs
@@ -29,7 +29,7 @@
 
 /// The time after the end of all faults by which each shard must be served by the one VM that it is
 /// assigned to: old leases expire, VMs that think each other down meet again, all have been up for
-/// MIN_UPTIME, and each VM hands over its shards.
+/// `MIN_UPTIME`, and each VM hands over its shards.
 fn settling_time() -> Millis {
     let reconnect = Millis::new(20 * members::ROUND_INTERVAL.as_u64());
     let handovers = claims::HANDOVER_INTERVAL.as_u64() * u64::from(SHARDS);
