--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -196,12 +196,12 @@
             let to = target(facts, shard, Eligibility::Stable)?;
             (to != facts.me).then_some((shard, to))
         })?;
-        let pace = if stopping {
+        let interval = if stopping {
             STOP_HANDOVER_INTERVAL
         } else {
             HANDOVER_INTERVAL
         };
-        self.next_release = facts.now.plus(pace);
+        self.next_release = facts.now.plus(interval);
         Some(Action::Release {
             shard: shard.clone(),
             to: to.clone(),
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Tells a VM of the first VM of each centre, as its settings would.
+    /// Adds the first VM of each centre to a VM's table, as its settings would.
     fn seed(&mut self, at: usize) {
         let now = self.now();
         let mut seeds: Vec<Status> = Vec::new();
