--- a/crates/node/src/controllers/config/edit.rs
+++ b/crates/node/src/controllers/config/edit.rs
@@ -1,5 +1,5 @@
-//! The edits that operators make. An edit names only what it sets, so it can be made anew to a
-//! later revision after it lost a race.
+//! The edits that operators make. An edit contains only what it sets, so it can be applied again to
+//! a later revision after it lost a race.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,61 +13,61 @@
 use wire::code::Refusal;
 use wire::id;
 
-/// The outcome of an edit.
+/// The result of an edit.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
 /// One edit of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Edit {
-    /// Sets a label, or removes it where the value is absent.
+    /// Sets a label, or removes it if the value is absent.
     Label {
-        /// Whose label.
+        /// The subject that carries the label.
         subject: Subject,
         /// The label's name.
         name: String,
         /// The label's value.
         value: Option<String>,
     },
-    /// Adds a selector or replaces the one of that name.
+    /// Adds a selector, or replaces the one of that name.
     Selector(Selector),
     /// Removes a selector.
     RemoveSelector(id::Selector),
-    /// Adds a caller or replaces the one of that name.
+    /// Adds a caller, or replaces the one of that name.
     Caller(Caller),
     /// Removes a caller.
     RemoveCaller(id::Caller),
-    /// Adds an endpoint or replaces the one of that name.
+    /// Adds an endpoint, or replaces the one of that name.
     Endpoint(Endpoint),
     /// Removes an endpoint.
     RemoveEndpoint(id::Endpoint),
     /// Declares a data centre lost.
     Lost(id::Centre),
-    /// Takes that back.
+    /// Takes a data centre off the lost ones.
     Found(id::Centre),
-    /// Makes several edits in one revision, or none of them.
+    /// Makes all of these edits in one revision, or none of them.
     Several(Vec<Edit>),
 }
 
-/// What carries labels.
+/// A subject that carries labels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
     /// A caller.
     Caller(id::Caller),
-    /// A program; it need not have a line yet.
+    /// A program. It need not have an entry yet.
     Program(id::Program),
     /// An endpoint.
     Endpoint(id::Endpoint),
 }
 
 impl Edit {
-    /// Makes the edit.
+    /// Applies the edit.
     ///
     /// # Errors
     ///
-    /// Fails with [`Code::UnknownSubject`] where the edit's subject isn't in the configuration;
-    /// `config` is then of no use.
+    /// Fails with [`Code::UnknownSubject`] if the edit's subject isn't in the configuration.
+    /// `config` may then be partly edited and must be discarded.
     pub fn apply(&self, config: &mut Config) -> Result<()> {
         match self {
             Self::Label {
@@ -81,14 +81,14 @@
                     None => labels.remove(name),
                 }
             }
-            Self::Selector(s) => put(&mut config.selectors, s.clone(), |s| &s.name),
-            Self::RemoveSelector(n) => cut(&mut config.selectors, n, |s| &s.name, n.as_str())?,
-            Self::Caller(c) => put(&mut config.callers, c.clone(), |c| &c.name),
-            Self::RemoveCaller(n) => cut(&mut config.callers, n, |c| &c.name, n.as_str())?,
-            Self::Endpoint(e) => put(&mut config.endpoints, e.clone(), |e| &e.name),
-            Self::RemoveEndpoint(n) => cut(&mut config.endpoints, n, |e| &e.name, n.as_str())?,
-            Self::Lost(c) => put(&mut config.lost, c.clone(), |c| c),
-            Self::Found(c) => cut(&mut config.lost, c, |c| c, c.as_str())?,
+            Self::Selector(s) => upsert(&mut config.selectors, s.clone(), |s| &s.name),
+            Self::RemoveSelector(n) => remove(&mut config.selectors, n, |s| &s.name, n.as_str())?,
+            Self::Caller(c) => upsert(&mut config.callers, c.clone(), |c| &c.name),
+            Self::RemoveCaller(n) => remove(&mut config.callers, n, |c| &c.name, n.as_str())?,
+            Self::Endpoint(e) => upsert(&mut config.endpoints, e.clone(), |e| &e.name),
+            Self::RemoveEndpoint(n) => remove(&mut config.endpoints, n, |e| &e.name, n.as_str())?,
+            Self::Lost(c) => upsert(&mut config.lost, c.clone(), |c| c),
+            Self::Found(c) => remove(&mut config.lost, c, |c| c, c.as_str())?,
             Self::Several(edits) => return edits.iter().try_for_each(|edit| edit.apply(config)),
         }
         Ok(())
@@ -98,20 +98,22 @@
 fn labels<'a>(config: &'a mut Config, subject: &Subject) -> Result<&'a mut label::Set> {
     match subject {
         Subject::Caller(name) => {
-            let at = find(&config.callers, name, |c| &c.name).map_err(|_| gone(name.as_str()))?;
+            let at = find(&config.callers, name, |c| &c.name)
+                .map_err(|_| unknown_subject(name.as_str()))?;
             Ok(&mut config.callers[at].labels)
         }
         Subject::Endpoint(name) => {
-            let at = find(&config.endpoints, name, |e| &e.name).map_err(|_| gone(name.as_str()))?;
+            let at = find(&config.endpoints, name, |e| &e.name)
+                .map_err(|_| unknown_subject(name.as_str()))?;
             Ok(&mut config.endpoints[at].labels)
         }
         Subject::Program(name) => {
             let at = find(&config.programs, name, |p| &p.name).unwrap_or_else(|at| {
-                let line = Program {
+                let entry = Program {
                     name: name.clone(),
                     labels: label::Set::default(),
                 };
-                config.programs.insert(at, line);
+                config.programs.insert(at, entry);
                 at
             });
             Ok(&mut config.programs[at].labels)
@@ -119,7 +121,7 @@
     }
 }
 
-fn gone(name: &str) -> Refusal {
+fn unknown_subject(name: &str) -> Refusal {
     Refusal::new(Code::UnknownSubject, name)
 }
 
@@ -128,18 +130,23 @@
     key: &K,
     name: impl Fn(&T) -> &K,
 ) -> std::result::Result<usize, usize> {
-    list.binary_search_by(|line| name(line).cmp(key))
+    list.binary_search_by(|entry| name(entry).cmp(key))
 }
 
-fn put<T, K: Ord>(list: &mut Vec<T>, line: T, name: impl Fn(&T) -> &K) {
-    match find(list, name(&line), &name) {
-        Ok(at) => list[at] = line,
-        Err(at) => list.insert(at, line),
+fn upsert<T, K: Ord>(list: &mut Vec<T>, entry: T, name: impl Fn(&T) -> &K) {
+    match find(list, name(&entry), &name) {
+        Ok(at) => list[at] = entry,
+        Err(at) => list.insert(at, entry),
     }
 }
 
-fn cut<T, K: Ord>(list: &mut Vec<T>, key: &K, name: impl Fn(&T) -> &K, text: &str) -> Result<()> {
-    let at = find(list, key, name).map_err(|_| gone(text))?;
+fn remove<T, K: Ord>(
+    list: &mut Vec<T>,
+    key: &K,
+    name: impl Fn(&T) -> &K,
+    text: &str,
+) -> Result<()> {
+    let at = find(list, key, name).map_err(|_| unknown_subject(text))?;
     list.remove(at);
     Ok(())
 }
