--- a/crates/chestnutyoke/src/serve.rs
+++ b/crates/chestnutyoke/src/serve.rs
@@ -25,7 +25,7 @@
     let handle = start::open(settings, Clock::System).await?;
     // A node that starts takes callers already, and may wait for its platform for any time.
     let served = async {
-        handle.settle().await;
+        handle.start_controllers().await;
         announce(&handle)?;
         future::pending::<Result<()>>().await
     };
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -48,7 +48,7 @@
         (
             "connections",
             "connections of callers that are open",
-            u64::from(core.door.open()),
+            u64::from(core.connections.open()),
         ),
         (
             "calls_waiting",
--- a/crates/node/src/controllers/call.rs
+++ b/crates/node/src/controllers/call.rs
@@ -68,7 +68,7 @@
     let post = Post {
         address: &address.to_string(),
         path,
-        kind: FRAMES,
+        content_type: FRAMES,
         headers: &[],
         body,
     };
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -14,7 +14,7 @@
 use crate::controllers::Control;
 use crate::dispatch::desk::Desk;
 use crate::http::client::Client;
-use crate::http::listen::Door;
+use crate::http::listen::Connections;
 use crate::metrics::Metrics;
 use crate::owner::poison::Poison;
 use crate::owner::registry::Registry;
@@ -47,7 +47,7 @@
     /// Connections to VMs and endpoints.
     pub client: Client,
     /// The callers' listener.
-    pub door: Arc<Door>,
+    pub connections: Arc<Connections>,
     /// The work for requests: callers' connections and every task that an answer or a record waits
     /// for.
     pub work: TaskTracker,
--- a/crates/node/src/dispatch/desk.rs
+++ b/crates/node/src/dispatch/desk.rs
@@ -168,7 +168,8 @@
             receiver.await.unwrap_or(gone)
         }
     };
-    core.metrics.queued(core.clock.now().since(arrived));
+    core.metrics
+        .record_queue_wait(core.clock.now().since(arrived));
     slot
 }
 
--- a/crates/node/src/dispatch/runner.rs
+++ b/crates/node/src/dispatch/runner.rs
@@ -107,7 +107,7 @@
     let post = Post {
         address: job.address,
         path: "/v1/chat/completions",
-        kind: "application/json",
+        content_type: "application/json",
         headers: &headers,
         body: body(&job, partial),
     };
--- a/crates/node/src/dispatch/service.rs
+++ b/crates/node/src/dispatch/service.rs
@@ -62,7 +62,7 @@
     let post = Post {
         address: job.address,
         path: &path,
-        kind: "application/json",
+        content_type: "application/json",
         headers: &headers,
         body: job.call.body.clone(),
     };
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -55,7 +55,7 @@
                 refusal.ran,
                 refusal.message
             );
-            core.metrics.refused(refusal.code);
+            core.metrics.count_refusal(refusal.code);
             let mut response = answer::refuse(&refusal);
             if arrival.sender() == Sender::Waits {
                 // What was not asked for isn't read, which ends the connection.
--- a/crates/node/src/filters/answer.rs
+++ b/crates/node/src/filters/answer.rs
@@ -140,12 +140,14 @@
     mut replies: Replies,
 ) -> Result<Response> {
     let first = next(core, wait, &mut replies).await?;
-    core.metrics.first(core.clock.now().since(wait.arrived));
+    core.metrics
+        .record_first_reply(core.clock.now().since(wait.arrived));
     let mut response = match shape {
         Shape::Whole { model } => {
             let (turn, answer) = last(core, wait, first, &mut replies).await?;
-            core.metrics.whole(core.clock.now().since(wait.arrived));
-            core.metrics.answered(metrics::Kind::Whole);
+            core.metrics
+                .record_whole_answer(core.clock.now().since(wait.arrived));
+            core.metrics.count_answer(metrics::Kind::Whole);
             let completion = completion(program, turn, &model, &answer);
             let mut response = http::json(200, &completion);
             set(&mut response, header::TURN, &turn.to_string());
@@ -168,7 +170,7 @@
         }
         Shape::Plain => {
             let response = plain(first)?;
-            core.metrics.answered(metrics::Kind::Plain);
+            core.metrics.count_answer(metrics::Kind::Plain);
             response
         }
     };
@@ -274,12 +276,12 @@
         let _gone = self.send(&chunk);
         let _gone = self.sender.send(Bytes::from_static(b"data: [DONE]\n\n"));
         let elapsed = self.core.clock.now().since(self.wait.arrived);
-        self.core.metrics.whole(elapsed);
-        self.core.metrics.answered(metrics::Kind::Stream);
+        self.core.metrics.record_whole_answer(elapsed);
+        self.core.metrics.count_answer(metrics::Kind::Stream);
     }
 
     fn fail(&self, refusal: &Refusal) {
-        self.core.metrics.refused(refusal.code);
+        self.core.metrics.count_refusal(refusal.code);
         let _gone = self.send(&refusal.to_json());
     }
 
--- a/crates/node/src/filters/forward.rs
+++ b/crates/node/src/filters/forward.rs
@@ -347,7 +347,7 @@
     let post = Post {
         address: &next.address,
         path: peer::ASK,
-        kind: FRAMES,
+        content_type: FRAMES,
         headers: &[],
         body,
     };
--- a/crates/node/src/http/client.rs
+++ b/crates/node/src/http/client.rs
@@ -49,7 +49,7 @@
     /// The path.
     pub path: &'a str,
     /// The body's type.
-    pub kind: &'a str,
+    pub content_type: &'a str,
     /// Further headers.
     pub headers: &'a [(&'a str, String)],
     /// The body.
@@ -95,7 +95,7 @@
         let mut builder = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{}", post.address, post.path))
-            .header(CONTENT_TYPE, post.kind);
+            .header(CONTENT_TYPE, post.content_type);
         for (name, value) in post.headers {
             builder = builder.header(*name, value);
         }
--- a/crates/node/src/http/listen.rs
+++ b/crates/node/src/http/listen.rs
@@ -42,15 +42,15 @@
 
 /// Counts the connections of a listener.
 #[derive(Debug)]
-pub struct Door {
+pub struct Connections {
     open: AtomicU32,
     total: u32,
     urgent: u32,
     receive: Millis,
 }
 
-impl Door {
-    /// Makes the door of a listener that takes `total` connections, `urgent` of them kept for
+impl Connections {
+    /// Makes the connections of a listener that takes `total` connections, `urgent` of them kept for
     /// urgent work, and waits `receive` for a request's headers.
     #[must_use]
     pub fn new(total: u32, urgent: u32, receive: Millis) -> Self {
@@ -82,7 +82,7 @@
 }
 
 /// A place among a listener's connections, given back when dropped.
-struct Pass(Arc<Door>);
+struct Pass(Arc<Connections>);
 
 impl Drop for Pass {
     fn drop(&mut self) {
@@ -112,7 +112,7 @@
 /// `handler`.
 pub async fn run<H, F>(
     listener: TcpListener,
-    door: Arc<Door>,
+    connections: Arc<Connections>,
     life: Life,
     core: Arc<Core>,
     handler: H,
@@ -121,7 +121,7 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let enter = |stream| {
-        let (pass, room) = door.enter();
+        let (pass, room) = connections.enter();
         let end = life.end.clone();
         let served = serve(stream, pass, room, end, core.clone(), handler);
         life.tasks.spawn(served);
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -67,32 +67,32 @@
 
 impl Metrics {
     /// Records the time to the first reply.
-    pub fn first(&self, span: Millis) {
+    pub fn record_first_reply(&self, span: Millis) {
         self.lock().first.saturating_record(span.as_u64());
     }
 
     /// Records the time to a whole answer.
-    pub fn whole(&self, span: Millis) {
+    pub fn record_whole_answer(&self, span: Millis) {
         self.lock().whole.saturating_record(span.as_u64());
     }
 
     /// Records how long a call waited for an endpoint.
-    pub fn queued(&self, span: Millis) {
+    pub fn record_queue_wait(&self, span: Millis) {
         self.lock().queued.saturating_record(span.as_u64());
     }
 
     /// Records how long an append to a journal took.
-    pub fn appended(&self, span: Millis) {
+    pub fn record_append(&self, span: Millis) {
         self.lock().appended.saturating_record(span.as_u64());
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, code: Code) {
+    pub fn count_refusal(&self, code: Code) {
         self.lock().refused[code as usize] += 1;
     }
 
     /// Counts an answer that came whole.
-    pub fn answered(&self, kind: Kind) {
+    pub fn count_answer(&self, kind: Kind) {
         self.lock().answered[kind as usize] += 1;
     }
 
--- a/crates/node/src/owner/keep.rs
+++ b/crates/node/src/owner/keep.rs
@@ -151,7 +151,7 @@
     let post = Post {
         address,
         path: "/orders",
-        kind: "application/json",
+        content_type: "application/json",
         headers: &[],
         body: order.into(),
     };
--- a/crates/node/src/owner/poison.rs
+++ b/crates/node/src/owner/poison.rs
@@ -79,7 +79,7 @@
     let post = Post {
         address,
         path: peer::POISON,
-        kind: "application/msgpack",
+        content_type: "application/msgpack",
         headers: &[],
         body,
     };
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -398,7 +398,7 @@
     if let Some(durable) = decided.durable {
         let asked = core.clock.now();
         durable.await.map_err(|fault| lost(&fault))?;
-        core.metrics.appended(core.clock.now().since(asked));
+        core.metrics.record_append(core.clock.now().since(asked));
     }
     Ok(decided.value)
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -31,7 +31,7 @@
 use crate::filters;
 use crate::http::client::Client;
 use crate::http::listen;
-use crate::http::listen::Door;
+use crate::http::listen::Connections;
 use crate::http::listen::Life;
 use crate::metrics::Metrics;
 use crate::owner::poison::Poison;
@@ -84,11 +84,11 @@
 /// Fails where a listener can't be bound or the settings don't fit together.
 pub async fn start(settings: Settings, clock: Clock) -> Result<Handle> {
     let handle = open(settings, clock).await?;
-    handle.settle().await;
+    handle.start_controllers().await;
     Ok(handle)
 }
 
-/// Opens a node against the platform that its settings name; [`Handle::settle`] starts it. Listeners
+/// Opens a node against the platform that its settings name; [`Handle::start_controllers`] starts it. Listeners
 /// with port 0 get a free one.
 ///
 /// # Errors
@@ -116,7 +116,7 @@
     platform: Arc<dyn Platform>,
 ) -> Result<Handle> {
     let handle = open_on(settings, clock, platform).await?;
-    handle.settle().await;
+    handle.start_controllers().await;
     Ok(handle)
 }
 
@@ -133,7 +133,7 @@
     let peers = bind(&mut settings.listen.peers).await?;
     let admin = bind(&mut settings.listen.admin).await?;
     let limits = &settings.limits;
-    let door = Door::new(
+    let connections = Connections::new(
         limits.connections,
         limits.connections_urgent,
         limits.receive,
@@ -144,7 +144,7 @@
         metrics: Metrics::default(),
         trace: Trace::default(),
         client: Client::default(),
-        door: Arc::new(door),
+        connections: Arc::new(connections),
         work: TaskTracker::new(),
         tasks: TaskTracker::new(),
         stop: OnceLock::new(),
@@ -167,7 +167,7 @@
 impl Handle {
     /// Starts the controllers, and returns when the VM may serve. It takes callers before, and may
     /// have to be shut down without it: whoever waits here listens for that as well.
-    pub async fn settle(&self) {
+    pub async fn start_controllers(&self) {
         let core = &self.core;
         controllers::start(core).await;
         let vm = &core.settings.vm;
@@ -233,7 +233,7 @@
     };
     let served = listen::run(
         callers,
-        core.door.clone(),
+        core.connections.clone(),
         outer,
         core.clone(),
         filters::handle,
@@ -246,10 +246,16 @@
         tasks: core.tasks.clone(),
     };
     let receive = core.settings.limits.receive;
-    let door = || Arc::new(Door::new(INNER_CONNECTIONS, 0, receive));
-    let served = listen::run(peers, door(), inner.clone(), core.clone(), peer::handle);
+    let connections = || Arc::new(Connections::new(INNER_CONNECTIONS, 0, receive));
+    let served = listen::run(
+        peers,
+        connections(),
+        inner.clone(),
+        core.clone(),
+        peer::handle,
+    );
     core.tasks.spawn(served);
-    let served = listen::run(admin, door(), inner, core.clone(), admin::handle);
+    let served = listen::run(admin, connections(), inner, core.clone(), admin::handle);
     core.tasks.spawn(served);
 }
 
--- a/crates/node/tests/request/door.rs
+++ b/crates/node/tests/request/door.rs
@@ -59,7 +59,7 @@
         for _ in 0..2 {
             idle.push(TcpStream::connect(fleet.callers).await.unwrap());
         }
-        while fleet.node.core().door.open() < 2 {
+        while fleet.node.core().connections.open() < 2 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let answer = fleet.ask(CHAT, &[], &client::chat("x")).await;
@@ -84,7 +84,7 @@
     for _ in 0..open {
         idle.push(TcpStream::connect(fleet.callers).await.unwrap());
     }
-    while fleet.node.core().door.open() < u32::try_from(open).unwrap() {
+    while fleet.node.core().connections.open() < u32::try_from(open).unwrap() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let key = [("idempotency-key", "order-1")];
@@ -160,7 +160,7 @@
     for _ in 0..open {
         idle.push(TcpStream::connect(fleet.callers).await.unwrap());
     }
-    while fleet.node.core().door.open() < open {
+    while fleet.node.core().connections.open() < open {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let head = format!("POST {path} HTTP/1.1\r\nchestnutyoke-deadline-ms: {deadline}\r\n");
--- a/crates/node/tests/request/handover.rs
+++ b/crates/node/tests/request/handover.rs
@@ -133,7 +133,7 @@
     let post = Post {
         address: &peers.to_string(),
         path: peer::ASK,
-        kind: "application/msgpack",
+        content_type: "application/msgpack",
         headers: &[],
         body: frame::encode(&chat_of(program)).unwrap(),
     };
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -267,7 +267,7 @@
     half.write_all(b"GET /hea").unwrap();
     streams.push(half);
     let core = fleet.node.core().clone();
-    while core.door.open() < 2 {
+    while core.connections.open() < 2 {
         tokio::task::yield_now().await;
     }
     let ended = timeout(Duration::from_secs(3), fleet.node.shutdown()).await;
