--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,5 @@
-//! The listener for operators: health, metrics and the node's own view.
+//! The listener for operators: health, metrics, the node's view of the deployment and the requests of
+//! [`operate`].
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -12,17 +13,17 @@
 
 use crate::core::Core;
 use crate::filters::answer;
-use crate::filters::parse::What;
+use crate::filters::parse::Action;
 use crate::http;
 use crate::http::Response;
-use crate::http::listen::Room;
+use crate::http::listen::Admission;
 use crate::metrics;
 use crate::operate;
 use crate::owner::registry::Phase;
 use crate::view::View;
 
 /// Answers one request.
-pub async fn handle(core: Arc<Core>, request: Request<Incoming>, _room: Room) -> Response {
+pub async fn handle(core: Arc<Core>, request: Request<Incoming>, _room: Admission) -> Response {
     if request.uri().path().starts_with(operate::PREFIX) {
         return match operate::handle(&core, request).await {
             Ok(answer) => http::json(200, &answer),
@@ -31,18 +32,18 @@
     }
     let view = core.view();
     let path = request.uri().path();
-    let probed = match path {
-        "/health" => answer::probe(&view, &What::Health),
-        "/ready" => answer::probe(&view, &What::Ready),
-        "/metrics" => Some(figures(&core)),
+    let response = match path {
+        "/health" => answer::probe(&view, &Action::Health),
+        "/ready" => answer::probe(&view, &Action::Ready),
+        "/metrics" => Some(metrics(&core)),
         "/status" => Some(http::json(200, &status(&core, &view))),
         _ => None,
     };
     let unknown = || answer::refuse(&Refusal::new(Code::UnknownPath, path));
-    probed.unwrap_or_else(unknown)
+    response.unwrap_or_else(unknown)
 }
 
-fn figures(core: &Core) -> Response {
+fn metrics(core: &Core) -> Response {
     let mut text = core.metrics.render();
     let gauges = [
         (
@@ -67,10 +68,10 @@
         ),
     ];
     for (name, help, value) in gauges {
-        metrics::explain(&mut text, name, "gauge", help);
+        metrics::write_header(&mut text, name, "gauge", help);
         let _infallible = writeln!(text, "chestnutyoke_{name} {value}");
     }
-    http::whole(200, "text/plain; version=0.0.4", text)
+    http::response(200, "text/plain; version=0.0.4", text)
 }
 
 /// Renders the deployment as this VM sees it.
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -1,5 +1,5 @@
-//! The filters that a caller's request passes on the VM that it entered, in this order: [`parse`],
-//! [`authenticate`], [`route`], [`forward`], [`answer`].
+//! The filters for a caller's request on the entry VM, the one that accepted it. They run in this
+//! order: [`parse`], [`authenticate`], [`route`], [`forward`], [`answer`].
 
 pub mod answer;
 pub mod authenticate;
@@ -28,24 +28,24 @@
 use crate::core::Core;
 use crate::http::Response;
 use crate::http::body;
-use crate::http::body::Arrival;
-use crate::http::body::Sender;
-use crate::http::listen::Room;
+use crate::http::body::Reader;
+use crate::http::body::State;
+use crate::http::listen::Admission;
 use crate::view::View;
 
 /// The outcome of a filter.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// When a caller that found no connection may come again. Connections turn over within a routine
-/// turn, which takes seconds.
-const CONNECTION_PAUSE: Millis = Millis::new(2_000);
+/// The `retry-after` of a request that is refused for lack of connections. Connections become free
+/// as routine turns end, and a turn takes seconds.
+const CONNECTION_RETRY_AFTER: Millis = Millis::new(2_000);
 
-/// Answers one request of a caller.
-pub async fn handle(core: Arc<Core>, request: Request<Incoming>, room: Room) -> Response {
+/// Answers one request from a caller.
+pub async fn handle(core: Arc<Core>, request: Request<Incoming>, admission: Admission) -> Response {
     let arrived = core.clock.now();
     let (head, incoming) = request.into_parts();
-    let mut arrival = Arrival::new(&head.headers, incoming);
-    match run(&core, &head, &mut arrival, room, arrived).await {
+    let mut request_body = Reader::new(&head.headers, incoming);
+    match run(&core, &head, &mut request_body, admission, arrived).await {
         Ok(response) => response,
         Err(refusal) => {
             log::info!(
@@ -57,162 +57,175 @@
             );
             core.metrics.count_refusal(refusal.code);
             let mut response = answer::refuse(&refusal);
-            if arrival.sender() == Sender::Waits {
-                // What was not asked for isn't read, which ends the connection.
+            if request_body.state() == State::AwaitsContinue {
+                // The client still waits for `100 Continue`. Its body is never read, so the
+                // connection can't be reused.
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
             let limit = core.settings.limits.body;
-            arrival.discard(limit, discard_time(&core)).await;
+            request_body.discard(limit, discard_time(&core)).await;
             response
         }
     }
 }
 
-/// Yields how long the rest of a refused body may be read: so that the refusal goes out before the
-/// process ends.
+/// Returns how long the rest of a refused body may be read. A stopping node limits it so that the
+/// refusal is sent before the process ends.
 fn discard_time(core: &Core) -> Millis {
     let Some(stop) = core.stop.get() else {
-        return body::DISCARD;
+        return body::DISCARD_TIMEOUT;
     };
-    let left = stop.left(core.clock.now());
-    body::DISCARD.min(Millis::new(left.as_u64() / 2))
+    let remaining = stop.left(core.clock.now());
+    body::DISCARD_TIMEOUT.min(Millis::new(remaining.as_u64() / 2))
 }
 
 /// A request that no filter refused.
-enum Passed {
-    /// It is answered here.
+enum Accepted {
+    /// This VM has answered it.
     Answered(Response),
-    /// Its program's owner answers it.
-    Asks {
+    /// It goes to the owner of its program.
+    Forward {
         ask: Ask,
-        shape: answer::Shape,
-        wait: answer::Wait,
+        format: answer::Format,
+        timing: answer::Timing,
     },
 }
 
 async fn run(
     core: &Arc<Core>,
     head: &Parts,
-    arrival: &mut Arrival,
-    room: Room,
+    body: &mut Reader,
+    admission: Admission,
     arrived: Millis,
 ) -> Result<Response> {
-    // A keyed call may have been asked before, and only its owner's journal knows whether that ran.
-    // Told that it hasn't, its caller would give the order under another key, and both might run.
-    let earlier = parse::earlier(head);
-    let passed = pass(core, head, arrival, room, arrived).await;
-    match passed.map_err(|refusal| refusal.ran(earlier))? {
-        Passed::Answered(response) => Ok(response),
-        Passed::Asks { ask, shape, wait } => {
+    // A call with an idempotency key may have been sent before, and only its owner's journal knows
+    // whether that request ran. If the refusal said that it didn't, the caller would send the call
+    // again under another key, and both might run.
+    let earlier = parse::earlier_run(head);
+    let accepted = check(core, head, body, admission, arrived).await;
+    match accepted.map_err(|refusal| refusal.ran(earlier))? {
+        Accepted::Answered(response) => Ok(response),
+        Accepted::Forward {
+            ask,
+            format,
+            timing,
+        } => {
             let program = ask.program.clone();
             let replies = forward::ask(core, ask);
-            answer::answer(core, shape, &program, wait, replies).await
+            answer::answer(core, format, &program, timing, replies).await
         }
     }
 }
 
-/// Takes a request through the filters before its owner's.
-async fn pass(
+/// Runs the filters that come before the request is forwarded to its owner.
+async fn check(
     core: &Arc<Core>,
     head: &Parts,
-    arrival: &mut Arrival,
-    room: Room,
+    body: &mut Reader,
+    admission: Admission,
     arrived: Millis,
-) -> Result<Passed> {
-    if room == Room::Full {
-        return Err(full());
+) -> Result<Accepted> {
+    if admission == Admission::None {
+        return Err(no_connection());
     }
     let parsed = tokio::select! {
         biased;
-        parsed = parse::parse(&core.settings.limits, head, arrival) => parsed?,
-        () = last_call(core) => return Err(shutting_down()),
+        parsed = parse::parse(&core.settings.limits, head, body) => parsed?,
+        () = unassigned_deadline(core) => return Err(shutting_down()),
     };
     let view = core.view();
-    if let Some(response) = answer::probe(&view, &parsed.what) {
-        return Ok(Passed::Answered(response));
+    if let Some(response) = answer::probe(&view, &parsed.action) {
+        return Ok(Accepted::Answered(response));
     }
     let caller = authenticate::caller(&view.config, parsed.token)?
         .name
         .clone();
-    if parsed.what == parse::What::Models {
-        return Ok(Passed::Answered(answer::models(&view.config)));
+    if parsed.action == parse::Action::Models {
+        return Ok(Accepted::Answered(answer::models(&view.config)));
     }
-    let shape = answer::Shape::of(&parsed.what);
+    let format = answer::Format::of(&parsed.action);
     let ask = ask(core, &view, caller, parsed)?;
     let class = authenticate::class(&view.config, &ask)?;
-    if room == Room::UrgentOnly && class != Class::Urgent {
-        return Err(full());
+    if admission == Admission::UrgentOnly && class != Class::Urgent {
+        return Err(no_connection());
     }
     let deadline = ask.deadline;
-    let wait = answer::Wait { arrived, deadline };
-    check_end(core, wait)?;
-    // Counted anew from here on, a body that took its time would have the ask wait for longer than
-    // its caller.
+    let timing = answer::Timing { arrived, deadline };
+    check_stop(core, timing)?;
+    // The owner counts the deadline from now. Without subtracting the time spent on receiving a
+    // slow body, the ask would outlast its caller's wait.
     let spent = core.clock.now().since(arrived);
     let ask = Ask {
         deadline: deadline.map(|deadline| deadline.since(spent)),
         ..ask
     };
-    Ok(Passed::Asks { ask, shape, wait })
+    Ok(Accepted::Forward {
+        ask,
+        format,
+        timing,
+    })
 }
 
-/// Yields the refusal of a request for which no connection is left.
-fn full() -> Refusal {
-    Refusal::new(Code::TooManyConnections, "").retry_after(CONNECTION_PAUSE)
+/// Returns the refusal for a request that exceeds the connection limit.
+fn no_connection() -> Refusal {
+    Refusal::new(Code::TooManyConnections, "").retry_after(CONNECTION_RETRY_AFTER)
 }
 
-/// Refuses what may outlast a VM that stops: its answer would be cut off when the process ends.
-/// Only a deadline of its own bounds a request, as a runner may go on for as long as it isn't
-/// silent.
-fn check_end(core: &Core, wait: answer::Wait) -> Result<()> {
-    let taken = core.stop.get().is_none_or(|stop| stop.takes(wait.until()));
-    if taken {
+/// Refuses a request that may outlast a stopping VM: its answer would be cut off when the process
+/// ends. Only the request's own deadline bounds its duration, because a runner may go on for as
+/// long as it keeps sending output.
+fn check_stop(core: &Core, timing: answer::Timing) -> Result<()> {
+    let accepted = core
+        .stop
+        .get()
+        .is_none_or(|stop| stop.takes(timing.latest_end()));
+    if accepted {
         return Ok(());
     }
     Err(shutting_down())
 }
 
-/// Returns when a node that stops gives up what no endpoint has: a request of which only a part has come
-/// would be cut off at the end without a word.
-async fn last_call(core: &Core) {
+/// Waits until a stopping node gives up the work that no endpoint has taken. A request that has
+/// arrived only in part by then would otherwise be cut off without an answer when the process ends.
+async fn unassigned_deadline(core: &Core) {
     core.stopping.cancelled().await;
     let Some(stop) = core.stop.get() else {
         return;
     };
-    let left = stop.unassigned_deadline().since(core.clock.now());
-    tokio::time::sleep(left.as_duration()).await;
+    let remaining = stop.unassigned_deadline().since(core.clock.now());
+    tokio::time::sleep(remaining.as_duration()).await;
 }
 
 fn shutting_down() -> Refusal {
     Refusal::new(Code::ShuttingDown, "").retry_after(stop::RETRY)
 }
 
-/// Turns a parsed request into what its program's owner is asked.
+/// Turns a parsed request into the [`Ask`] for its program's owner.
 fn ask(core: &Core, view: &View, caller: id::Caller, parsed: parse::Parsed) -> Result<Ask> {
     let named = parsed.program;
-    let first = named.is_none();
-    let program = match (named, &parsed.key, &parsed.what) {
+    let is_new = named.is_none();
+    let program = match (named, &parsed.key, &parsed.action) {
         (Some(program), ..) => program,
-        // The same key finds the same program, so that the request asked again isn't run again.
-        (None, Some(key), parse::What::Chat(_) | parse::What::Call(_)) => {
-            route::keyed(&caller, key)
+        // The same key yields the same program, so that a retried request isn't run twice.
+        (None, Some(key), parse::Action::Chat(_) | parse::Action::Call(_)) => {
+            route::program_of_key(&caller, key)
         }
-        (None, ..) => route::mint(core, view),
+        (None, ..) => route::generate(core, view),
     };
-    let body = match parsed.what {
-        parse::What::Chat(request) => Body::Chat(wire::ask::Chat {
-            turn: if first { Some(1) } else { parsed.turn },
+    let body = match parsed.action {
+        parse::Action::Chat(request) => Body::Chat(wire::ask::Chat {
+            turn: if is_new { Some(1) } else { parsed.turn },
             request,
         }),
-        parse::What::Call(call) => Body::Call(wire::ask::Call {
+        parse::Action::Call(call) => Body::Call(wire::ask::Call {
             key: parsed.key,
             ..call
         }),
-        parse::What::Create => Body::Create,
-        parse::What::Show => Body::Show,
-        parse::What::End => Body::End,
-        parse::What::Models | parse::What::Health | parse::What::Ready => {
+        parse::Action::Create => Body::Create,
+        parse::Action::Show => Body::Show,
+        parse::Action::End => Body::End,
+        parse::Action::Models | parse::Action::Health | parse::Action::Ready => {
             return Err(Refusal::new(Code::Internal, "not a request to an owner"));
         }
     };
--- a/crates/node/src/filters/answer.rs
+++ b/crates/node/src/filters/answer.rs
@@ -1,5 +1,5 @@
-//! Renders replies in the forms that callers know: chat completions whole or in parts, JSON, and
-//! numbered refusals.
+//! Renders replies as HTTP responses: chat completions, whole or streamed, JSON, and refusals with
+//! their result codes.
 
 use std::sync::Arc;
 
@@ -27,44 +27,44 @@
 use crate::filters::Result;
 use crate::filters::forward::Replies;
 use crate::filters::header;
-use crate::filters::parse::What;
+use crate::filters::parse::Action;
 use crate::http;
 use crate::http::Response;
-use crate::http::body::Parts;
+use crate::http::body::Channel;
 use crate::http::sse;
 use crate::metrics;
 use crate::view::View;
 
-/// How long an entry VM waits for an owner's own refusal after the caller's deadline: a hop or two
-/// between data centres.
-const SLACK: Millis = Millis::new(100);
+/// How long the entry VM still waits for the owner's refusal after the caller's deadline: one or two
+/// hops between data centres.
+const REFUSAL_MARGIN: Millis = Millis::new(100);
 
-/// The form of an answer.
+/// The format of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Shape {
-    /// A chat completion in one piece.
+pub enum Format {
+    /// A chat completion as one JSON document.
     Whole {
         /// The model asked for.
         model: String,
     },
-    /// A chat completion in parts.
+    /// A chat completion as a stream of server-sent events.
     Stream {
         /// The model asked for.
         model: String,
     },
-    /// Whatever the owner shows.
+    /// The owner's reply as it is: a shown program or the response of a service.
     Plain,
 }
 
-impl Shape {
-    /// Picks the form that a request asks for.
+impl Format {
+    /// Returns the format that a request asks for.
     #[must_use]
-    pub fn of(what: &What) -> Self {
-        match what {
-            What::Chat(request) if request.stream => Self::Stream {
+    pub fn of(action: &Action) -> Self {
+        match action {
+            Action::Chat(request) if request.stream => Self::Stream {
                 model: request.model.clone(),
             },
-            What::Chat(request) => Self::Whole {
+            Action::Chat(request) => Self::Whole {
                 model: request.model.clone(),
             },
             _ => Self::Plain,
@@ -72,34 +72,34 @@
     }
 }
 
-/// How long a caller has waited and will.
+/// When a request arrived and how long its caller waits.
 #[derive(Clone, Copy, Debug)]
-pub struct Wait {
+pub struct Timing {
     /// When the request arrived.
     pub arrived: Millis,
-    /// How long the caller waits from then on.
+    /// How long the caller waits from the arrival on.
     pub deadline: Option<Millis>,
 }
 
-impl Wait {
-    /// Yields when the caller has its answer at the latest; `None` where it waits for any time.
+impl Timing {
+    /// Returns when the caller has its answer at the latest; `None` without a deadline.
     #[must_use]
-    pub fn until(&self) -> Option<Millis> {
+    pub fn latest_end(&self) -> Option<Millis> {
         let deadline = self.deadline?;
-        Some(self.arrived.plus(deadline).plus(SLACK))
+        Some(self.arrived.plus(deadline).plus(REFUSAL_MARGIN))
     }
 }
 
-/// Answers health and readiness probes; `None` for other requests.
+/// Answers health and readiness probes; returns `None` for other requests.
 #[must_use]
-pub fn probe(view: &View, what: &What) -> Option<Response> {
-    match what {
-        What::Health => Some(http::json(200, &json!({"status": "ok"}))),
-        What::Ready if view.stopping => Some(refuse(&Refusal::new(Code::ShuttingDown, ""))),
-        What::Ready if view.config.revision == 0 && view.config.callers.is_empty() => Some(refuse(
-            &Refusal::new(Code::PlatformDown, "no configuration yet"),
-        )),
-        What::Ready => Some(http::json(200, &json!({"status": "ready"}))),
+pub fn probe(view: &View, action: &Action) -> Option<Response> {
+    match action {
+        Action::Health => Some(http::json(200, &json!({"status": "ok"}))),
+        Action::Ready if view.stopping => Some(refuse(&Refusal::new(Code::ShuttingDown, ""))),
+        Action::Ready if view.config.revision == 0 && view.config.callers.is_empty() => Some(
+            refuse(&Refusal::new(Code::PlatformDown, "no configuration yet")),
+        ),
+        Action::Ready => Some(http::json(200, &json!({"status": "ready"}))),
         _ => None,
     }
 }
@@ -120,71 +120,71 @@
 #[must_use]
 pub fn refuse(refusal: &Refusal) -> Response {
     let mut response = http::json(refusal.code.status(), &refusal.to_json());
-    if let Some(span) = refusal.retry_after {
-        let seconds = span.as_u64().div_ceil(1_000).max(1);
-        set(&mut response, header::RETRY_AFTER, &seconds.to_string());
+    if let Some(delay) = refusal.retry_after {
+        let seconds = delay.as_u64().div_ceil(1_000).max(1);
+        set_header(&mut response, header::RETRY_AFTER, &seconds.to_string());
     }
     response
 }
 
-/// Renders the replies to an ask in the form asked for.
+/// Renders the replies to an ask in the requested format.
 ///
 /// # Errors
 ///
-/// Yields the owner's refusal where it comes first.
+/// Fails with the refusal if it comes before the response has started.
 pub async fn answer(
     core: &Arc<Core>,
-    shape: Shape,
+    format: Format,
     program: &id::Program,
-    wait: Wait,
+    timing: Timing,
     mut replies: Replies,
 ) -> Result<Response> {
-    let first = next(core, wait, &mut replies).await?;
+    let first = next_reply(core, timing, &mut replies).await?;
     core.metrics
-        .record_first_reply(core.clock.now().since(wait.arrived));
-    let mut response = match shape {
-        Shape::Whole { model } => {
-            let (turn, answer) = last(core, wait, first, &mut replies).await?;
+        .record_first_reply(core.clock.now().since(timing.arrived));
+    let mut response = match format {
+        Format::Whole { model } => {
+            let (turn, answer) = completed_turn(core, timing, first, &mut replies).await?;
             core.metrics
-                .record_whole_answer(core.clock.now().since(wait.arrived));
+                .record_whole_answer(core.clock.now().since(timing.arrived));
             core.metrics.count_answer(metrics::Kind::Whole);
             let completion = completion(program, turn, &model, &answer);
             let mut response = http::json(200, &completion);
-            set(&mut response, header::TURN, &turn.to_string());
+            set_header(&mut response, header::TURN, &turn.to_string());
             response
         }
-        Shape::Stream { model } => {
-            let (sender, parts) = mpsc::unbounded_channel();
+        Format::Stream { model } => {
+            let (sender, chunks) = mpsc::unbounded_channel();
             let stream = Stream {
                 core: core.clone(),
                 program: program.clone(),
                 model,
-                wait,
+                timing,
                 sender,
             };
             core.work.spawn(stream.run(first, replies));
-            let mut response = Response::new(BoxBody::new(Parts(parts)));
-            let kind = HeaderValue::from_static("text/event-stream");
-            response.headers_mut().insert(CONTENT_TYPE, kind);
+            let mut response = Response::new(BoxBody::new(Channel(chunks)));
+            let content_type = HeaderValue::from_static("text/event-stream");
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
             response
         }
-        Shape::Plain => {
+        Format::Plain => {
             let response = plain(first)?;
             core.metrics.count_answer(metrics::Kind::Plain);
             response
         }
     };
-    set(&mut response, header::PROGRAM, program.as_str());
+    set_header(&mut response, header::PROGRAM, program.as_str());
     Ok(response)
 }
 
-/// Waits for the next reply. An owner that vanished, a deadline that passed and a VM that ends leave
-/// open whether the turn runs.
-async fn next(core: &Core, wait: Wait, replies: &mut Replies) -> Result<Reply> {
+/// Waits for the next reply. If the owner is lost, the deadline passes or this VM stops, it is unknown
+/// whether the turn runs.
+async fn next_reply(core: &Core, timing: Timing, replies: &mut Replies) -> Result<Reply> {
     tokio::select! {
         biased;
-        reply = receive(core, wait, replies) => reply,
-        // Cut off by the process's end, the caller couldn't tell its answer from a whole one whose
+        reply = receive(core, timing, replies) => reply,
+        // If the end of the process cut the answer off, the caller couldn't tell it from one whose
         // connection broke.
         () = core.expired.cancelled() => {
             let refusal = Refusal::new(Code::ShuttingDown, "").ran(Ran::Unknown);
@@ -193,26 +193,27 @@
     }
 }
 
-async fn receive(core: &Core, wait: Wait, replies: &mut Replies) -> Result<Reply> {
+async fn receive(core: &Core, timing: Timing, replies: &mut Replies) -> Result<Reply> {
     let lost = || Refusal::new(Code::OwnerLost, "").ran(Ran::Unknown);
-    let reply = match wait.until() {
+    let reply = match timing.latest_end() {
         None => replies.recv().await.ok_or_else(lost)?,
         Some(end) => {
-            let left = end.since(core.clock.now()).as_duration();
+            let remaining = end.since(core.clock.now()).as_duration();
             let late = |_| Refusal::new(Code::DeadlineUnmeetable, "").ran(Ran::Unknown);
-            let received = tokio::time::timeout(left, replies.recv()).await;
+            let received = tokio::time::timeout(remaining, replies.recv()).await;
             received.map_err(late)?.ok_or_else(lost)?
         }
     };
     match reply {
         Reply::Refused(refusal) => Err(refusal),
-        other => Ok(other),
+        reply => Ok(reply),
     }
 }
 
-async fn last(
+/// Waits for the reply that completes the turn.
+async fn completed_turn(
     core: &Core,
-    wait: Wait,
+    timing: Timing,
     first: Reply,
     replies: &mut Replies,
 ) -> Result<(u32, chat::Answer)> {
@@ -220,8 +221,8 @@
     loop {
         match reply {
             Reply::Done { turn, answer } => return Ok((turn, answer)),
-            Reply::Delta(_) => reply = next(core, wait, replies).await?,
-            _ => return Err(Refusal::new(Code::Internal, "a reply of another kind")),
+            Reply::Delta(_) => reply = next_reply(core, timing, replies).await?,
+            _ => return Err(Refusal::new(Code::Internal, "unexpected type of reply")),
         }
     }
 }
@@ -229,23 +230,23 @@
 fn plain(reply: Reply) -> Result<Response> {
     match reply {
         Reply::Shown(value) => Ok(http::json(200, &value)),
-        Reply::Called { status, body } => Ok(http::whole(status, "application/json", body)),
-        _ => Err(Refusal::new(Code::Internal, "a reply of another kind")),
+        Reply::Called { status, body } => Ok(http::response(status, "application/json", body)),
+        _ => Err(Refusal::new(Code::Internal, "unexpected type of reply")),
     }
 }
 
-/// An answer that is sent in parts.
+/// An answer that is streamed as server-sent events.
 struct Stream {
     core: Arc<Core>,
     program: id::Program,
     model: String,
-    wait: Wait,
+    timing: Timing,
     sender: UnboundedSender<Bytes>,
 }
 
 impl Stream {
-    /// Sends every reply as an event. An answer that isn't whole ends with the refusal and without
-    /// the end marker, so that it can't be taken for a whole one.
+    /// Sends every reply as an event. An incomplete answer ends with the refusal and without the end
+    /// marker, so that it can't be mistaken for a complete one.
     async fn run(self, first: Reply, mut replies: Replies) {
         let mut reply = Ok(first);
         let mut sent = false;
@@ -258,16 +259,18 @@
                     }
                 }
                 Ok(Reply::Done { turn, answer }) => return self.finish(turn, &answer, sent),
-                Ok(_) => return self.fail(&Refusal::new(Code::Internal, "another kind")),
+                Ok(_) => {
+                    return self.fail(&Refusal::new(Code::Internal, "unexpected type of reply"));
+                }
                 Err(refusal) => return self.fail(&refusal),
             }
-            reply = next(&self.core, self.wait, &mut replies).await;
+            reply = next_reply(&self.core, self.timing, &mut replies).await;
         }
     }
 
     fn finish(&self, turn: u32, answer: &chat::Answer, sent: bool) {
         if !sent && let Ok(message) = serde_json::to_value(&answer.message) {
-            // An answer from the history comes in one part.
+            // An answer from the history is sent as a single chunk.
             let _gone = self.send(&self.chunk(&message, None));
         }
         let mut chunk = self.chunk(&json!({}), Some(&answer.finish));
@@ -275,7 +278,7 @@
         chunk["chestnutyoke"] = json!({"program": self.program, "turn": turn});
         let _gone = self.send(&chunk);
         let _gone = self.sender.send(Bytes::from_static(b"data: [DONE]\n\n"));
-        let elapsed = self.core.clock.now().since(self.wait.arrived);
+        let elapsed = self.core.clock.now().since(self.timing.arrived);
         self.core.metrics.record_whole_answer(elapsed);
         self.core.metrics.count_answer(metrics::Kind::Stream);
     }
@@ -295,7 +298,7 @@
         json!({
             "id": format!("chatcmpl-{}", self.program),
             "object": "chat.completion.chunk",
-            "created": self.wait.arrived.as_u64() / 1_000,
+            "created": self.timing.arrived.as_u64() / 1_000,
             "model": self.model,
             "choices": [{"index": 0, "delta": delta, "finish_reason": finish}],
         })
@@ -323,7 +326,7 @@
     })
 }
 
-fn set(response: &mut Response, name: &'static str, value: &str) {
+fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response
             .headers_mut()
--- a/crates/node/src/filters/authenticate.rs
+++ b/crates/node/src/filters/authenticate.rs
@@ -1,5 +1,5 @@
-//! Tells who asks, from the token alone, and how urgent the work is, from the operators'
-//! selectors. Nothing in a request can raise its caller's labels.
+//! Identifies the caller by the token alone, and determines the priority class of the work from the
+//! operators' selectors. Nothing else in a request can change who the caller is, or its labels.
 
 use settings::config::Caller;
 use settings::config::Class;
@@ -13,17 +13,17 @@
 
 use crate::filters::Result;
 
-/// Looks up who asks.
+/// Returns the caller that a token belongs to.
 ///
 /// # Errors
 ///
-/// Refuses an absent or unknown token.
+/// Refuses a missing or unknown token.
 pub fn caller(config: &Config, token: Option<id::Digest>) -> Result<&Caller> {
     let known = token.and_then(|digest| config.caller_by_token(digest));
     known.ok_or_else(|| Refusal::new(Code::UnknownToken, ""))
 }
 
-/// Yields how urgent the work is.
+/// Returns the priority class of the work.
 ///
 /// # Errors
 ///
--- a/crates/node/src/filters/forward/tests.rs
+++ b/crates/node/src/filters/forward/tests.rs
@@ -5,24 +5,27 @@
 use wire::code::Ran;
 use wire::code::Refusal;
 
-use super::pass;
+use super::forward_reply;
 
-// A turn is sent to its owner, which dies in the middle of it. The next owner has no place for it and
-// refuses. Told that it didn't run, the caller would ask elsewhere and might have it run twice. After no
-// broken try the refusal is passed on as it is, and never is what an owner says made weaker.
+// A turn's owner dies while it runs the turn. The next owner has no capacity for it and refuses. If the
+// caller were told that the turn didn't run, it would ask elsewhere, and the turn might run twice. Without
+// a broken try the refusal is forwarded unchanged, and `Ran::Yes` is always kept.
 #[rstest]
 #[case::first_try(Ran::No, Ran::No, Ran::No)]
-#[case::after_a_broken_one(Ran::Unknown, Ran::No, Ran::Unknown)]
-#[case::that_ran(Ran::Unknown, Ran::Yes, Ran::Yes)]
-fn a_refusal_after_a_broken_try_says_no_of_nothing(
+#[case::after_a_broken_try(Ran::Unknown, Ran::No, Ran::Unknown)]
+#[case::already_ran(Ran::Unknown, Ran::Yes, Ran::Yes)]
+fn a_refusal_after_a_broken_try_does_not_say_not_run(
     #[case] broken: Ran,
-    #[case] said: Ran,
-    #[case] told: Ran,
+    #[case] received: Ran,
+    #[case] forwarded: Ran,
     #[values(Code::PlatformDown, Code::QueueFull, Code::NoEndpoint)] code: Code,
 ) {
     let (sender, mut replies) = mpsc::unbounded_channel();
-    let refusal = Refusal::new(code, "").ran(said);
-    let tried = pass(Reply::Refused(refusal.clone()), 0, broken, &sender);
-    assert!(tried.is_some());
-    assert_eq!(replies.try_recv(), Ok(Reply::Refused(refusal.ran(told))));
+    let refusal = Refusal::new(code, "").ran(received);
+    let outcome = forward_reply(Reply::Refused(refusal.clone()), 0, broken, &sender);
+    assert!(outcome.is_some());
+    assert_eq!(
+        replies.try_recv(),
+        Ok(Reply::Refused(refusal.ran(forwarded)))
+    );
 }
--- a/crates/node/src/filters/parse.rs
+++ b/crates/node/src/filters/parse.rs
@@ -1,4 +1,4 @@
-//! Turns a caller's HTTP request into typed values; whatever doesn't fit is refused here, before
+//! Parses a caller's HTTP request into typed values. Invalid requests are refused here, before
 //! anything runs.
 
 use std::str::FromStr;
@@ -19,13 +19,13 @@
 
 use crate::filters::Result;
 use crate::filters::header;
-use crate::http::body::Arrival;
+use crate::http::body::Reader;
 use crate::http::listen::MAX_HEADERS;
 
-/// What the paths of services' calls begin with.
-const SERVICES: &str = "/v1/services/";
-/// Who may speak in a conversation. A model that meets another role answers something all the same,
-/// and the history that is kept then holds a message that nobody can place.
+/// The prefix of the paths for service calls.
+const SERVICES_PREFIX: &str = "/v1/services/";
+/// The valid roles of a message. A model answers a message with another role all the same, and the
+/// stored history then holds a message whose author is unclear.
 const ROLES: [&str; 6] = [
     "system",
     "developer",
@@ -48,18 +48,18 @@
     pub key: Option<id::Key>,
     /// How long the caller waits.
     pub deadline: Option<Millis>,
-    /// What is asked.
-    pub what: What,
+    /// What the caller requests.
+    pub action: Action,
 }
 
-/// What a caller asks.
+/// What a caller requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// A completion.
+pub enum Action {
+    /// Run a chat completion.
     Chat(chat::Request),
-    /// A call of a plain service.
+    /// Call a service.
     Call(Call),
-    /// Make a program.
+    /// Create a program.
     Create,
     /// Show a program.
     Show,
@@ -67,9 +67,9 @@
     End,
     /// List the models.
     Models,
-    /// Tell whether the process works.
+    /// Health probe: whether the process works.
     Health,
-    /// Tell whether the VM takes requests.
+    /// Readiness probe: whether the VM accepts requests.
     Ready,
 }
 
@@ -77,9 +77,9 @@
 ///
 /// # Errors
 ///
-/// Refuses an unknown path or method, headers or a body over their limits or too slow, bad JSON
-/// and values that aren't allowed.
-pub async fn parse(limits: &Limits, head: &Parts, arrival: &mut Arrival) -> Result<Parsed> {
+/// Refuses an unknown path or method, headers or a body over their limits, a body that arrives too
+/// slowly, invalid JSON and values that aren't allowed.
+pub async fn parse(limits: &Limits, head: &Parts, body: &mut Reader) -> Result<Parsed> {
     let length: usize = head
         .headers
         .iter()
@@ -95,24 +95,24 @@
     if let Path::Program(named, _) = &path {
         program = Some(named.clone());
     }
-    let whole = arrival.read(limits.body, limits.receive).await?;
-    let what = what(path, whole, &mut program)?;
+    let body = body.read(limits.body, limits.receive).await?;
+    let action = action(path, body, &mut program)?;
     Ok(Parsed {
         token: token(&head.headers),
         program,
         turn: optional(&head.headers, header::TURN, turn)?,
         key: optional::<id::Key>(&head.headers, header::KEY, parse_id!(Key))?,
         deadline: optional(&head.headers, header::DEADLINE, millis)?,
-        what,
+        action,
     })
 }
 
-/// Tells what the headers of a request that isn't parsed say of earlier askings: as
-/// [`crate::filters::forward::earlier`] does of a parsed one.
+/// Returns whether an earlier request for the same call may have run, as far as the headers tell.
+/// Does for an unparsed request what [`crate::filters::forward::earlier_run`] does for a parsed one.
 #[must_use]
-pub fn earlier(head: &Parts) -> Ran {
+pub fn earlier_run(head: &Parts) -> Ran {
     let keyed = head.headers.contains_key(header::KEY);
-    if keyed && head.uri.path().starts_with(SERVICES) {
+    if keyed && head.uri.path().starts_with(SERVICES_PREFIX) {
         Ran::Unknown
     } else {
         Ran::No
@@ -131,9 +131,9 @@
     Chat,
     Models,
     Create,
-    Program(id::Program, What),
+    Program(id::Program, Action),
     Call(id::Service, String),
-    Probe(What),
+    Probe(Action),
 }
 
 fn path(method: &Method, segments: &[&str]) -> Result<Path> {
@@ -144,18 +144,19 @@
         ["v1", "programs", program] => {
             let program = id::Program::parse(program).map_err(|f| bad_field("program", f))?;
             if *method == Method::DELETE {
-                return Ok(Path::Program(program, What::End));
+                return Ok(Path::Program(program, Action::End));
             }
-            (&Method::GET, Path::Program(program, What::Show))
+            (&Method::GET, Path::Program(program, Action::Show))
         }
         ["v1", "services", service, operation] => {
             let service = id::Service::parse(service).map_err(|f| bad_field("service", f))?;
-            // The same alphabet keeps the operation from leaving its path segment.
+            // Operations are limited to the characters of service names, so that an operation can't
+            // leave its path segment.
             id::Service::parse(operation).map_err(|f| bad_field("operation", f))?;
             (&Method::POST, Path::Call(service, operation.to_owned()))
         }
-        ["health"] => (&Method::GET, Path::Probe(What::Health)),
-        ["ready"] => (&Method::GET, Path::Probe(What::Ready)),
+        ["health"] => (&Method::GET, Path::Probe(Action::Health)),
+        ["ready"] => (&Method::GET, Path::Probe(Action::Ready)),
         _ => return Err(Refusal::new(Code::UnknownPath, "")),
     };
     if method != known.0 {
@@ -164,28 +165,28 @@
     Ok(known.1)
 }
 
-fn what(path: Path, whole: Bytes, program: &mut Option<id::Program>) -> Result<What> {
+fn action(path: Path, body: Bytes, program: &mut Option<id::Program>) -> Result<Action> {
     match path {
-        Path::Chat => Ok(What::Chat(chat(&whole)?)),
-        Path::Models => Ok(What::Models),
+        Path::Chat => Ok(Action::Chat(chat(&body)?)),
+        Path::Models => Ok(Action::Models),
         Path::Create => {
-            if !whole.trim_ascii().is_empty() {
-                *program = create(&whole)?.or(program.take());
+            if !body.trim_ascii().is_empty() {
+                *program = create(&body)?.or(program.take());
             }
-            Ok(What::Create)
+            Ok(Action::Create)
         }
-        Path::Call(service, operation) => Ok(What::Call(Call {
+        Path::Call(service, operation) => Ok(Action::Call(Call {
             service,
             operation,
             key: None,
-            body: whole,
+            body,
         })),
-        Path::Program(_, what) | Path::Probe(what) => Ok(what),
+        Path::Program(_, action) | Path::Probe(action) => Ok(action),
     }
 }
 
-fn chat(whole: &[u8]) -> Result<chat::Request> {
-    let request: chat::Request = serde_json::from_slice(whole).map_err(|f| bad_json(&f))?;
+fn chat(body: &[u8]) -> Result<chat::Request> {
+    let request: chat::Request = serde_json::from_slice(body).map_err(|f| bad_json(&f))?;
     if request.messages.is_empty() {
         return Err(bad_field("messages", "at least one message"));
     }
@@ -203,13 +204,13 @@
     Ok(request)
 }
 
-fn create(whole: &[u8]) -> Result<Option<id::Program>> {
+fn create(body: &[u8]) -> Result<Option<id::Program>> {
     #[derive(serde::Deserialize)]
     #[serde(deny_unknown_fields)]
     struct Create {
         program: Option<id::Program>,
     }
-    let create: Create = serde_json::from_slice(whole).map_err(|f| bad_json(&f))?;
+    let create: Create = serde_json::from_slice(body).map_err(|f| bad_json(&f))?;
     Ok(create.program)
 }
 
@@ -222,7 +223,7 @@
     Some(id::Digest::of(token.trim().as_bytes()))
 }
 
-/// Parses a header that may be absent.
+/// Parses an optional header.
 fn optional<T>(
     headers: &HeaderMap,
     name: &str,
--- a/crates/node/src/filters/parse/tests.rs
+++ b/crates/node/src/filters/parse/tests.rs
@@ -12,11 +12,11 @@
 #[case("user")]
 #[case("assistant")]
 #[case("tool")]
-fn known_roles_are_taken(#[case] role: &str) {
+fn known_roles_are_accepted(#[case] role: &str) {
     assert!(chat(request(role).as_bytes()).is_ok());
 }
 
-/// A caller misspells a role. It is told so, and nothing is kept of the message.
+// A caller misspells a role. The refusal names the field, and the message isn't stored.
 #[rstest]
 #[case("usr")]
 #[case("")]
--- a/crates/node/src/filters/route/tests.rs
+++ b/crates/node/src/filters/route/tests.rs
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn a_minted_id_names_its_home() {
+fn a_generated_id_names_its_home() {
     let settings = settings();
     for centre in &settings.centres {
-        for drawn in 0..50 {
-            let program = minted_id(&centre.name, drawn);
+        for random in 0..50 {
+            let program = random_id(&centre.name, random);
             assert_eq!(shard(&settings, &program).centre, centre.name);
         }
     }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,4 +1,4 @@
-//! The traffic over HTTP: listeners with limits at the door, bodies, and the client side.
+//! HTTP: listeners with connection limits, bodies, server-sent events and the client.
 
 pub mod body;
 pub mod client;
@@ -15,24 +15,24 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
-/// An answer.
+/// A response.
 pub type Response = hyper::Response<Body>;
 
-/// Renders a whole answer.
+/// Returns a response with a complete body.
 #[must_use]
-pub fn whole(status: u16, kind: &'static str, body: impl Into<Bytes>) -> Response {
+pub fn response(status: u16, content_type: &'static str, body: impl Into<Bytes>) -> Response {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-/// Renders a JSON answer.
+/// Returns a JSON response.
 #[must_use]
 pub fn json(status: u16, value: &serde_json::Value) -> Response {
-    whole(status, "application/json", value.to_string())
+    response(status, "application/json", value.to_string())
 }
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: bounded reading, and sending in parts.
+//! Bodies: reading with limits, and streaming.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -21,91 +21,103 @@
 use wire::code::Code;
 use wire::code::Refusal;
 
-/// The longest rest of a refused request's body that is read where none so long is taken, in bytes.
-const DISCARDED: usize = 16 * 1024 * 1024;
-/// How long the rest of a refused request's body is read at most.
-pub const DISCARD: Millis = Millis::new(1_000);
+/// The limit in bytes for discarding the rest of a refused request's body, where the limit for bodies
+/// is lower.
+const MIN_DISCARD_LIMIT: usize = 16 * 1024 * 1024;
+/// The maximum time for discarding the rest of a refused request's body.
+pub const DISCARD_TIMEOUT: Millis = Millis::new(1_000);
 
-/// The body of a caller's request, as it arrives.
+/// Reads the body of a caller's request.
 #[derive(Debug)]
-pub struct Arrival {
+pub struct Reader {
     incoming: Incoming,
-    sender: Sender,
+    state: State,
 }
 
-/// What the sender of a body does.
+/// The state of a body's sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sender {
-    /// It sends.
-    Sends,
-    /// It waits until it is asked for the body, which reading it does.
-    Waits,
-    /// It didn't send all in its time.
-    Stalls,
+pub enum State {
+    /// It sends the body.
+    Sending,
+    /// It waits for `100 Continue`, which the first read of the body sends.
+    AwaitsContinue,
+    /// It didn't send the whole body in time.
+    Stalled,
 }
 
-impl Arrival {
-    /// Takes the body of a request with these headers.
+impl Reader {
+    /// Wraps the body of a request with these headers.
     #[must_use]
     pub fn new(headers: &HeaderMap, incoming: Incoming) -> Self {
         let expected = headers.get(EXPECT);
         let waits =
             expected.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"));
-        let sender = if waits { Sender::Waits } else { Sender::Sends };
-        Self { incoming, sender }
+        let state = if waits {
+            State::AwaitsContinue
+        } else {
+            State::Sending
+        };
+        Self { incoming, state }
     }
 
-    /// Yields what the sender does.
+    /// Returns the state of the sender.
     #[must_use]
-    pub const fn sender(&self) -> Sender {
-        self.sender
+    pub const fn state(&self) -> State {
+        self.state
     }
 
-    /// Reads all of it: at most `limit` bytes, within `span`.
+    /// Reads the whole body: at most `limit` bytes, within `time_limit`.
     ///
     /// # Errors
     ///
-    /// Refuses a body that is too long, too slow or broken off.
-    pub async fn read(&mut self, limit: usize, span: Millis) -> Result<Bytes, Refusal> {
-        if self.sender == Sender::Waits && self.incoming.size_hint().lower() > limit as u64 {
+    /// Refuses a body that is too long, too slow or incomplete.
+    pub async fn read(&mut self, limit: usize, time_limit: Millis) -> Result<Bytes, Refusal> {
+        if self.state == State::AwaitsContinue && self.incoming.size_hint().lower() > limit as u64 {
             return Err(too_long(limit));
         }
-        self.sender = Sender::Sends;
-        let whole = read(&mut self.incoming, limit, span).await;
-        if whole.as_ref().is_err_and(|r| r.code == Code::ReadTimeout) {
-            self.sender = Sender::Stalls;
+        self.state = State::Sending;
+        let body = read(&mut self.incoming, limit, time_limit).await;
+        if body.as_ref().is_err_and(|r| r.code == Code::ReadTimeout) {
+            self.state = State::Stalled;
         }
-        whole
+        body
     }
 
-    /// Reads the rest of a refused request's body for at most `span`, so that its sender gets the
-    /// refusal: see [`body::discard`]. One that isn't sent isn't asked or waited for.
+    /// Reads the rest of a refused request's body for at most `time_limit`, so that its sender gets the
+    /// refusal: see [`body::discard`]. Does nothing if the sender awaits `100 Continue` or has stalled.
     ///
-    /// Bodies of `limit` bytes are read whole, as requests may have them.
-    pub async fn discard(self, limit: usize, span: Millis) {
-        if self.sender != Sender::Sends {
+    /// Reads at least `limit` bytes, because requests may have bodies of that length.
+    pub async fn discard(self, limit: usize, time_limit: Millis) {
+        if self.state != State::Sending {
             return;
         }
-        let discarded = body::discard(self.incoming, limit.max(DISCARDED));
-        let _too_slow = timeout(span.as_duration(), discarded).await;
+        let discarded = body::discard(self.incoming, limit.max(MIN_DISCARD_LIMIT));
+        let _too_slow = timeout(time_limit.as_duration(), discarded).await;
     }
 }
 
-/// Reads a whole body of at most `limit` bytes that arrives within `span`.
+/// Reads a whole body of at most `limit` bytes that arrives within `time_limit`.
 ///
 /// # Errors
 ///
-/// Refuses a body that is too long, too slow or broken off.
-pub async fn read<B>(body: B, limit: usize, span: Millis) -> Result<Bytes, Refusal>
+/// Refuses a body that is too long, too slow or incomplete.
+pub async fn read<B>(body: B, limit: usize, time_limit: Millis) -> Result<Bytes, Refusal>
 where
     B: hyper::body::Body<Data = Bytes, Error = hyper::Error>,
 {
-    let collected = timeout(span.as_duration(), Limited::new(body, limit).collect()).await;
+    let collected = timeout(
+        time_limit.as_duration(),
+        Limited::new(body, limit).collect(),
+    )
+    .await;
     match collected {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(fault)) if fault.is::<LengthLimitError>() => Err(too_long(limit)),
         Ok(Err(fault)) => Err(Refusal::new(Code::BadJson, &fault.to_string())),
-        Err(_elapsed) => Err(Refusal::new(Code::ReadTimeout, &format!("within {span}"))),
+        Err(_elapsed) => Err(Refusal::new(
+            Code::ReadTimeout,
+            &format!("within {time_limit}"),
+        )),
     }
 }
 
@@ -113,13 +125,13 @@
     Refusal::new(Code::BodyTooLarge, &format!("at most {limit} bytes"))
 }
 
-/// A body that is sent in parts as they come.
+/// A body whose chunks are sent as they arrive on a channel.
 ///
-/// The channel is unbounded so that a caller who reads slowly never holds up the turn; what waits
-/// in it is at most one answer, whose length the turn's reservation bounds.
-pub struct Parts(pub mpsc::UnboundedReceiver<Bytes>);
+/// The channel is unbounded so that a slow reader never delays the turn. It holds at most one answer,
+/// whose length is bounded by the turn's reservation.
+pub struct Channel(pub mpsc::UnboundedReceiver<Bytes>);
 
-impl hyper::body::Body for Parts {
+impl hyper::body::Body for Channel {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -127,7 +139,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let part = self.0.poll_recv(context);
-        part.map(|part| part.map(|bytes| Ok(Frame::data(bytes))))
+        let chunk = self.0.poll_recv(context);
+        chunk.map(|chunk| chunk.map(|bytes| Ok(Frame::data(bytes))))
     }
 }
--- a/crates/node/src/http/client.rs
+++ b/crates/node/src/http/client.rs
@@ -1,5 +1,5 @@
-//! The client side: pooled connections to VMs and endpoints, with faults that tell whether a
-//! request can have arrived.
+//! The HTTP client: pooled connections to VMs and endpoints. Its errors tell whether a request may
+//! have arrived.
 
 use std::time::Duration;
 
@@ -16,20 +16,20 @@
 use hyper_util::rt::TokioExecutor;
 use hyper_util::rt::TokioTimer;
 
-/// How long a connection may take to be made. Data centres are a few milliseconds apart and a
-/// lost first packet is sent again after one second, so this allows for one loss.
-const CONNECT: Duration = Duration::from_millis(1_500);
-/// How long an unused connection is kept; below the listeners' wait for headers, so that the
-/// client closes first and no request meets a closing connection.
-const IDLE: Duration = Duration::from_secs(5);
+/// The time limit for connecting. Data centres are a few milliseconds apart, and TCP sends a lost
+/// first packet again after 1 s, so this allows for one lost packet.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long an idle connection is kept. Shorter than the listeners' time-out for headers, so that the
+/// client closes first and no request is sent on a connection that the server is closing.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a request has no answer.
+/// Why a request got no response.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// No connection could be made: the request can't have arrived.
+    /// Connecting failed: the request can't have arrived.
     #[display("no connection: {_0}")]
     NotSent(#[error(not(source))] String),
-    /// The connection broke off: the request may have arrived.
+    /// The connection broke: the request may have arrived.
     #[display("the connection broke off: {_0}")]
     Broken(#[error(not(source))] String),
 }
@@ -41,16 +41,16 @@
 #[derive(Clone, Debug)]
 pub struct Client(legacy::Client<HttpConnector, Full<Bytes>>);
 
-/// A request to send.
+/// A POST request.
 #[derive(Clone, Debug)]
 pub struct Post<'a> {
-    /// IP number and port.
+    /// IP address and port.
     pub address: &'a str,
     /// The path.
     pub path: &'a str,
-    /// The body's type.
+    /// The content type of the body.
     pub content_type: &'a str,
-    /// Further headers.
+    /// Additional headers.
     pub headers: &'a [(&'a str, String)],
     /// The body.
     pub body: Bytes,
@@ -60,21 +60,21 @@
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self(client)
     }
 }
 
 impl Client {
-    /// Sends a request without a body and yields the answer once its headers are there.
+    /// Sends a GET request and returns the response once its headers have arrived.
     ///
     /// # Errors
     ///
-    /// Fails where no connection is made or it breaks off before the headers.
+    /// Fails if connecting fails, or if the connection breaks before the headers arrive.
     pub async fn get(&self, address: &str, path: &str) -> Result<hyper::Response<Incoming>> {
         let request = Request::builder()
             .uri(format!("http://{address}{path}"))
@@ -86,11 +86,11 @@
             .map_err(|fault| fault_of(&fault))
     }
 
-    /// Sends a request and yields the answer once its headers are there.
+    /// Sends a POST request and returns the response once its headers have arrived.
     ///
     /// # Errors
     ///
-    /// Fails where no connection is made or it breaks off before the headers.
+    /// Fails if connecting fails, or if the connection breaks before the headers arrive.
     pub async fn post(&self, post: Post<'_>) -> Result<hyper::Response<Incoming>> {
         let mut builder = Request::builder()
             .method(Method::POST)
--- a/crates/node/src/http/listen.rs
+++ b/crates/node/src/http/listen.rs
@@ -1,5 +1,5 @@
-//! Listeners: accept connections, keep their number and pace within limits, and close without
-//! cutting a request off.
+//! Listeners: accept connections, limit their number and the time they take to send headers, and
+//! close without cutting a request off.
 
 use std::future::Future;
 use std::io;
@@ -25,22 +25,23 @@
 use crate::core::Core;
 use crate::http::Response;
 
-/// Headers over this many bytes are refused with a code.
+/// The maximum length of a request's headers in bytes. Longer ones are refused with a result code.
 pub const MAX_HEADERS: usize = 16 * 1024;
-/// Headers over this many bytes end the connection: what hyper buffers at most.
+/// The size of hyper's buffer in bytes. Headers that don't fit end the connection.
 const MAX_BUFFER: usize = 64 * 1024;
-/// How much room a listener had when it accepted a connection.
+/// Which requests are admitted on a connection, by how many connections were open when the listener
+/// accepted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
-    /// Room for all.
-    Free,
-    /// Only the room kept for urgent work is left.
+pub enum Admission {
+    /// All requests.
+    Any,
+    /// Only urgent work: the connection is one of those reserved for it.
     UrgentOnly,
-    /// No room at all.
-    Full,
+    /// None: the limit is reached.
+    None,
 }
 
-/// Counts the connections of a listener.
+/// Counts and limits the connections of a listener.
 #[derive(Debug)]
 pub struct Connections {
     open: AtomicU32,
@@ -50,8 +51,8 @@
 }
 
 impl Connections {
-    /// Makes the connections of a listener that takes `total` connections, `urgent` of them kept for
-    /// urgent work, and waits `receive` for a request's headers.
+    /// Sets the limits: `total` connections, `urgent` of them reserved for urgent work. A request's
+    /// headers must arrive within `receive`.
     #[must_use]
     pub fn new(total: u32, urgent: u32, receive: Millis) -> Self {
         Self {
@@ -62,29 +63,29 @@
         }
     }
 
-    /// Yields how many connections are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 
-    fn enter(self: &Arc<Self>) -> (Pass, Room) {
+    fn admit(self: &Arc<Self>) -> (Slot, Admission) {
         let before = self.open.fetch_add(1, Ordering::Relaxed);
-        let room = if before >= self.total {
-            Room::Full
+        let admission = if before >= self.total {
+            Admission::None
         } else if before >= self.total.saturating_sub(self.urgent) {
-            Room::UrgentOnly
+            Admission::UrgentOnly
         } else {
-            Room::Free
+            Admission::Any
         };
-        (Pass(self.clone()), room)
+        (Slot(self.clone()), admission)
     }
 }
 
-/// A place among a listener's connections, given back when dropped.
-struct Pass(Arc<Connections>);
+/// One of a listener's connections; dropping it releases the slot.
+struct Slot(Arc<Connections>);
 
-impl Drop for Pass {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
@@ -94,72 +95,71 @@
 ///
 /// # Errors
 ///
-/// Fails where the address can't be bound.
+/// Fails if the address can't be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// How long a listener is open, and who counts its connections.
+/// When a listener closes, and the tracker for its connections.
 #[derive(Clone, Debug)]
-pub struct Life {
-    /// Set when the listener closes, and each connection with its last answer.
+pub struct Lifetime {
+    /// Cancelled to close the listener, and each connection after its current response.
     pub end: CancellationToken,
-    /// Counts the connections.
+    /// Tracks the connections' tasks.
     pub tasks: TaskTracker,
 }
 
-/// Accepts connections until the end of the listener's life, and answers each request with
-/// `handler`.
+/// Accepts connections until `lifetime` ends, and answers each request with `handler`.
 pub async fn run<H, F>(
     listener: TcpListener,
     connections: Arc<Connections>,
-    life: Life,
+    lifetime: Lifetime,
     core: Arc<Core>,
     handler: H,
 ) where
-    H: Fn(Arc<Core>, Request<Incoming>, Room) -> F + Copy + Send + Sync + 'static,
+    H: Fn(Arc<Core>, Request<Incoming>, Admission) -> F + Copy + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    let enter = |stream| {
-        let (pass, room) = connections.enter();
-        let end = life.end.clone();
-        let served = serve(stream, pass, room, end, core.clone(), handler);
-        life.tasks.spawn(served);
+    let accept = |stream| {
+        let (slot, admission) = connections.admit();
+        let end = lifetime.end.clone();
+        let served = serve(stream, slot, admission, end, core.clone(), handler);
+        lifetime.tasks.spawn(served);
     };
-    accept::run(listener, &life.end, enter).await;
+    accept::run(listener, &lifetime.end, accept).await;
 }
 
 async fn serve<H, F>(
     stream: TcpStream,
-    pass: Pass,
-    room: Room,
+    slot: Slot,
+    admission: Admission,
     end: CancellationToken,
     core: Arc<Core>,
     handler: H,
 ) where
-    H: Fn(Arc<Core>, Request<Incoming>, Room) -> F + Copy + Send + Sync + 'static,
+    H: Fn(Arc<Core>, Request<Incoming>, Admission) -> F + Copy + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let _unsupported = stream.set_nodelay(true);
     let mut protocol = http1::Builder::new();
     protocol
         .timer(TokioTimer::new())
-        .header_read_timeout(pass.0.receive.as_duration())
+        .header_read_timeout(slot.0.receive.as_duration())
         .max_buf_size(MAX_BUFFER)
-        // A connection in the room kept for urgent work isn't kept open between requests.
-        .keep_alive(room == Room::Free);
+        // A connection reserved for urgent work isn't kept open between requests.
+        .keep_alive(admission == Admission::Any);
     let answer = |request| {
-        let answer = handler(core.clone(), request, room);
+        let answer = handler(core.clone(), request, admission);
         let core = core.clone();
-        async move { last(&core, answer.await) }
+        async move { close_if_stopping(&core, answer.await) }
     };
-    // A connection that breaks is its caller's loss; what ran of it is told by the filters.
+    // Errors of a connection concern its caller alone. The filters report what ran.
     let _ended = connection::serve(stream, &protocol, &end, answer).await;
 }
 
-/// Has a node that stops end each connection with its answer. Closed later, when idle, it could meet
-/// the caller's next request, which would be lost with it.
-fn last(core: &Core, mut response: Response) -> Response {
+/// Makes a stopping node close each connection after its response. If it closed the connection later,
+/// when idle, the caller's next request could already be on its way and would be lost.
+fn close_if_stopping(core: &Core, mut response: Response) -> Response {
     if core.stopping.is_cancelled() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
--- a/crates/node/src/http/sse.rs
+++ b/crates/node/src/http/sse.rs
@@ -1,18 +1,18 @@
-//! Server-sent events, as far as the chat format uses them: `data:` lines that end with a blank
+//! The part of server-sent events that the chat format uses: `data:` lines, each followed by a blank
 //! line.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// The longest event in bytes; a longer one is a fault of the sender.
-pub const MAX_EVENT: usize = 4 * 1024 * 1024;
+/// The maximum length of an event in bytes. A longer one is a fault of the sender.
+pub const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// What the sender put on the wire isn't a stream of events.
+/// An event is longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-#[display("an event is longer than {MAX_EVENT} bytes")]
+#[display("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// Takes events off a stream of bytes.
+/// Extracts events from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Events {
     buffer: BytesMut,
@@ -24,24 +24,24 @@
     ///
     /// # Errors
     ///
-    /// Fails where the event under way gets longer than [`MAX_EVENT`].
+    /// Fails if the current event gets longer than [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
-        if self.buffer.len() + bytes.len() > MAX_EVENT {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// Takes the data of the next whole event; `None` where more bytes are needed.
+    /// Removes and returns the data of the next complete event; `None` if more bytes are needed.
     pub fn pop(&mut self) -> Option<Bytes> {
         loop {
             let rest = &self.buffer[self.scanned..];
-            let Some(at) = rest.iter().position(|b| *b == b'\n') else {
+            let Some(end) = rest.iter().position(|b| *b == b'\n') else {
                 self.scanned = self.buffer.len();
                 return None;
             };
-            let line = self.buffer.split_to(self.scanned + at + 1).freeze();
+            let line = self.buffer.split_to(self.scanned + end + 1).freeze();
             self.scanned = 0;
             if let Some(data) = line.strip_prefix(b"data:") {
                 return Some(line.slice_ref(data.trim_ascii()));
--- a/crates/node/src/http/sse/tests.rs
+++ b/crates/node/src/http/sse/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn events_split_anywhere_are_put_together() {
+fn events_split_at_any_byte_are_reassembled() {
     let wire = b": hello\ndata: {\"a\":1}\r\n\ndata: [DONE]\n\n";
     for cut in 0..wire.len() {
         let mut events = Events::default();
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of one node, in the Prometheus text form.
+//! Counters and latencies of one node, in the Prometheus text format.
 
 use std::fmt::Write;
 use std::sync::Mutex;
@@ -9,26 +9,26 @@
 use wire::clock::Millis;
 use wire::code::Code;
 
-/// The longest latency that is told apart, in milliseconds: an hour.
-const LONGEST: u64 = 60 * 60 * 1000;
-/// Significant digits of a latency.
-const DIGITS: u8 = 2;
-/// The quantiles shown.
+/// The longest latency that the histograms resolve, in milliseconds: one hour.
+const MAX_LATENCY_MS: u64 = 60 * 60 * 1000;
+/// The histograms' precision in significant decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// The quantiles in a summary.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 1.0];
 
-/// What an answer that came whole was.
+/// The kind of a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A turn, in one piece.
+    /// A turn, as one JSON document.
     Whole,
-    /// A turn, in parts.
+    /// A turn, streamed.
     Stream,
-    /// A call of a service, or something shown.
+    /// A service call or a shown program.
     Plain,
 }
 
 impl Kind {
-    /// Every kind with its label, in the order of their declaration.
+    /// Every kind with its label, in declaration order.
     const ALL: [(Self, &str); 3] = [
         (Self::Whole, "whole"),
         (Self::Stream, "stream"),
@@ -36,14 +36,14 @@
     ];
 }
 
-/// The measures of one node.
+/// The metrics of one node.
 pub struct Metrics(Mutex<State>);
 
 struct State {
-    first: Histogram<u64>,
-    whole: Histogram<u64>,
-    queued: Histogram<u64>,
-    appended: Histogram<u64>,
+    first_reply: Histogram<u64>,
+    whole_answer: Histogram<u64>,
+    queue_wait: Histogram<u64>,
+    journal_append: Histogram<u64>,
     /// By code, in the order of [`Code::ALL`].
     refused: Vec<u64>,
     /// By kind, in the order of [`Kind::ALL`].
@@ -52,13 +52,15 @@
 
 impl Default for Metrics {
     fn default() -> Self {
-        let empty =
-            || Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("the bounds are constants");
+        let empty = || {
+            Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
+                .expect("the bounds are constants")
+        };
         Self(Mutex::new(State {
-            first: empty(),
-            whole: empty(),
-            queued: empty(),
-            appended: empty(),
+            first_reply: empty(),
+            whole_answer: empty(),
+            queue_wait: empty(),
+            journal_append: empty(),
             refused: vec![0; Code::ALL.len()],
             answered: vec![0; Kind::ALL.len()],
         }))
@@ -67,23 +69,25 @@
 
 impl Metrics {
     /// Records the time to the first reply.
-    pub fn record_first_reply(&self, span: Millis) {
-        self.lock().first.saturating_record(span.as_u64());
+    pub fn record_first_reply(&self, elapsed: Millis) {
+        self.lock().first_reply.saturating_record(elapsed.as_u64());
     }
 
-    /// Records the time to a whole answer.
-    pub fn record_whole_answer(&self, span: Millis) {
-        self.lock().whole.saturating_record(span.as_u64());
+    /// Records the time to the end of a complete answer.
+    pub fn record_whole_answer(&self, elapsed: Millis) {
+        self.lock().whole_answer.saturating_record(elapsed.as_u64());
     }
 
     /// Records how long a call waited for an endpoint.
-    pub fn record_queue_wait(&self, span: Millis) {
-        self.lock().queued.saturating_record(span.as_u64());
+    pub fn record_queue_wait(&self, elapsed: Millis) {
+        self.lock().queue_wait.saturating_record(elapsed.as_u64());
     }
 
     /// Records how long an append to a journal took.
-    pub fn record_append(&self, span: Millis) {
-        self.lock().appended.saturating_record(span.as_u64());
+    pub fn record_append(&self, elapsed: Millis) {
+        self.lock()
+            .journal_append
+            .saturating_record(elapsed.as_u64());
     }
 
     /// Counts a refusal.
@@ -91,13 +95,13 @@
         self.lock().refused[code as usize] += 1;
     }
 
-    /// Counts an answer that came whole.
+    /// Counts a complete answer.
     pub fn count_answer(&self, kind: Kind) {
         self.lock().answered[kind as usize] += 1;
     }
 
-    /// Renders every measure. Counters that are still zero are told, too: a scraper else misses the
-    /// first of a kind, as it knows no value before it.
+    /// Renders every metric. Counters that are still zero are included, because a scraper that knows no
+    /// earlier value doesn't see the first increment.
     #[must_use]
     pub fn render(&self) -> String {
         let state = self.lock();
@@ -106,27 +110,27 @@
             (
                 "first_reply",
                 "from a request's arrival to its owner's first reply",
-                &state.first,
+                &state.first_reply,
             ),
             (
                 "whole_answer",
                 "from a turn's arrival to the end of its answer",
-                &state.whole,
+                &state.whole_answer,
             ),
             (
                 "queue_wait",
                 "how long a call waited for an endpoint's slot",
-                &state.queued,
+                &state.queue_wait,
             ),
             (
                 "journal_append",
                 "how long a record took to be durable",
-                &state.appended,
+                &state.journal_append,
             ),
         ] {
             summary(&mut out, name, help, histogram);
         }
-        explain(
+        write_header(
             &mut out,
             "refused_total",
             "counter",
@@ -139,7 +143,7 @@
                 "chestnutyoke_refused_total{{code=\"CY{number}\"}} {count}"
             );
         }
-        explain(
+        write_header(
             &mut out,
             "answered_total",
             "counter",
@@ -159,8 +163,8 @@
     }
 }
 
-/// Writes what stands before a measure: its type and what it tells.
-pub fn explain(out: &mut String, name: &str, kind: &str, help: &str) {
+/// Writes the header of a metric: its help and its type.
+pub fn write_header(out: &mut String, name: &str, kind: &str, help: &str) {
     let _infallible = writeln!(
         out,
         "# HELP chestnutyoke_{name} {help}\n# TYPE chestnutyoke_{name} {kind}"
@@ -169,7 +173,7 @@
 
 #[allow(clippy::cast_precision_loss)] // Milliseconds up to an hour are exact in an f64.
 fn summary(out: &mut String, name: &str, help: &str, histogram: &Histogram<u64>) {
-    explain(out, &format!("{name}_seconds"), "summary", help);
+    write_header(out, &format!("{name}_seconds"), "summary", help);
     let metric = format!("chestnutyoke_{name}_seconds");
     for quantile in QUANTILES {
         let seconds = histogram.value_at_quantile(quantile) as f64 / 1_000.0;
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -1,5 +1,5 @@
-//! What operators ask of a VM on its admin listener: the configuration and its changes, and why
-//! calls went where they did.
+//! Operators' requests on the admin listener: reading and changing the configuration, showing and
+//! ending programs, and explaining why calls went where they did.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,33 +36,34 @@
 /// The outcome of an operator's request.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// Paths that begin with this belong here.
+/// The prefix of the paths that [`handle`] serves.
 pub const PREFIX: &str = "/operate/";
-/// How long another VM has to tell its decisions; one that is slower is left out.
-const TELL: Millis = Millis::new(1_000);
-/// VMs that are asked for their decisions at once.
-const ASKED: usize = 32;
-/// When a change that met an outage of the platform may be tried again.
-const OUTAGE_PAUSE: Millis = Millis::new(2_000);
-
-/// An operator's change.
+/// The time limit for asking a VM for its decisions, or a program's owner. A VM that is slower to send
+/// its decisions is left out.
+const TIMEOUT: Millis = Millis::new(1_000);
+/// The maximum number of VMs that are asked for their decisions at once.
+const MAX_CONCURRENT: usize = 32;
+/// The `retry-after` of a change during an outage of the platform.
+const OUTAGE_RETRY_AFTER: Millis = Millis::new(2_000);
+
+/// An operator's change of the configuration.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Wish {
+struct Change {
     edit: Edit,
     #[serde(default)]
     expected: Option<u64>,
 }
 
-/// Asks another VM for what it keeps of a program's decisions.
+/// Asks another VM for its stored decisions about a program.
 #[derive(Debug, Serialize, Deserialize)]
-struct Tell {
+struct Query {
     program: id::Program,
 }
 
-/// What a VM keeps of a program's decisions.
+/// A VM's stored decisions about a program.
 #[derive(Debug, Serialize, Deserialize)]
-struct Told {
+struct Decisions {
     vm: id::Vm,
     decisions: Vec<Decision>,
 }
@@ -74,14 +75,14 @@
 /// Fails with the refusal that the operator gets.
 pub async fn handle(core: &Arc<Core>, request: Request<Incoming>) -> Result<Value> {
     let path = request.uri().path().to_owned();
-    let (verb, subject) = split(&path);
-    match (request.method(), verb) {
+    let (operation, argument) = split(&path);
+    match (request.method(), operation) {
         (&Method::POST, "change") => change(core, request).await,
         (&Method::GET, "config") => Ok(json!(*core.view().config)),
         (&Method::GET, "rollout") => rollout(core, request.uri().query()).await,
-        (&Method::GET, "programs") => program(core, parse(subject)?).await,
-        (&Method::DELETE, "programs") => end(core, parse(subject)?).await,
-        (&Method::GET, "explain") => Ok(explain(core, parse(subject)?).await),
+        (&Method::GET, "programs") => program(core, parse(argument)?).await,
+        (&Method::DELETE, "programs") => end(core, parse(argument)?).await,
+        (&Method::GET, "explain") => Ok(explain(core, parse(argument)?).await),
         (_, "change" | "config" | "rollout" | "programs" | "explain") => {
             Err(Refusal::new(Code::BadMethod, &path))
         }
@@ -89,10 +90,10 @@
     }
 }
 
-/// Answers [`peer::EXPLAIN`]: what this VM keeps of a program's decisions.
-pub fn tell(core: &Core, body: &[u8]) -> Option<Bytes> {
-    let Tell { program } = call::decode(body)?;
-    frame::encode(&own(core, &program)).ok()
+/// Serves [`peer::EXPLAIN`]: returns this VM's stored decisions about a program.
+pub fn serve_explain(core: &Core, body: &[u8]) -> Option<Bytes> {
+    let Query { program } = call::decode(body)?;
+    frame::encode(&local_decisions(core, &program)).ok()
 }
 
 fn split(path: &str) -> (&str, &str) {
@@ -100,50 +101,50 @@
     rest.split_once('/').unwrap_or((rest, ""))
 }
 
-fn parse(subject: &str) -> Result<id::Program> {
-    id::Program::parse(subject).map_err(|fault| Refusal::new(Code::BadField, &fault.to_string()))
+fn parse(argument: &str) -> Result<id::Program> {
+    id::Program::parse(argument).map_err(|fault| Refusal::new(Code::BadField, &fault.to_string()))
 }
 
 async fn change(core: &Arc<Core>, request: Request<Incoming>) -> Result<Value> {
     let limits = &core.settings.limits;
-    let whole = body::read(request.into_body(), limits.body, limits.receive).await?;
-    let wish: Wish = serde_json::from_slice(&whole)
+    let body = body::read(request.into_body(), limits.body, limits.receive).await?;
+    let change: Change = serde_json::from_slice(&body)
         .map_err(|fault| Refusal::new(Code::BadJson, &fault.to_string()))?;
-    let (outcome, reached) = config::make(core, wish.edit, wish.expected).await;
+    let (outcome, rollout) = config::make(core, change.edit, change.expected).await;
     match outcome {
         Outcome::Accepted(accepted) => {
-            Ok(json!({ "revision": accepted.revision, "rollout": sorted(&reached) }))
+            Ok(json!({ "revision": accepted.revision, "rollout": render_rollout(&rollout) }))
         }
         Outcome::Conflict { revision } => {
-            let detail = format!("it stands at revision {revision}");
+            let detail = format!("the configuration is at revision {revision}");
             Err(Refusal::new(Code::RevisionConflict, &detail))
         }
         Outcome::Unknown { revision } => {
-            let detail = format!("it may become revision {revision}");
+            let detail = format!("the change may become revision {revision}");
             Err(Refusal::new(Code::ChangeUnknown, &detail).ran(Ran::Unknown))
         }
         Outcome::NotSent(fault) => {
             let refusal = Refusal::new(Code::PlatformDown, &fault.to_string());
-            Err(refusal.retry_after(OUTAGE_PAUSE))
+            Err(refusal.retry_after(OUTAGE_RETRY_AFTER))
         }
         Outcome::Bad(refusal) => Err(refusal),
     }
 }
 
 async fn rollout(core: &Arc<Core>, query: Option<&str>) -> Result<Value> {
-    let wanted = query.and_then(|query| query.strip_prefix("revision="));
-    let revision = match wanted {
+    let requested = query.and_then(|query| query.strip_prefix("revision="));
+    let revision = match requested {
         None => core.view().config.revision,
         Some(text) => text
             .parse()
             .map_err(|_| Refusal::new(Code::BadField, "revision isn't a whole number"))?,
     };
-    let mut answer = sorted(&config::survey(core, revision).await);
+    let mut answer = render_rollout(&config::survey(core, revision).await);
     answer["revision"] = json!(revision);
     Ok(answer)
 }
 
-fn sorted(rollout: &Rollout) -> Value {
+fn render_rollout(rollout: &Rollout) -> Value {
     json!({ "reached": rollout.reached, "behind": rollout.behind, "silent": rollout.silent })
 }
 
@@ -151,7 +152,7 @@
     ask(core, program, operator()?, Body::Inspect).await
 }
 
-/// Ends a program in the name of its caller, who may be the one that can't be reached.
+/// Ends a program in the name of its caller, because the caller may be unreachable.
 async fn end(core: &Arc<Core>, program: id::Program) -> Result<Value> {
     let shown = ask(core, program.clone(), operator()?, Body::Inspect).await?;
     let caller = shown["caller"].as_str().unwrap_or_default();
@@ -164,7 +165,7 @@
     id::Caller::parse("operator").map_err(|f| Refusal::new(Code::Internal, &f.to_string()))
 }
 
-/// Asks the program's owner, as callers' requests do.
+/// Sends an [`Ask`] to the program's owner, as a caller's request does.
 async fn ask(
     core: &Arc<Core>,
     program: id::Program,
@@ -175,7 +176,7 @@
         program,
         caller,
         revision: core.view().config.revision,
-        deadline: Some(TELL),
+        deadline: Some(TIMEOUT),
         hops: 0,
         body,
     };
@@ -190,31 +191,31 @@
     Err(Refusal::new(Code::ForwardFailed, ""))
 }
 
-/// Collects what all VMs keep of a program's decisions, by time.
+/// Collects the decisions about a program from all VMs, in order of time.
 async fn explain(core: &Arc<Core>, program: id::Program) -> Value {
-    let mut told = vec![own(core, &program)];
-    for some in others(core).chunks(ASKED) {
+    let mut decisions = vec![local_decisions(core, &program)];
+    for addresses in other_vms(core).chunks(MAX_CONCURRENT) {
         let mut asks = tokio::task::JoinSet::new();
-        for address in some.iter().copied() {
-            let (core, tell) = (
+        for address in addresses.iter().copied() {
+            let (core, query) = (
                 core.clone(),
-                Tell {
+                Query {
                     program: program.clone(),
                 },
             );
             asks.spawn(async move {
-                call::send::<_, Told>(&core, address, peer::EXPLAIN, &tell, TELL).await
+                call::send::<_, Decisions>(&core, address, peer::EXPLAIN, &query, TIMEOUT).await
             });
         }
-        told.extend(asks.join_all().await.into_iter().flatten());
+        decisions.extend(asks.join_all().await.into_iter().flatten());
     }
-    let mut lines: Vec<(Millis, Value)> = told.iter().flat_map(lines).collect();
+    let mut lines: Vec<(Millis, Value)> = decisions.iter().flat_map(lines).collect();
     lines.sort_by_key(|(at, _)| *at);
     let decisions: Vec<Value> = lines.into_iter().map(|(_, line)| line).collect();
     json!({ "program": program, "decisions": decisions })
 }
 
-fn others(core: &Core) -> Vec<SocketAddr> {
+fn other_vms(core: &Core) -> Vec<SocketAddr> {
     let view = core.view();
     let others = view
         .peers
@@ -223,18 +224,18 @@
     others.map(|peer| peer.address).collect()
 }
 
-fn own(core: &Core, program: &id::Program) -> Told {
-    Told {
+fn local_decisions(core: &Core, program: &id::Program) -> Decisions {
+    Decisions {
         vm: core.settings.vm.name.clone(),
         decisions: core.trace.of(program),
     }
 }
 
-fn lines(told: &Told) -> impl Iterator<Item = (Millis, Value)> {
-    told.decisions.iter().map(|decision| {
+fn lines(stored: &Decisions) -> impl Iterator<Item = (Millis, Value)> {
+    stored.decisions.iter().map(|decision| {
         let line = json!({
             "at": decision.at,
-            "vm": told.vm,
+            "vm": stored.vm,
             "turn": decision.turn,
             "event": decision.event,
             "detail": decision.detail,
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,4 +1,4 @@
-//! The listener for VMs. Bodies are [`wire::frame`] frames, whole or in a stream.
+//! The listener for other VMs. Bodies are [`wire::frame`] frames, single or streamed.
 
 use std::sync::Arc;
 
@@ -14,48 +14,48 @@
 use crate::filters::forward;
 use crate::http::Response;
 use crate::http::body;
-use crate::http::listen::Room;
+use crate::http::listen::Admission;
 use crate::operate;
 use crate::owner::poison;
 
-/// Takes a [`wire::ask::Ask`], streams [`wire::ask::Reply`] frames.
+/// Receives a [`wire::ask::Ask`]; streams [`wire::ask::Reply`] frames back.
 pub const ASK: &str = "/peer/ask";
-/// Takes a heartbeat with a digest of what the sender knows, answers the receiver's.
+/// Receives a heartbeat with a digest of what the sender knows; answers with the receiver's.
 pub const BEAT: &str = "/peer/beat";
-/// Answers the whole configuration at the receiver's revision.
+/// Answers with the whole configuration, at the receiver's revision.
 pub const CONFIG: &str = "/peer/config";
-/// Takes the digest of a content that is refused for good.
+/// Receives the digest of a content that is refused permanently because it crashes endpoints.
 pub const POISON: &str = "/peer/poison";
-/// Takes a pending batch of a shard to hold during an outage of the platform.
+/// Receives a pending batch of a shard, to be held during an outage of the platform.
 pub const HOLD: &str = "/peer/hold";
-/// Fences a shard's earlier owner and answers the pending batches held for it.
+/// Fences a shard's earlier owner and answers with the pending batches held for the shard.
 pub const COLLECT: &str = "/peer/collect";
-/// Asks an owner which programs that an endpoint holds are gone.
+/// Asks an owner which of the programs that an endpoint holds no longer exist.
 pub const HELD: &str = "/peer/held";
-/// Tells that held batches are in the journal.
+/// Reports that held batches are in the journal.
 pub const DRAINED: &str = "/peer/drained";
 
-/// Answers what the receiver keeps of a program's decisions.
+/// Answers with the receiver's stored decisions about a program.
 pub const EXPLAIN: &str = "/peer/explain";
 
-/// Answers one request of another VM.
-pub async fn handle(core: Arc<Core>, request: Request<Incoming>, room: Room) -> Response {
+/// Answers one request from another VM.
+pub async fn handle(core: Arc<Core>, request: Request<Incoming>, admission: Admission) -> Response {
     if request.uri().path() == ASK {
-        return forward::serve(core, request, room).await;
+        return forward::serve(core, request, admission).await;
     }
     let path = request.uri().path().to_owned();
     let receive = core.settings.limits.receive;
-    let whole = match body::read(request.into_body(), frame::MAX_BODY, receive).await {
-        Ok(whole) => whole,
+    let body = match body::read(request.into_body(), frame::MAX_BODY, receive).await {
+        Ok(body) => body,
         Err(refusal) => return answer::refuse(&refusal),
     };
     let answer = match path.as_str() {
-        EXPLAIN => operate::tell(&core, &whole),
-        POISON => poison::serve(&core, whole),
-        _ => controllers::serve(&core, &path, whole).await,
+        EXPLAIN => operate::serve_explain(&core, &body),
+        POISON => poison::serve(&core, body),
+        _ => controllers::serve(&core, &path, body).await,
     };
     match answer {
-        Some(body) => forward::frames(body),
+        Some(body) => forward::frame_response(body),
         None => answer::refuse(&Refusal::new(Code::UnknownPath, &path)),
     }
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Puts a node together.
+//! Starts a node: binds its listeners and starts its tasks and controllers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 use crate::http::client::Client;
 use crate::http::listen;
 use crate::http::listen::Connections;
-use crate::http::listen::Life;
+use crate::http::listen::Lifetime;
 use crate::metrics::Metrics;
 use crate::owner::poison::Poison;
 use crate::owner::registry::Registry;
@@ -41,28 +41,29 @@
 use crate::trace::Trace;
 use crate::view::View;
 
-/// How often waiting calls are looked at although nothing has happened, for those whose time is
-/// over; a twentieth of the shortest wait that callers are told of.
-const PUMP: Duration = Duration::from_millis(50);
-/// How many pumps there are to one sweep: a second.
-const SWEEP: u32 = 20;
-/// Connections that the listeners for VMs and operators take; callers can't use them up.
-const INNER_CONNECTIONS: u32 = 65_536;
+/// How often waiting calls are checked for expiry when nothing else happens: a twentieth of the
+/// shortest `retry-after` that callers get.
+const PUMP_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of pumps per sweep: at least one sweep per second.
+const PUMPS_PER_SWEEP: u32 = 20;
+/// The maximum number of connections of each listener for VMs and operators. They don't count towards
+/// the limit for callers' connections.
+const MAX_INTERNAL_CONNECTIONS: u32 = 65_536;
 
-/// Why a node doesn't start.
+/// Why a node failed to start.
 #[derive(Debug, Display, Error, From)]
 pub enum Fault {
-    /// A listener can't be bound.
+    /// A listener's address can't be bound.
     #[display("can't listen on {address}: {fault}")]
     #[from(ignore)]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The operating system's error.
         #[error(source)]
         fault: io::Error,
     },
-    /// The settings name no data centre, or not the VM's own.
+    /// The VM's data centre isn't among those in the settings.
     #[display("the data centre {_0} isn't among the settings' centres")]
     #[from(ignore)]
     Centre(#[error(not(source))] String),
@@ -76,24 +77,23 @@
     core: Arc<Core>,
 }
 
-/// Starts a node against the platform that its settings name. Listeners with port 0 get a free
-/// one.
+/// Starts a node that uses the platform in its settings. Listeners with port 0 get a free port.
 ///
 /// # Errors
 ///
-/// Fails where a listener can't be bound or the settings don't fit together.
+/// Fails if a listener can't be bound or the VM's data centre isn't in the settings.
 pub async fn start(settings: Settings, clock: Clock) -> Result<Handle> {
     let handle = open(settings, clock).await?;
     handle.start_controllers().await;
     Ok(handle)
 }
 
-/// Opens a node against the platform that its settings name; [`Handle::start_controllers`] starts it. Listeners
-/// with port 0 get a free one.
+/// Opens a node that uses the platform in its settings, without starting its controllers:
+/// [`Handle::start_controllers`] does that. Listeners with port 0 get a free port.
 ///
 /// # Errors
 ///
-/// Fails where a listener can't be bound or the settings don't fit together.
+/// Fails if a listener can't be bound or the VM's data centre isn't in the settings.
 pub async fn open(settings: Settings, clock: Clock) -> Result<Handle> {
     let service = &settings.platform;
     let etcd = Etcd::new(service.addresses.clone(), service.timeout);
@@ -105,11 +105,11 @@
     open_on(settings, clock, Arc::new(limited)).await
 }
 
-/// Starts a node against a given platform.
+/// Starts a node that uses the given platform.
 ///
 /// # Errors
 ///
-/// Fails where a listener can't be bound or the settings don't fit together.
+/// Fails if a listener can't be bound or the VM's data centre isn't in the settings.
 pub async fn start_on(
     settings: Settings,
     clock: Clock,
@@ -165,8 +165,9 @@
 }
 
 impl Handle {
-    /// Starts the controllers, and returns when the VM may serve. It takes callers before, and may
-    /// have to be shut down without it: whoever waits here listens for that as well.
+    /// Starts the controllers, and returns when the VM may serve. The listeners accept callers before
+    /// that, and the node may have to shut down before this returns, so await this together with the
+    /// stop signal.
     pub async fn start_controllers(&self) {
         let core = &self.core;
         controllers::start(core).await;
@@ -183,31 +184,31 @@
         );
     }
 
-    /// Yields the callers' listener.
+    /// Returns the address of the callers' listener.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.core.settings.listen.callers
     }
 
-    /// Yields the listener for other VMs.
+    /// Returns the address of the listener for other VMs.
     #[must_use]
     pub fn peers(&self) -> SocketAddr {
         self.core.settings.listen.peers
     }
 
-    /// Yields the operators' listener.
+    /// Returns the address of the operators' listener.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
         self.core.settings.listen.admin
     }
 
-    /// Yields what the node's parts share.
+    /// Returns the state that the node's parts share.
     #[must_use]
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Shuts the node down within the settings' grace.
+    /// Shuts the node down within the grace in the settings.
     pub async fn shutdown(self) {
         stop::run(&self.core).await;
     }
@@ -227,50 +228,50 @@
 }
 
 fn serve(core: &Arc<Core>, callers: TcpListener, peers: TcpListener, admin: TcpListener) {
-    let outer = Life {
+    let external = Lifetime {
         end: core.closing.clone(),
         tasks: core.work.clone(),
     };
     let served = listen::run(
         callers,
         core.connections.clone(),
-        outer,
+        external,
         core.clone(),
         filters::handle,
     );
     core.work.spawn(served);
-    // Other VMs and operators are answered until the last work is done: without it they would take
-    // the VM for dead while it still works.
-    let inner = Life {
+    // Requests from other VMs and operators are answered until the last work is done. Otherwise they
+    // would consider the VM dead while it still works.
+    let internal = Lifetime {
         end: core.stopped.clone(),
         tasks: core.tasks.clone(),
     };
     let receive = core.settings.limits.receive;
-    let connections = || Arc::new(Connections::new(INNER_CONNECTIONS, 0, receive));
+    let connections = || Arc::new(Connections::new(MAX_INTERNAL_CONNECTIONS, 0, receive));
     let served = listen::run(
         peers,
         connections(),
-        inner.clone(),
+        internal.clone(),
         core.clone(),
         peer::handle,
     );
     core.tasks.spawn(served);
-    let served = listen::run(admin, connections(), inner, core.clone(), admin::handle);
+    let served = listen::run(admin, connections(), internal, core.clone(), admin::handle);
     core.tasks.spawn(served);
 }
 
 async fn tick(core: Arc<Core>) {
-    let mut news = core.view.subscribe();
+    let mut views = core.view.subscribe();
     let mut pumps = 0;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(PUMP) => {}
-            _changed = news.changed() => {}
+            () = tokio::time::sleep(PUMP_INTERVAL) => {}
+            _changed = views.changed() => {}
             () = core.stopped.cancelled() => return,
         }
         desk::pump(&core);
         pumps += 1;
-        if pumps >= SWEEP {
+        if pumps >= PUMPS_PER_SWEEP {
             pumps = 0;
             sweep::sweep(&core);
             core.registry.tick();
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,8 +1,9 @@
-//! Takes a node apart within its grace, in the order that its work needs.
+//! Shuts a node down within its grace.
 //!
-//! What may outlast the process is refused ([`crate::filters`]), the shards are given up when what
-//! runs of them is done, and the callers' listener closes. The controllers and the other listeners
-//! end last: forwarded answers need news of their owners, waiting calls someone to give them up.
+//! New requests that may outlast the process are refused ([`crate::filters`]). Each shard is released
+//! when its running work is done, and then the callers' listener closes. The controllers and the other
+//! listeners end last, because forwarded answers need news of their owners, and waiting calls must be
+//! given up in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,40 +17,40 @@
 
 use crate::core::Core;
 
-/// How often a lingering node looks at the time.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often a node checks whether the callers' listener may close.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Stops a node. Returns when all its tasks have ended, or the time for them is over.
+/// Stops a node. Returns when all its tasks have ended or their time is over.
 pub async fn run(core: &Arc<Core>) {
     log::info!("{} vm={}", Event::NodeStopping, core.settings.vm.name);
-    let begun = Stop::new(core.clock.now(), core.settings.limits.grace);
-    let stop = *core.stop.get_or_init(|| begun);
+    let new = Stop::new(core.clock.now(), core.settings.limits.grace);
+    let stop = *core.stop.get_or_init(|| new);
     core.stopping.cancel();
     core.update(|view| view.stopping = true);
     let left = stop.left(core.clock.now()).as_duration();
     if timeout(left, release_all(core)).await.is_err() {
         warn("shards still busy at the end of the grace");
     }
-    linger(core, stop).await;
+    wait_for_balancer(core, stop).await;
     core.closing.cancel();
     core.work.close();
     let left = stop.left(core.clock.now()).as_duration();
     if timeout(left, core.work.wait()).await.is_err() {
         warn("requests still busy at the end of the grace");
         core.expired.cancel();
-        let _cut = timeout(part(&stop), core.work.wait()).await;
+        let _cut = timeout(phase_time(&stop), core.work.wait()).await;
     }
     core.stopped.cancel();
     core.tasks.close();
     let left = stop.left(core.clock.now()).as_duration();
-    let left = left.max(part(&stop));
+    let left = left.max(phase_time(&stop));
     if timeout(left, core.tasks.wait()).await.is_err() {
         warn("tasks still busy at the end of the grace");
     }
     log::info!("{} vm={}", Event::NodeStopped, core.settings.vm.name);
 }
 
-/// Gives all shards up at once, each when what runs of it is done.
+/// Releases all shards concurrently, each when its running work is done.
 async fn release_all(core: &Arc<Core>) {
     let mut releases = JoinSet::new();
     for owned in core.registry.owned() {
@@ -59,17 +60,18 @@
     while releases.join_next().await.is_some() {}
 }
 
-/// Lives on until the balancer sends elsewhere: callers that it still sends would find no listener,
-/// and requests on kept connections would be lost with them.
-async fn linger(core: &Core, stop: Stop) {
+/// Waits until the load balancer has stopped sending requests here. Otherwise new callers would find
+/// no listener, and requests on open connections would be lost.
+async fn wait_for_balancer(core: &Core, stop: Stop) {
     while !stop.is_over(core.clock.now(), Activity::Idle) {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Yields the time that the last words take at most, and the controllers' end as much again: a
-/// third of what is left then, so that the process itself ends in the last one.
-fn part(stop: &Stop) -> Duration {
+/// Returns the time limit for sending the last refusals, and again for ending the controllers. Each
+/// gets a third of the time between the deadline and the kill, so that the last third is left for the
+/// process to exit.
+fn phase_time(stop: &Stop) -> Duration {
     stop.killed().since(stop.deadline()).as_duration() / 3
 }
 
--- a/crates/node/tests/request/main.rs
+++ b/crates/node/tests/request/main.rs
@@ -1,7 +1,7 @@
 //! One node in this process, with stand-in endpoints and a platform in memory, under the failures
 //! that a request meets.
 
-mod door;
+mod admission;
 mod fleet;
 mod handover;
 mod lost;
