--- a/crates/node/examples/overhead.rs
+++ b/crates/node/examples/overhead.rs
@@ -1,10 +1,10 @@
-//! What the system adds to a call: time to the first token and to the whole answer through a node,
-//! beside the same calls sent straight to the runner, in one run.
+//! Measures the overhead of the system: the time to the first token and to the whole answer through a
+//! node, compared with the same calls sent directly to the runner, in one run.
 //!
-//! The example starts itself as the platform, the runner and the node, each a process of its own,
-//! and sends the load itself. Direct and routed calls take turns in short blocks, so that the
-//! machine's mood meets both alike. Printed: ratios at the 50th, 95th and 99th percentile, the
-//! node's processor time a turn and the platform's writes a turn.
+//! The example starts itself as the platform, the runner and the node, each as a process of its own,
+//! and sends the load itself. Direct and routed calls alternate in short blocks, so that changes in the
+//! machine's load affect both alike. It prints the ratios at the 50th, 95th and 99th percentile, the
+//! node's CPU time per turn and the platform's writes per turn.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -32,26 +32,26 @@
 use wire::clock::Clock;
 use wire::id::Digest;
 
-/// Calls at once.
-const CALLS: [usize; 3] = [1, 32, 256];
-/// Blocks of each kind at each number of calls.
+/// The numbers of concurrent calls.
+const CONCURRENCY: [usize; 3] = [1, 32, 256];
+/// Blocks of direct and of routed calls at each concurrency.
 const BLOCKS: usize = 3;
-/// How long a block lasts.
+/// The duration of a block.
 const BLOCK: Duration = Duration::from_secs(3);
-/// How late the platform answers, in milliseconds.
+/// The platform's response time in milliseconds.
 const PLATFORM_MS: u64 = 2;
-/// Bytes of a prompt: about a thousand tokens, 50 ms of prefill.
-const PROMPT: usize = 4_000;
-/// Tokens of an answer.
-const ANSWER: u64 = 16;
-/// Tokens a second of the runner: 20 ms between tokens, against the target's 58.
-const SPEED: f64 = 50.0;
-/// Calls that the runner takes at once: more than are sent, as waiting isn't measured here.
+/// The length of a prompt in bytes: about 1,000 tokens, 50 ms of prefill.
+const PROMPT_BYTES: usize = 4_000;
+/// The length of an answer in tokens.
+const ANSWER_TOKENS: u64 = 16;
+/// The runner's speed: 20 ms between tokens, against the target's 58 ms.
+const TOKENS_PER_SECOND: f64 = 50.0;
+/// The runner's slots: more than there are concurrent calls, because waiting isn't measured here.
 const SLOTS: u32 = 1_024;
-/// The longest time told apart, in microseconds: ten minutes.
-const LONGEST: u64 = 600_000_000;
-/// Ticks a second of the processor time that the kernel reports.
-const TICKS: f64 = 100.0;
+/// The longest time that the histograms resolve, in microseconds: ten minutes.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Ticks per second in the CPU times that the kernel reports.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 type Http = legacy::Client<HttpConnector, Full<bytes::Bytes>>;
 
@@ -69,14 +69,14 @@
                 .long("writes")
                 .default_value("60")
                 .value_parser(value_parser!(u32))
-                .help("Platform writes a second that the node may make"),
+                .help("Maximum platform writes per second of the node"),
         )
         .arg(
             Arg::new("shards")
                 .long("shards")
                 .default_value("1")
                 .value_parser(value_parser!(u32))
-                .help("Shards that the programs are split into"),
+                .help("Number of shards"),
         )
         .get_matches();
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
@@ -97,22 +97,22 @@
         ..standin::platform::Settings::default()
     };
     let server = standin::platform::serve(bind().await, settings, Clock::System);
-    wait(server.expect("the platform starts")).await;
+    serve(server.expect("the platform starts")).await;
 }
 
 async fn runner() {
     let settings = standin::runner::Settings {
         slots: SLOTS,
-        tokens_per_second: SPEED,
+        tokens_per_second: TOKENS_PER_SECOND,
         crowding: 0.0,
-        answer_tokens: ANSWER,
+        answer_tokens: ANSWER_TOKENS,
         ..standin::runner::Settings::default()
     };
     let server = standin::runner::serve(bind().await, settings, Clock::System);
-    wait(server.expect("the runner starts")).await;
+    serve(server.expect("the runner starts")).await;
 }
 
-async fn wait(server: standin::http::Server) {
+async fn serve(server: standin::http::Server) {
     println!("listening {}", server.address());
     server.wait().await;
 }
@@ -144,7 +144,7 @@
     TcpListener::bind("127.0.0.1:0").await.expect("a free port")
 }
 
-/// A process of this example, ended when dropped.
+/// A child process of this example, killed when dropped.
 struct Role {
     child: Child,
     address: SocketAddr,
@@ -166,14 +166,15 @@
         }
     }
 
-    /// Yields the processor time used so far, in seconds.
-    fn processor(&self) -> f64 {
+    /// Returns the CPU time used so far, in seconds.
+    fn cpu_seconds(&self) -> f64 {
         let path = format!("/proc/{}/stat", self.child.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
-        // The fields after the name in parentheses; user and system time are the 12th and 13th.
+        // The fields after the process name in parentheses. User and system time are at the indexes 12
+        // and 13.
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split(' ').collect();
-        let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok());
-        (ticks(12).unwrap_or(0.0) + ticks(13).unwrap_or(0.0)) / TICKS
+        let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok());
+        (ticks(12).unwrap_or(0.0) + ticks(13).unwrap_or(0.0)) / TICKS_PER_SECOND
     }
 }
 
@@ -209,20 +210,21 @@
         "calls | first token ms direct p50 p95 p99 | ratio p50 p95 p99 | whole ms direct p50 p95 \
          p99 | ratio p50 p95 p99 | turns/s | node ms/turn | writes/turn"
     );
-    for calls in CALLS {
+    for calls in CONCURRENCY {
         measure(calls, &platform, &runner, &node).await;
     }
 }
 
-/// What was measured of one way.
-struct Times {
+/// The latencies of direct or of routed calls.
+struct Latencies {
     first: Histogram<u64>,
     whole: Histogram<u64>,
 }
 
-impl Times {
+impl Latencies {
     fn new() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are right");
+        let empty =
+            || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds are right");
         Self {
             first: empty(),
             whole: empty(),
@@ -231,24 +233,24 @@
 }
 
 async fn measure(calls: usize, platform: &Role, runner: &Role, node: &Role) {
-    let mut direct = Times::new();
-    let mut routed = Times::new();
-    let (mut processor, mut written, mut spent) = (0.0, 0, Duration::ZERO);
-    block(runner.address, calls, &mut Times::new()).await;
-    block(node.address, calls, &mut Times::new()).await;
+    let mut direct = Latencies::new();
+    let mut routed = Latencies::new();
+    let (mut cpu, mut written, mut elapsed) = (0.0, 0, Duration::ZERO);
+    block(runner.address, calls, &mut Latencies::new()).await;
+    block(node.address, calls, &mut Latencies::new()).await;
     for _ in 0..BLOCKS {
         block(runner.address, calls, &mut direct).await;
         let before = (
-            node.processor(),
+            node.cpu_seconds(),
             writes(platform.address).await,
             Instant::now(),
         );
         block(node.address, calls, &mut routed).await;
-        processor += node.processor() - before.0;
+        cpu += node.cpu_seconds() - before.0;
         written += writes(platform.address).await - before.1;
-        spent += before.2.elapsed();
+        elapsed += before.2.elapsed();
     }
-    report(calls, &direct, &routed, processor, written, spent);
+    report(calls, &direct, &routed, cpu, written, elapsed);
 }
 
 #[expect(
@@ -257,15 +259,15 @@
 )]
 fn report(
     calls: usize,
-    direct: &Times,
-    routed: &Times,
-    processor: f64,
+    direct: &Latencies,
+    routed: &Latencies,
+    cpu: f64,
     written: u64,
-    spent: Duration,
+    elapsed: Duration,
 ) {
-    let at = |times: &Histogram<u64>, q: f64| times.value_at_quantile(q) as f64;
+    let at = |latencies: &Histogram<u64>, q: f64| latencies.value_at_quantile(q) as f64;
     let quantiles = [0.5, 0.95, 0.99];
-    let shown = |direct: &Histogram<u64>, routed: &Histogram<u64>| {
+    let columns = |direct: &Histogram<u64>, routed: &Histogram<u64>| {
         let millis = quantiles.map(|q| format!("{:.1}", at(direct, q) / 1_000.0));
         let ratio = quantiles.map(|q| format!("{:.2}", at(routed, q) / at(direct, q)));
         format!("{} | {}", millis.join(" "), ratio.join(" "))
@@ -273,10 +275,10 @@
     let turns = routed.whole.len() as f64;
     println!(
         "{calls:5} | {} | {} | {:.0} | {:.3} | {:.2}",
-        shown(&direct.first, &routed.first),
-        shown(&direct.whole, &routed.whole),
-        turns / spent.as_secs_f64(),
-        processor * 1_000.0 / turns,
+        columns(&direct.first, &routed.first),
+        columns(&direct.whole, &routed.whole),
+        turns / elapsed.as_secs_f64(),
+        cpu * 1_000.0 / turns,
         written as f64 / turns
     );
 }
@@ -286,34 +288,35 @@
     stats["writes"].as_u64().unwrap_or(0)
 }
 
-/// Sends `calls` calls at once, each the next when the last has ended, for the length of a block.
-async fn block(address: SocketAddr, calls: usize, times: &mut Times) {
+/// Keeps `calls` calls running for the duration of a block: each caller sends its next call when the
+/// last one has ended.
+async fn block(address: SocketAddr, calls: usize, measured: &mut Latencies) {
     let http: Arc<Http> = Arc::new(legacy::Client::builder(TokioExecutor::new()).build_http());
     let end = Instant::now() + BLOCK;
     let mut callers = tokio::task::JoinSet::new();
     for caller in 0..calls {
         let http = http.clone();
         callers.spawn(async move {
-            let mut seen = Vec::new();
-            // The callers begin spread over a turn, as they would be after a while.
-            let part = 370 * caller / calls;
-            tokio::time::sleep(Duration::from_millis(part as u64)).await;
+            let mut latencies = Vec::new();
+            // The callers start spread over the duration of a turn, as they would be after a while.
+            let delay = 370 * caller / calls;
+            tokio::time::sleep(Duration::from_millis(delay as u64)).await;
             while Instant::now() < end {
-                seen.push(turn(&http, address).await);
+                latencies.push(turn(&http, address).await);
             }
-            seen
+            latencies
         });
     }
-    while let Some(seen) = callers.join_next().await {
-        for (first, whole) in seen.expect("a caller doesn't panic") {
-            times.first.saturating_record(micros(first));
-            times.whole.saturating_record(micros(whole));
+    while let Some(latencies) = callers.join_next().await {
+        for (first, whole) in latencies.expect("a caller doesn't panic") {
+            measured.first.saturating_record(micros(first));
+            measured.whole.saturating_record(micros(whole));
         }
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 /// Sends one call and measures the time to its first token and to its end marker.
@@ -321,7 +324,7 @@
     let text = format!(
         "{:016x}{}",
         rand::random::<u64>(),
-        "word ".repeat(PROMPT / 5)
+        "word ".repeat(PROMPT_BYTES / 5)
     );
     let mut chat = client::chat(&text);
     chat["stream"] = json!(true);
@@ -330,28 +333,28 @@
         .header("content-type", "application/json")
         .body(Full::from(chat.to_string()))
         .expect("the request is right");
-    let begun = Instant::now();
+    let started = Instant::now();
     let response = http.request(request).await.expect("an answer");
     let status = response.status();
     let mut body = response.into_body();
     let mut first = None;
-    let mut tail = Vec::new();
+    let mut received = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.expect("a whole stream").into_data() else {
             continue;
         };
-        tail.extend_from_slice(&data);
-        if first.is_none() && has_token(&tail) {
-            first = Some(begun.elapsed());
+        received.extend_from_slice(&data);
+        if first.is_none() && has_token(&received) {
+            first = Some(started.elapsed());
         }
     }
-    let whole = begun.elapsed();
-    let text = String::from_utf8_lossy(&tail);
+    let whole = started.elapsed();
+    let text = String::from_utf8_lossy(&received);
     assert!(text.ends_with("data: [DONE]\n\n"), "{status}: {text}");
     (first.expect("a token"), whole)
 }
 
-/// Tells whether a piece with text has come.
+/// Returns whether the events contain any text.
 fn has_token(events: &[u8]) -> bool {
     let text = String::from_utf8_lossy(events);
     !client::content(&text).is_empty()
--- a/crates/node/examples/slopes/child.rs
+++ b/crates/node/examples/slopes/child.rs
@@ -1,5 +1,5 @@
-//! One VM. Each line on its input is answered with what the process has used so far; the input's
-//! end is the process's.
+//! The process of one VM. It answers each line on its standard input with its resource usage so far,
+//! and exits at the end of the input.
 
 use std::io::BufRead;
 use std::sync::atomic::Ordering;
@@ -9,32 +9,32 @@
 use serde::Serialize;
 use wire::clock::Clock;
 
-/// What a process has used.
+/// The resource usage and the state of a process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Used {
-    /// Processor time of all threads, in nanoseconds.
+pub struct Usage {
+    /// CPU time of all threads, in nanoseconds.
     pub cpu: u64,
     /// Resident memory, in kilobytes.
     pub memory: u64,
-    /// Control frames sent.
+    /// The number of control frames sent.
     pub frames: u64,
-    /// Bytes of their bodies.
+    /// The total length of their bodies in bytes.
     pub bytes: u64,
-    /// VMs that it thinks up.
+    /// The number of VMs that it considers up.
     pub vms: usize,
-    /// Owners of shards that it knows.
+    /// The number of shards whose owner it knows.
     pub owners: usize,
-    /// Shards that it owns.
+    /// The number of shards that it owns.
     pub owned: usize,
-    /// Endpoints whose load it knows.
+    /// The number of endpoints whose load it knows.
     pub loads: usize,
-    /// The mean age of the loads, in milliseconds.
+    /// The mean age of these loads, in milliseconds.
     pub age: u64,
-    /// Its listener for VMs.
+    /// The address of its listener for VMs.
     pub peers: String,
 }
 
-/// Runs until the input ends.
+/// Runs the VM until the input ends.
 pub fn run(settings: &str) {
     let settings = settings::vm::parse(settings).expect("settings");
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -45,19 +45,19 @@
     let node = runtime.block_on(start::start(settings, Clock::System));
     let node = node.expect("node");
     for _line in std::io::stdin().lock().lines() {
-        let used = used(&node);
-        println!("{}", serde_json::to_string(&used).expect("json"));
+        let usage = usage(&node);
+        println!("{}", serde_json::to_string(&usage).expect("json"));
     }
     std::process::exit(0);
 }
 
-fn used(node: &start::Handle) -> Used {
+fn usage(node: &start::Handle) -> Usage {
     let core = node.core();
     let view = core.view();
     let traffic = &core.control.traffic;
     let now = core.clock.now();
     let ages = view.loads.iter().map(|l| now.since(l.at).as_u64());
-    Used {
+    Usage {
         cpu: cpu(),
         memory: memory(),
         frames: traffic.frames.load(Ordering::Relaxed),
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sums the time on a processor over all threads, as the kernel counts it.
+/// Returns the CPU time of all threads in nanoseconds, as the kernel counts it.
 fn cpu() -> u64 {
     let tasks = std::fs::read_dir("/proc/self/task").expect("threads");
     let times = tasks.filter_map(|task| {
@@ -81,6 +81,7 @@
     times.sum()
 }
 
+/// Returns the resident memory in kilobytes.
 fn memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/node/examples/slopes/model.rs
+++ b/crates/node/examples/slopes/model.rs
@@ -1,4 +1,4 @@
-//! Plays the heartbeats of large fleets in one process under a played clock.
+//! Simulates the heartbeats of large fleets in one process under a simulated clock.
 
 #[path = "../../tests/support/fleet.rs"]
 #[allow(dead_code)]
@@ -11,21 +11,22 @@
 use wire::clock::Millis;
 use wire::id;
 
-/// Bytes of the HTTP head of a frame: request or status line, type, length, and host or date.
-pub const HEAD: f64 = 112.0;
+/// The length in bytes of a frame's HTTP head: request or status line, content type, content length,
+/// and host or date.
+pub const HEAD_BYTES: f64 = 112.0;
 
-/// Runs of the model: data centres, VMs of each, endpoints of each. The second has a data centre
-/// of the letter's size, the last its number of VMs; both together take too long.
+/// The simulated fleets: data centres, VMs per centre, endpoints per centre. The second has data centres
+/// of the target size, the last has the target number of VMs; both together take too long.
 const RUNS: [(usize, usize, usize); 5] =
     [(3, 3, 5), (2, 48, 75), (8, 12, 19), (8, 24, 38), (8, 48, 0)];
-/// Shards of each data centre.
+/// Shards per data centre.
 const SHARDS: u16 = 64;
-/// Ticks until all is quiet, two minutes.
-const SETTLE: u64 = 600;
-/// Ticks that are measured, a minute.
+/// Ticks until the fleet is stable: two minutes.
+const WARM_UP: u64 = 600;
+/// Ticks that are measured: one minute.
 const MEASURED: u64 = 300;
 
-/// Plays every size.
+/// Simulates every fleet.
 pub fn run() {
     println!(
         "{:>7} {:>4} {:>9} | {:>9} {:>9} {:>9} {:>9} | {:>9} {:>12}",
@@ -40,14 +41,14 @@
         "all hear in"
     );
     for (centres, vms, endpoints) in RUNS {
-        play(centres, vms, endpoints);
+        simulate(centres, vms, endpoints);
     }
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn play(centres: usize, vms: usize, endpoints: usize) {
+fn simulate(centres: usize, vms: usize, endpoints: usize) {
     let mut fleet = Fleet::new(centres, vms, SHARDS);
-    for step in 0..SETTLE {
+    for step in 0..WARM_UP {
         report(&mut fleet, endpoints, step);
         fleet.tick();
     }
@@ -66,30 +67,30 @@
     let count = all.len() as f64;
     let frames = all.iter().map(|s| s.0).sum::<u64>() as f64 / count / seconds;
     let bytes = all.iter().map(|s| s.1).sum::<u64>() as f64 / count / seconds;
-    let with_heads = |s: &(u64, u64)| (s.1 as f64 + s.0 as f64 * HEAD) / seconds;
+    let with_heads = |s: &(u64, u64)| (s.1 as f64 + s.0 as f64 * HEAD_BYTES) / seconds;
     let largest = all.iter().map(with_heads).fold(0.0, f64::max);
     let age = age(&fleet);
-    let heard = spread(&mut fleet);
+    let propagation = propagation_time(&mut fleet);
     println!(
-        "{centres:>7} {:>4} {:>9} | {frames:>9.2} {bytes:>9.0} {:>9.0} {largest:>9.0} | {age:>6} ms {heard:>9} ms",
+        "{centres:>7} {:>4} {:>9} | {frames:>9.2} {bytes:>9.0} {:>9.0} {largest:>9.0} | {age:>6} ms {propagation:>9} ms",
         centres * vms,
         centres * endpoints,
-        bytes + frames * HEAD,
+        bytes + frames * HEAD_BYTES,
     );
 }
 
-/// Lets each endpoint's keeper take in a report each second, of which every second one matters.
+/// Gives each endpoint's keeper a load report each second. Every other report is significant.
 fn report(fleet: &mut Fleet, endpoints: usize, step: u64) {
     let now = fleet.now();
     let round = 1_000 / TICK.as_u64();
     for at in 0..fleet.vms.len() {
         let centre = fleet.vms[at].centre.clone();
-        let near = fleet.vms.iter().filter(|v| v.centre == centre).count();
-        let place = fleet.vms[..at]
+        let vms = fleet.vms.iter().filter(|v| v.centre == centre).count();
+        let index = fleet.vms[..at]
             .iter()
             .filter(|v| v.centre == centre)
             .count();
-        for endpoint in (0..endpoints).filter(|e| e % near == place) {
+        for endpoint in (0..endpoints).filter(|e| e % vms == index) {
             if !(step + endpoint as u64).is_multiple_of(round) {
                 continue;
             }
@@ -104,14 +105,18 @@
                 speed: 25.0,
                 cache: 100_000,
             };
-            let matters = (step / round + endpoint as u64).is_multiple_of(2);
-            let tell = if matters { Tell::Others } else { Tell::Nobody };
+            let significant = (step / round + endpoint as u64).is_multiple_of(2);
+            let tell = if significant {
+                Tell::Others
+            } else {
+                Tell::Nobody
+            };
             fleet.vms[at].exchange.loads.keep(&line, tell, now);
         }
     }
 }
 
-/// The mean age of the loads that VMs know, in milliseconds.
+/// Returns the mean age of the loads that the VMs know, in milliseconds.
 fn age(fleet: &Fleet) -> u64 {
     let now = fleet.now();
     let rows = fleet.vms.iter().flat_map(|v| v.exchange.loads.rows());
@@ -119,14 +124,15 @@
     ages.iter().sum::<u64>() / (ages.len() as u64).max(1)
 }
 
-/// How long a revision that two VMs of each centre have takes until all have heard of it, by the
-/// rounds alone: a VM that moves up also sends heartbeats at once, which the model leaves out.
-fn spread(fleet: &mut Fleet) -> u64 {
-    let began = fleet.now();
-    let mut seen: Vec<id::Centre> = Vec::new();
+/// Returns how long a revision takes to reach all VMs from two VMs of each centre, in milliseconds, by
+/// the heartbeat rounds alone. A real VM with a new revision also sends heartbeats at once, which the
+/// model leaves out.
+fn propagation_time(fleet: &mut Fleet) -> u64 {
+    let start = fleet.now();
+    let mut seeded: Vec<id::Centre> = Vec::new();
     for vm in &mut fleet.vms {
-        if seen.iter().filter(|c| **c == vm.centre).count() < 2 {
-            seen.push(vm.centre.clone());
+        if seeded.iter().filter(|c| **c == vm.centre).count() < 2 {
+            seeded.push(vm.centre.clone());
             vm.exchange.table.set_own(|own| own.revision = 9);
         }
     }
@@ -148,5 +154,5 @@
             }
         }
     }
-    fleet.now().since(began).as_u64()
+    fleet.now().since(start).as_u64()
 }
--- a/crates/node/examples/slopes/parent.rs
+++ b/crates/node/examples/slopes/parent.rs
@@ -1,4 +1,5 @@
-//! Starts the VMs, lets them settle, and prints what each uses while nothing is asked of them.
+//! Starts the VMs, waits until their state is stable, and prints the resource usage of each without
+//! load.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -27,14 +28,14 @@
 use wire::clock::Clock;
 use wire::clock::Millis;
 
-use crate::child::Used;
+use crate::child::Usage;
 
-/// How long the VMs' use is measured.
-const SPAN: Duration = Duration::from_secs(10);
-/// The time between two looks at whether shards still move.
-const LOOK: Duration = Duration::from_secs(4);
-/// How many looks in a row must show the same: longer than a VM takes to be steady.
-const LOOKS: usize = 4;
+/// How long the VMs' usage is measured.
+const MEASUREMENT: Duration = Duration::from_secs(10);
+/// The time between two checks whether shards still move.
+const CHECK_INTERVAL: Duration = Duration::from_secs(4);
+/// How many checks in a row must show the same: longer than a VM takes to become stable.
+const STABLE_CHECKS: usize = 4;
 
 /// The size of a run.
 #[derive(Clone, Copy)]
@@ -96,16 +97,16 @@
     configure(&platform, &runners).await;
     let mut vms: Vec<Vm> = Vec::new();
     for at in 0..size.vms {
-        let seed = vms.first_mut().map(|vm| vm.used().peers);
+        let seed = vms.first_mut().map(|vm| vm.usage().peers);
         vms.push(Vm::start(at, size, platform.address(), seed.as_deref()));
     }
-    settle(&mut vms).await;
+    wait_until_stable(&mut vms).await;
     let stats = client::get(platform.address(), "/stats").await;
-    let before: Vec<Used> = vms.iter_mut().map(Vm::used).collect();
-    let began = Instant::now();
-    tokio::time::sleep(SPAN).await;
-    let after: Vec<Used> = vms.iter_mut().map(Vm::used).collect();
-    let seconds = began.elapsed().as_secs_f64();
+    let before: Vec<Usage> = vms.iter_mut().map(Vm::usage).collect();
+    let start = Instant::now();
+    tokio::time::sleep(MEASUREMENT).await;
+    let after: Vec<Usage> = vms.iter_mut().map(Vm::usage).collect();
+    let seconds = start.elapsed().as_secs_f64();
     let later = client::get(platform.address(), "/stats").await;
     check(size, &after);
     print(size, &before, &after, seconds);
@@ -118,31 +119,31 @@
     );
 }
 
-/// Waits until no shard has moved for some time.
-async fn settle(vms: &mut [Vm]) {
+/// Waits until no shard has moved for [`STABLE_CHECKS`] checks.
+async fn wait_until_stable(vms: &mut [Vm]) {
     let mut last = Vec::new();
     let mut same = 0;
-    while same < LOOKS {
-        tokio::time::sleep(LOOK).await;
-        let owned: Vec<usize> = vms.iter_mut().map(|vm| vm.used().owned).collect();
+    while same < STABLE_CHECKS {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let owned: Vec<usize> = vms.iter_mut().map(|vm| vm.usage().owned).collect();
         same = if owned == last { same + 1 } else { 0 };
         last = owned;
     }
 }
 
-fn check(size: Size, after: &[Used]) {
+fn check(size: Size, after: &[Usage]) {
     for vm in after {
-        assert_eq!(vm.vms, size.vms, "a VM doesn't know all others");
+        assert_eq!(vm.vms, size.vms, "a VM doesn't know all the others");
         assert_eq!(vm.owners, usize::from(size.shards), "a shard has no owner");
         assert_eq!(vm.loads, size.endpoints, "a load isn't known");
     }
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn print(size: Size, before: &[Used], after: &[Used], seconds: f64) {
+fn print(size: Size, before: &[Usage], after: &[Usage], seconds: f64) {
     let count = after.len() as f64;
-    let mean = |read: fn(&Used) -> u64| {
-        let sum = |list: &[Used]| list.iter().map(read).sum::<u64>() as f64;
+    let mean = |read: fn(&Usage) -> u64| {
+        let sum = |list: &[Usage]| list.iter().map(read).sum::<u64>() as f64;
         (sum(after) - sum(before)) / count / seconds
     };
     let frames = mean(|u| u.frames);
@@ -158,7 +159,7 @@
         memory,
         frames,
         bytes,
-        bytes + frames * crate::model::HEAD,
+        bytes + frames * crate::model::HEAD_BYTES,
         age
     );
 }
@@ -210,8 +211,8 @@
             text.push_str(peer);
             text.push_str(&["\"", seed, "\"\n"].concat());
         }
-        let own = std::env::current_exe().expect("the own program");
-        let mut process = Command::new(own)
+        let program = std::env::current_exe().expect("the path of this program");
+        let mut process = Command::new(program)
             .arg("child")
             .arg(text)
             .stdin(Stdio::piped())
@@ -227,11 +228,11 @@
         }
     }
 
-    fn used(&mut self) -> Used {
+    fn usage(&mut self) -> Usage {
         self.input.write_all(b"\n").expect("the VM runs");
         let mut line = String::new();
         self.output.read_line(&mut line).expect("the VM answers");
-        serde_json::from_str(&line).expect("what was used")
+        serde_json::from_str(&line).expect("the usage as JSON")
     }
 }
 
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -35,7 +35,7 @@
     let response = match path {
         "/health" => answer::probe(&view, &Action::Health),
         "/ready" => answer::probe(&view, &Action::Ready),
-        "/metrics" => Some(metrics(&core)),
+        "/metrics" => Some(render_metrics(&core)),
         "/status" => Some(http::json(200, &status(&core, &view))),
         _ => None,
     };
@@ -43,7 +43,7 @@
     response.unwrap_or_else(unknown)
 }
 
-fn metrics(core: &Core) -> Response {
+fn render_metrics(core: &Core) -> Response {
     let mut text = core.metrics.render();
     let gauges = [
         (
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -132,7 +132,7 @@
     let parsed = tokio::select! {
         biased;
         parsed = parse::parse(&core.settings.limits, head, body) => parsed?,
-        () = unassigned_deadline(core) => return Err(shutting_down()),
+        () = wait_for_unassigned_deadline(core) => return Err(shutting_down()),
     };
     let view = core.view();
     if let Some(response) = answer::probe(&view, &parsed.action) {
@@ -188,7 +188,7 @@
 
 /// Waits until a stopping node gives up the work that no endpoint has taken. A request that has
 /// arrived only in part by then would otherwise be cut off without an answer when the process ends.
-async fn unassigned_deadline(core: &Core) {
+async fn wait_for_unassigned_deadline(core: &Core) {
     core.stopping.cancelled().await;
     let Some(stop) = core.stop.get() else {
         return;
--- a/crates/node/src/filters/answer.rs
+++ b/crates/node/src/filters/answer.rs
@@ -222,7 +222,7 @@
         match reply {
             Reply::Done { turn, answer } => return Ok((turn, answer)),
             Reply::Delta(_) => reply = next_reply(core, timing, replies).await?,
-            _ => return Err(Refusal::new(Code::Internal, "unexpected type of reply")),
+            _ => return Err(Refusal::new(Code::Internal, "unexpected reply")),
         }
     }
 }
@@ -231,7 +231,7 @@
     match reply {
         Reply::Shown(value) => Ok(http::json(200, &value)),
         Reply::Called { status, body } => Ok(http::response(status, "application/json", body)),
-        _ => Err(Refusal::new(Code::Internal, "unexpected type of reply")),
+        _ => Err(Refusal::new(Code::Internal, "unexpected reply")),
     }
 }
 
@@ -259,9 +259,7 @@
                     }
                 }
                 Ok(Reply::Done { turn, answer }) => return self.finish(turn, &answer, sent),
-                Ok(_) => {
-                    return self.fail(&Refusal::new(Code::Internal, "unexpected type of reply"));
-                }
+                Ok(_) => return self.fail(&Refusal::new(Code::Internal, "unexpected reply")),
                 Err(refusal) => return self.fail(&refusal),
             }
             reply = next_reply(&self.core, self.timing, &mut replies).await;
--- a/crates/node/src/filters/parse.rs
+++ b/crates/node/src/filters/parse.rs
@@ -165,13 +165,13 @@
     Ok(known.1)
 }
 
-fn action(path: Path, body: Bytes, program: &mut Option<id::Program>) -> Result<Action> {
+fn action(path: Path, content: Bytes, program: &mut Option<id::Program>) -> Result<Action> {
     match path {
-        Path::Chat => Ok(Action::Chat(chat(&body)?)),
+        Path::Chat => Ok(Action::Chat(chat(&content)?)),
         Path::Models => Ok(Action::Models),
         Path::Create => {
-            if !body.trim_ascii().is_empty() {
-                *program = create(&body)?.or(program.take());
+            if !content.trim_ascii().is_empty() {
+                *program = create(&content)?.or(program.take());
             }
             Ok(Action::Create)
         }
@@ -179,7 +179,7 @@
             service,
             operation,
             key: None,
-            body,
+            body: content,
         })),
         Path::Program(_, action) | Path::Probe(action) => Ok(action),
     }
--- a/crates/node/tests/request/admission.rs
+++ b/crates/node/tests/request/admission.rs
@@ -1,4 +1,4 @@
-//! Limits at the door.
+//! Requests that are refused by limits, before they reach their owner.
 
 use std::time::Duration;
 
@@ -16,25 +16,25 @@
 
 const SWITCH: &str = "/v1/services/shore/switch";
 
-/// A caller sends a few bytes and then waits. Its connection ends, with a number where the headers
-/// were whole, and the node answers others meanwhile.
+// A caller sends a few bytes and then stalls. Its connection ends, with a result code if the headers were
+// complete, and the node answers others meanwhile.
 #[tokio::test]
-async fn a_trickling_caller_loses_its_connection() {
+async fn a_stalled_caller_loses_its_connection() {
     let fleet = Fleet::start(Plan {
         limits: "[limits]\nreceive = \"200ms\"\n",
         ..Plan::default()
     })
     .await;
-    let starts = [
+    let requests = [
         ("POST /v1/chat/comp", ""),
         (
             "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 99\r\n\r\n{",
             "CY1106",
         ),
     ];
-    for (start, code) in starts {
+    for (sent, code) in requests {
         let mut stream = TcpStream::connect(fleet.callers).await.unwrap();
-        stream.write_all(start.as_bytes()).await.unwrap();
+        stream.write_all(sent.as_bytes()).await.unwrap();
         let answered = fleet.ask(CHAT, &[], &client::chat("x")).await;
         assert_eq!(answered.0, 200, "{}", answered.1);
         let mut rest = String::new();
@@ -44,10 +44,10 @@
     }
 }
 
-/// Idle connections fill the listener. Routine work is refused with a number, as only the room
-/// kept for urgent work is left, which urgent work gets.
+// Idle connections use up the routine limit. Routine work is refused with a result code, because only
+// the connections reserved for urgent work are left; urgent work is accepted on them.
 #[tokio::test]
-async fn the_last_connections_are_for_urgent_work() {
+async fn the_last_connections_are_reserved_for_urgent_work() {
     for (class, status) in [("routine", 503), ("urgent", 200)] {
         let fleet = Fleet::start(Plan {
             selector: json!({"class": class}),
@@ -67,14 +67,15 @@
     }
 }
 
-/// Idle connections fill the listener, and an order under a key is refused for want of room, by all of
-/// it or all but the room for urgent work. Whether an earlier asking ran, only its owner knows; told
-/// "no" here, the caller would give another order and both might run. What has no key hasn't run.
+// Idle connections fill the listener, all of it or all but the connections reserved for urgent work, and a
+// call with an idempotency key is refused. Only its owner knows whether an earlier request with that key
+// ran. If the refusal said "no", the caller would send the call under another key, and both might run. A
+// request without a key hasn't run.
 #[rstest]
-#[case::no_room(4)]
-#[case::room_for_urgent_work(2)]
+#[case::all_connections(4)]
+#[case::routine_connections(2)]
 #[tokio::test]
-async fn a_full_door_says_no_of_no_order(#[case] open: usize) {
+async fn a_call_refused_by_a_full_listener_may_have_run(#[case] open: usize) {
     let fleet = Fleet::start(Plan {
         limits: "[limits]\nconnections = 4\nconnections_urgent = 2\n",
         ..Plan::default()
@@ -88,20 +89,21 @@
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let key = [("idempotency-key", "order-1")];
-    let order = fleet.ask(SWITCH, &key, &json!({})).await;
-    assert_eq!(refusal(&order), ("CY1108", "unknown"), "{}", order.1);
+    let call = fleet.ask(SWITCH, &key, &json!({})).await;
+    assert_eq!(refusal(&call), ("CY1108", "unknown"), "{}", call.1);
     let chat = fleet.ask(CHAT, &[], &client::chat("x")).await;
     assert_eq!(refusal(&chat), ("CY1108", "no"), "{}", chat.1);
 }
 
-// An order is asked again, and refused before its program's owner sees it: its token has gone from the
-// configuration, or its body is over the limit now. Whether the first asking ran only the owner's journal
-// knows; told "no" here, the caller would give another order and both might run.
+// A call is sent again with its idempotency key, and refused before its program's owner sees it: its token
+// has been removed from the configuration, or its body exceeds the limit now. Only the owner's journal knows
+// whether the first request ran. If the refusal said "no", the caller would send the call under another
+// key, and both might run.
 #[rstest]
 #[case::unknown_token("nobody", 1, "CY1201")]
 #[case::long_body(client::TOKEN, 1_000, "CY1102")]
 #[tokio::test]
-async fn a_refusal_before_the_owner_says_no_of_no_order(
+async fn a_call_refused_before_its_owner_may_have_run(
     #[case] token: &str,
     #[case] length: usize,
     #[case] code: &str,
@@ -117,14 +119,14 @@
         ("idempotency-key", "order-1"),
     ];
     let body = json!({ "text": "x".repeat(length) });
-    let order = client::post(fleet.callers, SWITCH, &headers, &body).await;
-    assert_eq!(refusal(&order), (code, "unknown"), "{}", order.1);
+    let call = client::post(fleet.callers, SWITCH, &headers, &body).await;
+    assert_eq!(refusal(&call), (code, "unknown"), "{}", call.1);
     let plain = client::post(fleet.callers, SWITCH, &headers[..1], &body).await;
     assert_eq!(refusal(&plain), (code, "no"), "{}", plain.1);
 }
 
-// An order's body has megabytes, over the limit. The sender gets the refusal, and with it that an earlier
-// asking may have run; a connection that is reset under it tells nothing.
+// A call's body of several megabytes exceeds the limit. The sender must get the refusal, which says that an
+// earlier request may have run; a connection reset would say nothing.
 #[tokio::test]
 async fn a_refusal_of_a_body_over_the_limit_reaches_its_sender() {
     let fleet = Fleet::start(Plan {
@@ -138,12 +140,12 @@
     assert!(answer.contains(r#""ran":"unknown""#), "{answer}");
 }
 
-// A request is refused by its path or a header, or as no connection is left, while its sender still sends
-// megabytes. Closed with bytes unread, the connection is reset under the sender, and the refusal lost.
+// A request is refused by its path or a header, or because no connection is left, while its sender is still
+// sending megabytes. If the connection were closed with bytes unread, it would be reset and the refusal lost.
 #[rstest]
 #[case::by_the_path("/v1/nothing", "x", 0, "CY1105")]
 #[case::by_a_header(CHAT, "1\r\nchestnutyoke-program: a b", 0, "CY1104")]
-#[case::no_room(CHAT, "1", 4, "CY1108")]
+#[case::by_the_connection_limit(CHAT, "1", 4, "CY1108")]
 #[tokio::test]
 async fn a_refusal_reaches_the_sender_of_a_long_body(
     #[case] path: &str,
@@ -169,7 +171,7 @@
     assert!(answer.contains(r#""ran":"no""#), "{answer}");
 }
 
-/// Sends a request whose body has megabytes, all of it before anything is read, as simple senders do.
+/// Sends a request with a body of 8 MB, all of it before reading anything, as simple clients do.
 async fn send_all(fleet: &Fleet, head: &str) -> String {
     let body = "x".repeat(8_000_000);
     let length = body.len();
@@ -177,17 +179,17 @@
     let request =
         format!("{head}host: x\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}");
     let sent = stream.write_all(request.as_bytes()).await;
-    sent.expect("the whole request goes out");
+    sent.expect("the whole request is sent");
     let mut answer = String::new();
     let read = stream.read_to_string(&mut answer).await;
-    read.expect("the connection ends in order");
+    read.expect("the connection ends without a reset");
     answer
 }
 
-// A caller waits with its body until it is asked for it, and is refused by the path. Reading the body
-// would have it sent for nothing: it isn't asked for, and the connection ends.
+// A caller waits for `100 Continue` before it sends its body, and is refused by the path. Reading the body
+// would make the caller send it for nothing, so it isn't requested, and the connection ends.
 #[tokio::test]
-async fn a_refusal_by_the_path_asks_for_no_body() {
+async fn a_refusal_by_the_path_requests_no_body() {
     let fleet = Fleet::plain().await;
     let mut stream = TcpStream::connect(fleet.callers).await.unwrap();
     let head = "POST /v1/nothing HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n\
--- a/crates/node/tests/request/fleet.rs
+++ b/crates/node/tests/request/fleet.rs
@@ -1,4 +1,4 @@
-//! A node, two runners and a service as tasks of the test's process.
+//! Starts a node, two runners and a service in the test's process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 /// The chat path.
 pub const CHAT: &str = "/v1/chat/completions";
 
-/// A running fleet.
+/// A running node with its endpoints and platform.
 pub struct Fleet {
     pub platform: Memory,
     pub runners: Vec<Server>,
@@ -41,9 +41,9 @@
 pub struct Plan {
     /// Merged into the only selector.
     pub selector: Value,
-    /// Further lines of the settings.
+    /// Additional lines of the settings.
     pub limits: &'static str,
-    /// What the runners are.
+    /// The runners' settings.
     pub runner: runner::Settings,
 }
 
@@ -58,12 +58,12 @@
 }
 
 impl Fleet {
-    /// Starts a fleet with nothing special.
+    /// Starts a fleet with the default plan.
     pub async fn plain() -> Self {
         Self::start(Plan::default()).await
     }
 
-    /// Starts a fleet.
+    /// Starts a fleet as planned.
     pub async fn start(plan: Plan) -> Self {
         let mut runners = Vec::new();
         for _ in 0..2 {
@@ -98,25 +98,25 @@
         }
     }
 
-    /// Asks as the caller `tug`.
+    /// Sends a POST request as the caller `tug`.
     pub async fn ask(&self, path: &str, headers: &[(&str, &str)], body: &Value) -> (u16, Value) {
         client::ask(self.callers, path, headers, body).await
     }
 
-    /// Sends faults to a runner.
+    /// Injects faults into a runner.
     pub async fn fault(&self, runner: usize, faults: Value) {
         let address = self.runners[runner].address();
         client::post(address, "/faults", &[], &faults).await;
     }
 
-    /// Sends the same faults to every runner.
+    /// Injects the same faults into every runner.
     pub async fn fault_all(&self, faults: Value) {
         for runner in 0..self.runners.len() {
             self.fault(runner, faults.clone()).await;
         }
     }
 
-    /// Lists every attempt that any runner saw.
+    /// Returns the attempts that the runners have received.
     pub async fn attempts(&self) -> Vec<Value> {
         let mut all = Vec::new();
         for runner in &self.runners {
@@ -126,26 +126,26 @@
         all
     }
 
-    /// Waits until the node knows of an outage of the platform.
+    /// Waits until the node has detected an outage of the platform.
     pub async fn until_outage(&self) {
         self.until_view(|view| !view.platform).await;
     }
 
-    /// Waits until the node knows that the platform answers.
-    pub async fn until_answers(&self) {
+    /// Waits until the node has detected that the platform answers.
+    pub async fn until_platform_answers(&self) {
         self.until_view(|view| view.platform).await;
     }
 
-    async fn until_view(&self, fits: impl Fn(&View) -> bool) {
+    async fn until_view(&self, matches: impl Fn(&View) -> bool) {
         let mut view = self.node.core().view.subscribe();
-        let known = view.wait_for(|view| fits(view));
-        tokio::time::timeout(client::PATIENCE, known)
+        let matched = view.wait_for(|view| matches(view));
+        tokio::time::timeout(client::PATIENCE, matched)
             .await
             .unwrap()
             .unwrap();
     }
 
-    /// Waits until the runners have seen so many attempts start.
+    /// Waits until the runners have started at least `count` attempts.
     pub async fn until_started(&self, count: usize) {
         loop {
             let attempts = self.attempts().await;
@@ -157,14 +157,14 @@
     }
 }
 
-/// Yields the code and what is said of whether a refused request ran.
+/// Returns the result code of a refusal and whether it says that the request ran.
 pub fn refusal(answer: &(u16, Value)) -> (&str, &str) {
     let error = &answer.1["error"];
     let text = |name: &str| error[name].as_str().unwrap_or("none");
     (text("code"), text("ran"))
 }
 
-/// Headers that name a program and its turn.
+/// Returns the headers that name a program and a turn.
 pub fn named<'a>(program: &'a str, turn: &'a str) -> [(&'static str, &'a str); 2] {
     [
         ("chestnutyoke-program", program),
@@ -176,7 +176,7 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// The node's settings, without further limits.
+/// The node's settings, with default limits.
 pub const SETTINGS: &str = r#"
 centres = [{ name = "a", shards = 4 }]
 [vm]
@@ -219,7 +219,7 @@
     })
 }
 
-/// A runner that takes some hundreds of milliseconds for a short answer.
+/// Returns settings of a runner that takes some hundred milliseconds for a short answer.
 pub fn slow() -> runner::Settings {
     runner::Settings {
         tokens_per_second: 40.0,
@@ -227,7 +227,7 @@
     }
 }
 
-/// Asks for a program's first turn as the caller `tug`.
+/// Returns an ask for a program's first turn, from the caller `tug`.
 pub fn chat_of(program: id::Program) -> Ask {
     Ask {
         program,
@@ -242,7 +242,7 @@
     }
 }
 
-/// Asks for something of the program `berth` or beside it; yields status and body.
+/// Sends a request with a deadline of 700 ms as the caller `tug`; returns status and body.
 pub async fn send(callers: SocketAddr, method: &str, path: &str, body: &str) -> (u16, Value) {
     let token = format!("Bearer {}", client::TOKEN);
     let headers = [
--- a/crates/node/tests/request/handover.rs
+++ b/crates/node/tests/request/handover.rs
@@ -1,4 +1,4 @@
-//! Shards that change hands while a node stops: what is taken for them, and what is passed on.
+//! Asks for shards that are handed over while a node stops: which are accepted and which are forwarded.
 
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -25,21 +25,21 @@
 use crate::stop::short;
 use crate::stop::stopping;
 
-// A shard is given up, and an ask arrives when nothing runs of it any more but the actor still
-// lives. The actor takes it, is stopped at once, and the caller's turn is lost on the way, with an
-// unknown outcome. It is refused, so that it goes to the next owner.
+// A shard is released, and an ask arrives when nothing of the shard runs any more but its actor still
+// exists. If the actor accepted the ask, it would be stopped right after, and the caller's turn would be lost
+// with an unknown outcome. The ask is refused, so that it goes to the next owner.
 #[tokio::test]
-async fn a_shard_that_is_given_up_takes_nothing_more() {
+async fn a_released_shard_accepts_no_ask() {
     let fleet = Fleet::plain().await;
     let core = fleet.node.core().clone();
     let program = id::Program::parse("berth").unwrap();
     let shard = route::shard(&core.settings, &program);
     let ask = chat_of(program);
     let (sender, mut replies) = mpsc::unbounded_channel();
-    // Both on this one thread: the ask is queued right behind the order to drain.
+    // Both run on this one thread, so the ask is queued right behind the release.
     let late = async { core.registry.ask(&shard, ask, sender).is_ok() };
-    let ((), taken) = tokio::join!(biased; core.registry.release(&shard), late);
-    assert!(taken);
+    let ((), accepted) = tokio::join!(biased; core.registry.release(&shard), late);
+    assert!(accepted);
     let reply = replies.recv().await;
     let Some(Reply::Refused(refusal)) = reply else {
         panic!("{reply:?}");
@@ -48,11 +48,11 @@
     assert!(fleet.attempts().await.is_empty());
 }
 
-// A shard is given up while a turn of it runs, and a caller makes a program of the same shard. Its
-// record may come after the shard's last one: its caller gets no answer, or one for a program that the
-// next owner doesn't know. It is refused, so that it goes to the next owner.
+// A shard is released while one of its turns runs, and a caller creates a program in the same shard. The
+// program's record might come after the shard's last one: the caller would get no answer, or an answer for a
+// program that the next owner doesn't know. The request is refused, so that it goes to the next owner.
 #[tokio::test]
-async fn a_shard_that_is_given_up_makes_no_program() {
+async fn a_released_shard_creates_no_program() {
     let (callers, ended) = stopping().await;
     let settings = settings::vm::parse(SETTINGS).unwrap();
     let shard = |program: &id::Program| route::shard(&settings, program);
@@ -65,20 +65,20 @@
     ended.await;
 }
 
-// A shard is given up while a turn of it runs, and a caller ends the turn's program. It is refused for
-// the same reason; the turn is answered.
+// A shard is released while one of its turns runs, and a caller ends the turn's program. The request is
+// refused for the same reason; the turn is answered.
 #[tokio::test]
-async fn a_shard_that_is_given_up_ends_no_program() {
+async fn a_released_shard_ends_no_program() {
     let (callers, ended) = stopping().await;
     let answer = send(callers, "DELETE", "/v1/programs/berth", "").await;
     assert_eq!(refusal(&answer), ("CY2203", "no"), "{}", answer.1);
     ended.await;
 }
 
-// An order under a key waits in vain for an owner, and its caller's time is over. This node has not
-// passed it on, but an earlier asking may have run, which only the next owner's journal tells.
+// A call with an idempotency key finds no owner before its caller's deadline. This node hasn't forwarded it,
+// but an earlier request with the key may have run, which only the next owner's journal can tell.
 #[tokio::test]
-async fn an_order_that_found_no_owner_may_have_run_before() {
+async fn a_call_that_finds_no_owner_may_have_run_before() {
     let (callers, ended) = stopping().await;
     let headers = [
         ("chestnutyoke-deadline-ms", "700"),
@@ -89,11 +89,11 @@
     ended.await;
 }
 
-// A claim that was under way when the node was told to end brings one more shard, after the node has
-// looked at what it has to give up. Asks for it come until the process ends, which nobody makes wait
-// for them. They are refused, so that they go to the next owner.
+// A claim that is in progress when the node is told to stop adds a shard after the node has listed the shards
+// to release. Asks for it may arrive until the process ends, and the process doesn't wait for them. They are
+// refused, so that they go to the next owner.
 #[tokio::test]
-async fn a_shard_that_comes_during_the_stop_takes_nothing() {
+async fn a_shard_claimed_during_the_stop_accepts_no_ask() {
     let fleet = Fleet::plain().await;
     let core = fleet.node.core().clone();
     let program = id::Program::parse("berth").unwrap();
@@ -109,11 +109,11 @@
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
-// Another VM takes the stopping one for the owner of a shard that it has given up. Passed on from
-// there, the answer would come through a process that ends, and be cut off with it. The ask is given
-// back at once, so that the other VM looks for the owner itself.
+// Another VM still considers the stopping one the owner of a shard that it has released. If the ask were
+// forwarded from there, the answer would pass through a process that is ending, and be cut off. The ask is
+// refused at once, so that the other VM looks for the owner itself.
 #[tokio::test]
-async fn a_stopping_node_passes_nothing_on_for_others() {
+async fn a_stopping_node_forwards_no_asks_of_other_vms() {
     let fleet = short().await;
     let core = fleet.node.core().clone();
     let peers = fleet.node.peers();
--- a/crates/node/tests/request/lost.rs
+++ b/crates/node/tests/request/lost.rs
@@ -1,4 +1,4 @@
-//! A shard that another VM takes while this one still thinks that it owns it.
+//! Shards that another VM has claimed while this one still considers itself the owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,10 +30,11 @@
 
 const SWITCH: &str = "/v1/services/shore/switch";
 
-struct Nobody;
+/// Peers that can't be reached.
+struct Unreachable;
 
 #[async_trait]
-impl copy::Peers for Nobody {
+impl copy::Peers for Unreachable {
     async fn hold(&self, _: &Holder, _: &id::Shard, _: &Batch) -> copy::Result<()> {
         Err(copy::Fault::Unreachable)
     }
@@ -47,8 +48,8 @@
     async fn drained(&self, _: &Holder, _: &id::Shard, _: u64, _: u64) {}
 }
 
-/// Takes every shard as another VM would after this one's lease had lapsed.
-async fn take_all(platform: &Memory) -> Lease {
+/// Claims every shard for another VM, as if this one's lease had expired.
+async fn claim_all(platform: &Memory) -> Lease {
     let lease = platform.grant(Millis::new(60_000)).await.unwrap();
     for index in 0..4 {
         let shard = id::Shard {
@@ -62,7 +63,7 @@
         platform.commit(&txn, Weight::Claim).await.unwrap();
         let setup = Setup {
             platform: Arc::new(platform.clone()),
-            peers: Arc::new(Nobody),
+            peers: Arc::new(Unreachable),
             vm: id::Vm::parse("a2").unwrap(),
             shard,
             seed: u64::from(index),
@@ -74,26 +75,26 @@
     lease
 }
 
-/// A VM was paused past its lease and wakes up. Its first append meets the new owner's, so the turn
-/// is refused without having run; once the shard is free again, the VM claims it and the program
-/// goes on where it stood. Meanwhile a turn that finds no owner in its caller's time is told that it
-/// has not run: it may be asked anywhere.
+// A VM was paused for longer than its lease and resumes. Its first append conflicts with the new owner's, so
+// the turn is refused without having run. Once the shard is free again, the VM claims it and the program
+// continues where it was. A turn that meanwhile finds no owner before its caller's deadline is refused as not
+// run, so the caller may send it anywhere.
 #[tokio::test]
-async fn a_lost_shard_runs_nothing_and_comes_back() {
+async fn a_lost_shard_runs_nothing_until_reclaimed() {
     let fleet = Fleet::plain().await;
     let first = fleet
         .ask(CHAT, &named("berth", "1"), &client::chat("one"))
         .await;
     assert_eq!(first.0, 200, "{}", first.1);
-    let lease = take_all(&fleet.platform).await;
+    let lease = claim_all(&fleet.platform).await;
     let next = named("berth", "2");
     let headers = [next[0], next[1], ("chestnutyoke-deadline-ms", "500")];
     let lost = fleet.ask(CHAT, &headers, &client::chat("two")).await;
     assert_eq!(lost.0, 503, "{}", lost.1);
     assert_ne!(refusal(&lost).1, "yes");
     assert_eq!(fleet.attempts().await.len(), 1);
-    let nobody = fleet.ask(CHAT, &headers, &client::chat("two")).await;
-    assert_eq!(refusal(&nobody), ("CY2203", "no"), "{}", nobody.1);
+    let no_owner = fleet.ask(CHAT, &headers, &client::chat("two")).await;
+    assert_eq!(refusal(&no_owner), ("CY2203", "no"), "{}", no_owner.1);
     fleet.platform.revoke(lease).await.unwrap();
     let again = tokio::time::timeout(client::PATIENCE, async {
         loop {
@@ -103,39 +104,39 @@
             }
         }
     });
-    let answer = again.await.expect("the program goes on");
+    let answer = again.await.expect("the program continues");
     assert_eq!(answer.1["chestnutyoke"]["turn"], 2);
     assert_eq!(fleet.attempts().await.len(), 2);
 }
 
-// Another VM has taken the shard, and this one doesn't know yet. An order is asked here that may have run
-// there; its intent meets the next owner's records. Told that it didn't run, as it did not on this VM, the
-// caller would give another one and both would have run.
+// Another VM has claimed the shard, and this one doesn't know yet. A call arrives here that may have run
+// there, and the append of its intent conflicts with the next owner's records. If the refusal said that it
+// didn't run, as is true for this VM, the caller would send another call, and both would have run.
 #[tokio::test]
-async fn an_order_that_meets_the_next_owner_may_have_run_there() {
+async fn a_call_that_conflicts_with_the_next_owner_may_have_run_there() {
     let fleet = Fleet::plain().await;
-    take_all(&fleet.platform).await;
+    claim_all(&fleet.platform).await;
     let headers = [
         ("chestnutyoke-program", "berth"),
         ("idempotency-key", "order-1"),
         ("chestnutyoke-deadline-ms", "500"),
     ];
-    let order = fleet.ask(SWITCH, &headers, &json!({})).await;
-    assert_eq!(order.0, 503, "{}", order.1);
-    assert_eq!(refusal(&order).1, "unknown", "{}", order.1);
+    let call = fleet.ask(SWITCH, &headers, &json!({})).await;
+    assert_eq!(call.0, 503, "{}", call.1);
+    assert_eq!(refusal(&call).1, "unknown", "{}", call.1);
 }
 
-/// A turn and an order wait for an owner, for as long as it takes, and the VM is told to end. Nobody has
-/// taken them; told at the end that they may have run, the turn's caller couldn't ask elsewhere. Of the
-/// order an earlier asking may have run.
+// A turn and a call wait for an owner without a deadline, and the VM is told to stop. No owner has accepted
+// them. If the turn's refusal said that it may have run, its caller couldn't ask elsewhere. An earlier
+// request for the call may have run.
 #[tokio::test]
-async fn who_waits_for_an_owner_when_the_vm_ends_is_told_so() {
+async fn requests_that_wait_for_an_owner_when_the_vm_stops_are_refused() {
     let fleet = Fleet::start(Plan {
         limits: "[limits]\ngrace = \"2s\"\n",
         ..Plan::default()
     })
     .await;
-    take_all(&fleet.platform).await;
+    claim_all(&fleet.platform).await;
     let first = named("berth", "1");
     let headers = [first[0], first[1], ("chestnutyoke-deadline-ms", "300")];
     let lost = fleet.ask(CHAT, &headers, &client::chat("one")).await;
@@ -144,7 +145,7 @@
     let turn = tokio::spawn(async move {
         client::ask(callers, CHAT, &named("berth", "1"), &client::chat("one")).await
     });
-    let order = tokio::spawn(async move {
+    let call = tokio::spawn(async move {
         let headers = [
             ("chestnutyoke-program", "berth"),
             ("idempotency-key", "order-1"),
@@ -156,6 +157,6 @@
     let turn = turn.await.unwrap();
     assert_eq!(refusal(&turn), ("CY4105", "no"), "{}", turn.1);
     assert!(turn.1["error"]["retry_after_ms"].is_number());
-    let order = order.await.unwrap();
-    assert_eq!(refusal(&order), ("CY4105", "unknown"), "{}", order.1);
+    let call = call.await.unwrap();
+    assert_eq!(refusal(&call), ("CY4105", "unknown"), "{}", call.1);
 }
--- a/crates/node/tests/request/metrics.rs
+++ b/crates/node/tests/request/metrics.rs
@@ -1,4 +1,4 @@
-//! What scrapers read of a node.
+//! The metrics that a node serves.
 
 use fakes::figures;
 use http_body_util::BodyExt;
@@ -9,23 +9,23 @@
 use crate::fleet::Fleet;
 use crate::fleet::refusal;
 
-async fn scraped(fleet: &Fleet) -> String {
+async fn scrape(fleet: &Fleet) -> String {
     let response = client::send(fleet.node.admin(), "GET", "/metrics", &[], "").await;
     let body = response.unwrap().into_body().collect().await.unwrap();
     String::from_utf8(body.to_bytes().to_vec()).unwrap()
 }
 
-/// On-call reads a figure's name on a dashboard and looks it up. A figure that is served and not
-/// listed, or listed and gone, fails here, as does one whose explanations differ.
+// Operators look up a metric of a dashboard in the documentation. The test fails if a metric is served but
+// not listed, listed but not served, or explained differently in the two places.
 #[tokio::test]
-async fn the_page_of_metrics_has_each_figure() {
+async fn the_documentation_lists_every_metric() {
     let fleet = Fleet::plain().await;
-    figures::compare("serve", &scraped(&fleet).await);
+    figures::compare("serve", &scrape(&fleet).await);
 }
 
-/// A turn in one piece, one in parts and a refusal each count as what they are.
+// A whole turn, a streamed turn and a refusal are each counted under their own label.
 #[tokio::test]
-async fn ends_are_counted_by_kind_and_code() {
+async fn answers_are_counted_by_kind_and_refusals_by_code() {
     let fleet = Fleet::plain().await;
     let mut chat = client::chat("plan #tokens=3");
     assert_eq!(fleet.ask(CHAT, &[], &chat).await.0, 200);
@@ -41,7 +41,7 @@
     let unknown = json!({"model": "none", "messages": [{"role": "user", "content": "x"}]});
     let refused = fleet.ask(CHAT, &[], &unknown).await;
     let (code, _) = refusal(&refused);
-    let text = scraped(&fleet).await;
+    let text = scrape(&fleet).await;
     for line in [
         "chestnutyoke_answered_total{kind=\"whole\"} 1\n".to_owned(),
         "chestnutyoke_answered_total{kind=\"stream\"} 1\n".to_owned(),
--- a/crates/node/tests/request/order.rs
+++ b/crates/node/tests/request/order.rs
@@ -1,4 +1,4 @@
-//! Order, joins and replays.
+//! The order of turns, and repeated requests for the same turn.
 
 use serde_json::json;
 use standin::client;
@@ -10,8 +10,8 @@
 use crate::fleet::refusal;
 use crate::fleet::slow;
 
-/// The caller gives up in the middle of its answer and asks the same turn again, twice at once.
-/// The turn has gone on meanwhile; both get its one answer, and the runner ran it once.
+// A caller disconnects in the middle of its answer and sends the same turn again, twice at once. The turn
+// has continued meanwhile. Both requests get its answer, and the runner runs it once.
 #[tokio::test]
 async fn a_turn_outlives_its_caller() {
     let fleet = Fleet::start(Plan {
@@ -36,10 +36,10 @@
     assert_eq!(fleet.attempts().await.len(), 1);
 }
 
-/// While a turn runs and after it, other content under its number is refused, and so is a turn
-/// out of order: else a program's history would depend on which request came first.
+// While a turn runs and after it, other content under its number is refused, and so is a turn out of order.
+// Otherwise a program's history would depend on which request arrives first.
 #[tokio::test]
-async fn other_content_and_gaps_are_refused() {
+async fn other_content_and_turns_out_of_order_are_refused() {
     let fleet = Fleet::start(Plan {
         runner: slow(),
         ..Plan::default()
@@ -68,9 +68,9 @@
     assert_eq!(fleet.attempts().await.len(), 1);
 }
 
-/// An ended program takes no further turn, and the runner that cached it is told to forget it.
+// An ended program accepts no further turn, and the runner that cached it is told to drop it.
 #[tokio::test]
-async fn an_ended_program_is_released() {
+async fn an_ended_program_leaves_the_runners_caches() {
     let fleet = Fleet::plain().await;
     let first = fleet
         .ask(CHAT, &named("berth", "1"), &client::chat("x"))
--- a/crates/node/tests/request/service.rs
+++ b/crates/node/tests/request/service.rs
@@ -1,4 +1,4 @@
-//! Calls that may run at most once.
+//! Service calls, above all those that may run at most once.
 
 use std::sync::Arc;
 
@@ -29,10 +29,10 @@
     runs.iter().map(|run| run["runs"].as_u64().unwrap()).sum()
 }
 
-/// The service runs the order and its answer is lost. The caller is told that the outcome isn't
-/// known, now and when it asks again; the order isn't sent a second time.
+// The service runs the call and its answer is lost. The caller is told that the outcome is unknown, now and
+// when it retries. The call isn't sent to the service a second time.
 #[tokio::test]
-async fn a_lost_answer_is_never_sent_again() {
+async fn a_call_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::plain().await;
     client::post(
         fleet.service.address(),
@@ -48,10 +48,10 @@
     assert_eq!(runs(&fleet).await, 1);
 }
 
-/// The service refuses the order before it runs. The refusal is passed over by another try, so
-/// the caller gets the one run's answer.
+// The service refuses the call before running it. The call may be sent again until it runs, and the caller
+// gets the answer of its only run.
 #[tokio::test]
-async fn a_refused_order_may_be_sent_again() {
+async fn a_call_refused_by_the_service_may_be_sent_again() {
     let fleet = Fleet::plain().await;
     client::post(
         fleet.service.address(),
@@ -68,10 +68,10 @@
     assert_eq!(runs(&fleet).await, 1);
 }
 
-/// Two callers' connections send the same order at once; it runs once and both get its answer.
-/// The same key with other content is refused.
+// The same call arrives on two connections at once. It runs once and both get its answer. The same key with
+// other content is refused.
 #[tokio::test]
-async fn the_same_order_at_once_runs_once() {
+async fn the_same_call_sent_twice_at_once_runs_once() {
     let fleet = Fleet::plain().await;
     client::post(
         fleet.service.address(),
@@ -92,10 +92,10 @@
     assert_eq!(runs(&fleet).await, 1);
 }
 
-/// The platform is down. An order that may run at most once is refused and says when to come
-/// again; after the outage the same order runs.
+// The platform is down. A call that may run at most once is refused, with a time for the retry. After the
+// outage the same call runs.
 #[tokio::test]
-async fn an_outage_refuses_orders() {
+async fn calls_that_run_at_most_once_are_refused_during_an_outage() {
     let fleet = Fleet::plain().await;
     fleet.platform.set_down(true);
     let answer = fleet.ask(SWITCH, &KEY, &json!({})).await;
@@ -111,24 +111,24 @@
             }
         }
     });
-    answer.await.expect("the order runs after the outage");
+    answer.await.expect("the call runs after the outage");
     assert_eq!(runs(&fleet).await, 1);
 }
 
-/// An operation that may be repeated is sent again when its answer is lost.
+// A repeatable operation is sent again when its answer is lost or the service refuses it.
 #[rstest]
 #[case::lost(json!({"lose_answers": 1}))]
 #[case::refused(json!({"refuse": 1}))]
 #[tokio::test]
-async fn a_read_is_tried_again(#[case] faults: Value) {
+async fn a_repeatable_call_is_retried(#[case] faults: Value) {
     let fleet = Fleet::plain().await;
     client::post(fleet.service.address(), "/faults", &[], &faults).await;
     let answer = fleet.ask("/v1/services/shore/read", &[], &json!({})).await;
     assert_eq!(answer.0, 200, "{}", answer.1);
 }
 
-/// Hands an order to its program's owner as a VM does that the caller entered.
-async fn order(fleet: &Fleet, key: &str) -> Option<Reply> {
+/// Sends a call to its program's owner, as an entry VM does.
+async fn call_owner(fleet: &Fleet, key: &str) -> Option<Reply> {
     let core = fleet.node.core();
     let program = id::Program::parse("berth").unwrap();
     let shard = route::shard(&core.settings, &program);
@@ -150,13 +150,14 @@
     replies.recv().await
 }
 
-// An order ran, and its answer was lost on the way. It is asked again; the owner has a newer configuration
-// than the VM that the caller entered, and no selector allows the order any more. Refused as not run, the
-// caller would give another one and both would have run. It gets the order's answer; a new one is refused.
+// A call ran, and its answer was lost on the way. The caller sends it again, but the owner now has a newer
+// configuration than the entry VM, and no selector allows the call any more. If it were refused as not run,
+// the caller would send another call, and both would have run. It gets the call's answer; a new call is
+// refused.
 #[tokio::test]
-async fn an_order_that_ran_is_answered_though_it_is_not_allowed_any_more() {
+async fn a_call_that_ran_is_answered_when_it_is_no_longer_allowed() {
     let fleet = Fleet::plain().await;
-    let first = order(&fleet, "order-1").await;
+    let first = call_owner(&fleet, "order-1").await;
     assert!(
         matches!(first, Some(Reply::Called { status: 200, .. })),
         "{first:?}"
@@ -164,9 +165,9 @@
     fleet.node.core().update(|view| {
         Arc::make_mut(&mut view.config).selectors.clear();
     });
-    assert_eq!(order(&fleet, "order-1").await, first);
-    let Some(Reply::Refused(refusal)) = order(&fleet, "order-2").await else {
-        panic!("the order was let in");
+    assert_eq!(call_owner(&fleet, "order-1").await, first);
+    let Some(Reply::Refused(refusal)) = call_owner(&fleet, "order-2").await else {
+        panic!("the call was accepted");
     };
     assert_eq!((refusal.code, refusal.ran), (Code::NotAllowed, Ran::No));
     assert_eq!(runs(&fleet).await, 1);
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -1,4 +1,4 @@
-//! A node that is told to end while requests run, wait and arrive.
+//! Shutting down a node while requests run, wait and arrive.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -37,12 +37,12 @@
 
 const READ: &str = "/v1/services/shore/read";
 pub const SWITCH: &str = "/v1/services/shore/switch";
-/// What the tests with a short grace set.
+/// The grace in tests with a short one.
 const GRACE: Duration = Duration::from_secs(2);
-/// The endpoint's slots in the tests' configuration; some of them are kept for urgent calls.
+/// The endpoint's slots in the tests' configuration; some of them are reserved for urgent calls.
 const SLOTS: usize = 8;
 
-/// Starts a fleet with a short grace whose answers of 200 tokens take 5 s.
+/// Starts a fleet with a short grace and runners that take 5 s for an answer of 200 tokens.
 pub async fn short() -> Fleet {
     Fleet::start(Plan {
         limits: "[limits]\ngrace = \"2s\"\n",
@@ -56,9 +56,9 @@
     client::post(fleet.service.address(), "/faults", &[], faults).await;
 }
 
-// A turn runs longer than the grace. The shutdown waits one grace for the shard and a second one
-// for the task, so whoever stops the process kills it in between, and all connections break off at
-// once. One grace has to hold for the whole.
+// A turn runs longer than the grace. If the shutdown waited one grace for the shard and a second one for the
+// task, the supervisor would kill the process in between, and all connections would break at once. One grace
+// must suffice for the whole shutdown.
 #[tokio::test]
 async fn a_shutdown_takes_one_grace_at_most() {
     let fleet = short().await;
@@ -72,28 +72,27 @@
     ask.abort();
 }
 
-// A turn outlasts the grace. Its caller's connection is cut when the process ends, and the caller
-// can't tell it from a crash. In time before the end it is told that the VM stops and that the
-// turn may have run.
+// A turn outlasts the grace. If its caller's connection were cut when the process ends, the caller couldn't
+// tell that from a crash. Before the end, the caller is told that the VM stops and that the turn may have run.
 #[tokio::test]
-async fn what_outlasts_the_grace_ends_with_a_refusal() {
+async fn a_turn_that_outlasts_the_grace_ends_with_a_refusal() {
     let fleet = short().await;
     let callers = fleet.callers;
     let chat = client::chat("plan #tokens=200");
     let ask = tokio::spawn(async move { client::ask(callers, CHAT, &[], &chat).await });
     fleet.until_started(1).await;
     let _late = timeout(GRACE, fleet.node.shutdown()).await;
-    // What the caller has by now left the node before its end.
+    // What the caller gets at once was sent before the node's end.
     let answer = timeout(Duration::from_millis(100), ask).await;
     let answer = answer.expect("no answer at the end").unwrap();
     assert_eq!(refusal(&answer), ("CY4105", "unknown"));
 }
 
-// An order was sent, and the platform goes away before its outcome is recorded. The node is told
-// to end; the outcome can't become durable, and the caller is left without an answer when the
-// process ends. It is told that the order may have run.
+// A call was sent, and the platform goes down before the outcome is recorded. The node is told to stop, and
+// the outcome can't become durable. The caller must not be left without an answer when the process ends: it
+// is told that the call may have run.
 #[tokio::test]
-async fn an_order_without_a_record_ends_with_a_refusal() {
+async fn a_call_without_a_recorded_outcome_ends_with_a_refusal() {
     let fleet = short().await;
     service_faults(&fleet, &json!({"delay_ms": 500})).await;
     let callers = fleet.callers;
@@ -111,20 +110,20 @@
     assert_eq!(refusal(&answer).1, "unknown", "{}", answer.1);
 }
 
-// The platform is away and nothing runs. No shard's record can be removed; the shutdown ends all
-// the same, long before its grace, as the lease's end frees the shards.
+// The platform is down and nothing runs. The shards' records can't be removed. The shutdown still ends long
+// before its grace, because the shards become free when the lease ends.
 #[tokio::test]
 async fn a_shutdown_without_the_platform_ends() {
     let fleet = Fleet::plain().await;
     fleet.platform.set_down(true);
     fleet.until_outage().await;
     let ended = timeout(Duration::from_secs(5), fleet.node.shutdown()).await;
-    assert!(ended.is_ok(), "still waits");
+    assert!(ended.is_ok(), "the shutdown still waits");
 }
 
-// The slots of a service are taken and more calls wait, for as long as the settings let them. The
-// node is told to end. The task that gives waiting calls up ends with the shards, before the calls
-// do, so they wait on, and their callers are cut off. They are given up in their time.
+// The slots of a service are taken, more calls wait for as long as the settings allow, and the node is told
+// to stop. If the task that gives up waiting calls ended with the shards, the calls would wait on, and their
+// callers would be cut off. They must be given up in time.
 #[tokio::test]
 async fn a_waiting_call_is_given_up_in_time_while_the_node_stops() {
     let fleet = Fleet::start(Plan {
@@ -158,11 +157,11 @@
     shutdown.await.unwrap();
 }
 
-// All slots are taken for longer than the grace, and calls wait for one. At the end of the grace
-// their callers are told only that they may have run, and don't dare to send them elsewhere. They
-// have had no slot: they are told so while the time for it is left.
+// All slots are taken for longer than the grace, and calls wait for one. If their callers were told only at
+// the end of the grace, and that the calls may have run, they couldn't safely send them elsewhere. The calls
+// never had a slot, and their callers are told so in time.
 #[tokio::test]
-async fn calls_that_still_wait_at_the_end_are_told_that_they_did_not_run() {
+async fn calls_that_still_wait_at_the_end_are_refused_as_not_run() {
     let fleet = short().await;
     service_faults(&fleet, &json!({"delay_ms": 5_000})).await;
     let callers = fleet.callers;
@@ -186,11 +185,11 @@
     assert_eq!(ran.iter().filter(|ran| *ran == "unknown").count(), sent);
 }
 
-// Calls wait for a slot while a node that stops has half a second left. Those whose callers' time is over
-// before the process is can still be served; refused with the others, they would have to go elsewhere with
-// little of their time left.
+// Calls wait for a slot while a stopping node has half a second left. Those whose deadline is before the end
+// of the process can still be served. If they were refused with the others, they would have to go elsewhere
+// with little of their time left.
 #[tokio::test]
-async fn a_waiting_call_that_ends_before_the_process_is_served() {
+async fn a_waiting_call_with_a_deadline_before_the_end_is_served() {
     let fleet = Fleet::plain().await;
     service_faults(&fleet, &json!({"delay_ms": 100})).await;
     let core = fleet.node.core().clone();
@@ -211,10 +210,11 @@
     }
 }
 
-// A turn whose runner turned it away finds another one when the node has less than half a second left. Sent
-// there, it would be cut off with the process, and its caller told that it may have run. It isn't sent.
+// A turn that a runner refused finds another runner when the node has less than half a second left. If it
+// were sent there, it would be cut off with the process, and its caller told that it may have run. It isn't
+// sent.
 #[tokio::test]
-async fn a_call_that_comes_after_the_last_call_is_not_sent() {
+async fn a_turn_that_comes_too_late_in_the_stop_is_not_sent() {
     let fleet = Fleet::plain().await;
     let core = fleet.node.core().clone();
     let last = core.clock.now().plus(Millis::new(400));
@@ -232,10 +232,11 @@
     assert!(fleet.attempts().await.is_empty());
 }
 
-// Half a body has come when a node is told to end, and the rest doesn't come. Read on to the end of the
-// process, the connection is cut without a word; half a second before it the caller is told that nothing ran.
+// Half a body has arrived when a node is told to stop, and the rest doesn't arrive. If the node waited for it
+// until the process ends, the connection would be cut without an answer. Half a second before the end, the
+// caller is told that nothing ran.
 #[tokio::test]
-async fn the_sender_of_half_a_body_is_told_of_the_end() {
+async fn an_incomplete_body_is_refused_before_the_end() {
     let fleet = short().await;
     let mut stream = tokio::net::TcpStream::connect(fleet.callers).await.unwrap();
     let half = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 99\r\n\r\n{";
@@ -249,18 +250,18 @@
     assert!(rest.contains(r#""ran":"no""#), "{rest}");
 }
 
-/// Plans a stop under which all that was taken is over at `last`.
+/// Returns a stop whose deadline for accepted work is `last`.
 fn ends_at(last: Millis) -> Stop {
     let grace = Millis::new(10_000);
     let span = Stop::new(Millis::ZERO, grace).deadline();
     Stop::new(last.since(span), grace)
 }
 
-// A caller has opened a connection and sent nothing yet. The node is told to end with nothing under
-// way, and waits for that connection until the time for a request's headers is over: the supervisor
-// kills it meanwhile. A connection without a request doesn't count.
+// A caller has opened a connection and sent no complete request yet, and the node is told to stop. If the
+// node waited for that connection until the time-out for headers, the supervisor would kill it meanwhile. A
+// connection without a request doesn't delay the shutdown.
 #[tokio::test]
-async fn a_connection_without_a_request_holds_no_shutdown_up() {
+async fn a_connection_without_a_request_does_not_delay_the_shutdown() {
     let fleet = Fleet::plain().await;
     let mut streams = vec![TcpStream::connect(fleet.callers).unwrap()];
     let mut half = TcpStream::connect(fleet.callers).unwrap();
@@ -271,10 +272,11 @@
         tokio::task::yield_now().await;
     }
     let ended = timeout(Duration::from_secs(3), fleet.node.shutdown()).await;
-    assert!(ended.is_ok(), "still waits");
+    assert!(ended.is_ok(), "the shutdown still waits");
 }
 
-/// Starts a turn that takes 1.5 s, and tells the node to end.
+/// Starts a turn that takes 1.5 s, and tells the node to stop. The future that is returned waits for the
+/// turn's answer and the end of the shutdown.
 pub async fn stopping() -> (SocketAddr, impl Future<Output = ()>) {
     let fleet = Fleet::start(Plan {
         limits: "[limits]\ngrace = \"10s\"\n",
@@ -300,14 +302,16 @@
     })
 }
 
-// A node that stops still has a turn under way, and callers whose balancer hasn't noticed send
-// more. What states no time, or more of it than the process has, could be cut off when the process
-// ends; it is refused at once as not run, with the time to come again.
+// A turn still runs on a stopping node, and callers whose balancer hasn't noticed the stop send more. A
+// request without a deadline, or with one after the end of the process, could be cut off when the process
+// ends. It is refused at once as not run, with a time for the retry.
 #[rstest]
-#[case::no_limit(None)]
+#[case::no_deadline(None)]
 #[case::beyond_the_end(Some("60000"))]
 #[tokio::test]
-async fn a_stopping_node_refuses_what_may_outlast_it(#[case] deadline: Option<&'static str>) {
+async fn a_stopping_node_refuses_requests_that_may_outlast_it(
+    #[case] deadline: Option<&'static str>,
+) {
     let (callers, ended) = stopping().await;
     let mut headers = named("late", "1").to_vec();
     headers.extend(deadline.map(|span| ("chestnutyoke-deadline-ms", span)));
@@ -320,26 +324,26 @@
     ended.await;
 }
 
-// A node that stops is asked for an order under a key. Whether an earlier asking of it ran, only
-// the journal knows; told "no" here, the caller would give another order and both might run.
+// A stopping node gets a call with an idempotency key. Only the journal knows whether an earlier request with
+// the key ran. If the refusal said "no", the caller would send the call under another key, and both might
+// run.
 #[tokio::test]
-async fn a_stopping_node_says_no_of_no_order() {
+async fn a_call_refused_by_a_stopping_node_may_have_run() {
     let (callers, ended) = stopping().await;
     let key = [("idempotency-key", "order-1")];
-    let order = json!({});
-    let asked = client::ask(callers, SWITCH, &key, &order);
+    let body = json!({});
+    let asked = client::ask(callers, SWITCH, &key, &body);
     let answer = timeout(Duration::from_millis(500), asked).await;
     let answer = answer.expect("not refused at once");
     assert_eq!(refusal(&answer), ("CY4105", "unknown"));
     ended.await;
 }
 
-// A node that stops keeps a caller's connection open after its answer, and closes it when it is idle,
-// just as the caller's next request is on its way: the request is lost with it, and its caller can't
-// tell whether it ran. The answer says that the connection ends, so that the next request takes
-// another one.
+// If a stopping node kept a caller's connection open after its answer and closed it when idle, the caller's
+// next request could already be on its way. It would be lost, and the caller couldn't tell whether it ran.
+// The answer says that the connection closes, so that the next request uses another one.
 #[tokio::test]
-async fn a_stopping_node_keeps_no_connection_after_its_answer() {
+async fn a_stopping_node_closes_each_connection_after_its_answer() {
     let (callers, ended) = stopping().await;
     let mut stream = tokio::net::TcpStream::connect(callers).await.unwrap();
     let probe = b"GET /ready HTTP/1.1\r\nhost: vm\r\n\r\n";
@@ -353,11 +357,11 @@
     ended.await;
 }
 
-// A node that stops is asked for what ends in time. It isn't refused for being late: it waits for
-// an owner as long as its caller does. None comes, and nobody has taken it, so its caller is told that
-// it has not run; told that it may have, it couldn't ask elsewhere.
+// A stopping node gets a request whose deadline is before the end of the process. It isn't refused because of
+// the stop; it waits for an owner until its deadline. None appears, and no VM has accepted the request, so
+// its caller is told that it hasn't run. If told that it may have run, the caller couldn't ask elsewhere.
 #[tokio::test]
-async fn a_stopping_node_takes_what_ends_in_time() {
+async fn a_stopping_node_accepts_requests_that_end_in_time() {
     let (callers, ended) = stopping().await;
     let headers = [("chestnutyoke-deadline-ms", "700")];
     let asked = Instant::now();
@@ -370,8 +374,8 @@
     ended.await;
 }
 
-// What a node that stops takes is served as long as the shard is here: the program whose turn runs is
-// shown.
+// A request that a stopping node accepts is served as long as the node owns the shard: the program whose turn
+// runs is shown.
 #[tokio::test]
 async fn a_stopping_node_shows_a_program_whose_turn_runs() {
     let (callers, ended) = stopping().await;
@@ -380,9 +384,9 @@
     ended.await;
 }
 
-// A call goes on after the shards are given up. Where the listeners for VMs and operators close with
-// the callers', a probe of the process fails and other VMs take this one for dead while it still
-// works. They answer until the last work is done; only callers find the door closed.
+// A call continues after the shards are released. If the listeners for VMs and operators closed with the
+// callers' listener, health probes would fail and other VMs would consider this one dead while it still
+// works. They answer until the last work is done; only the callers' listener is closed.
 #[tokio::test]
 async fn operators_and_vms_are_answered_until_the_work_is_done() {
     let fleet = Fleet::plain().await;
@@ -401,21 +405,21 @@
     let health = client::send(admin, "GET", "/health", &[], "").await;
     assert!(health.is_some_and(|answer| answer.status().is_success()));
     let beat = client::send(peers, "POST", peer::BEAT, &[], "").await;
-    assert!(beat.is_some(), "other VMs find nobody");
+    assert!(beat.is_some(), "the listener for VMs is closed");
     assert_eq!(read.await.unwrap().0, 200);
     shutdown.await.unwrap();
     assert!(TcpStream::connect(admin).is_err());
     assert!(TcpStream::connect(peers).is_err());
 }
 
-// A caller's connection is made and its request sent in the moment in which the listener closes. The
-// kernel has accepted the connection, the node hasn't yet; with the listener it would be reset, and
-// the caller couldn't tell whether its request ran. It is answered.
+// A caller connects and sends its request just as the listener closes. The kernel has accepted the
+// connection, but the node hasn't yet. If the connection were reset with the listener, the caller couldn't
+// tell whether its request ran. It is answered.
 #[tokio::test]
 async fn a_connection_made_as_the_listener_closes_is_answered() {
     let fleet = Fleet::plain().await;
     let core = fleet.node.core().clone();
-    // Nothing of the node runs on this thread until the test waits.
+    // No task of the node runs on this thread until the test awaits something.
     let mut stream = TcpStream::connect(fleet.callers).unwrap();
     stream
         .write_all(b"GET /health HTTP/1.1\r\nhost: vm\r\n\r\n")
@@ -430,11 +434,11 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-// The caller of an order leaves, and the node is told to end while the service still works on it.
-// The outcome is recorded before the process ends, so that the order asked again elsewhere gets its
-// answer and not an unknown outcome.
+// The caller of a service call disconnects, and the node is told to stop while the service still works on it.
+// The outcome is recorded before the process ends, so that a retry elsewhere gets the answer and not an
+// unknown outcome.
 #[tokio::test]
-async fn an_order_whose_caller_has_left_is_recorded() {
+async fn a_call_whose_caller_has_disconnected_is_recorded() {
     let fleet = short().await;
     service_faults(&fleet, &json!({"delay_ms": 500})).await;
     let callers = fleet.callers;
--- a/crates/node/tests/request/turn.rs
+++ b/crates/node/tests/request/turn.rs
@@ -1,4 +1,4 @@
-//! Budgets, crashes, silence and shutdown while turns run.
+//! Turns that run while budgets are used up, runners fail, the platform is down or the node stops.
 
 use serde_json::json;
 use standin::client;
@@ -10,8 +10,8 @@
 use crate::fleet::refusal;
 use crate::fleet::slow;
 
-/// A program with ten tokens asks for twenty. The runner is told ten, so the answer ends there;
-/// the next turn finds nothing left, and the runners never generated more than ten.
+// A program with a budget of 10 tokens asks for 20. The runner is limited to 10, so the answer ends there.
+// The next turn finds no budget left, and the runners never generate more than 10.
 #[tokio::test]
 async fn a_budget_is_never_exceeded() {
     let budget = json!({"tokens": 10, "turns": 5, "idle": "60s"});
@@ -34,10 +34,10 @@
     assert_eq!(generated, 10);
 }
 
-/// A request crashes the runner that has it, and the next one, too. Its caller is told finally
-/// after the second; asked again, each time as another program and so of any shard, it isn't run.
+// A request crashes the first runner and then the second. After the second crash its caller gets a final
+// refusal. When sent again, each time as another program and so in any shard, it isn't run.
 #[tokio::test]
-async fn a_request_that_crashes_runners_is_stopped() {
+async fn a_request_that_crashes_runners_is_refused() {
     let fleet = Fleet::plain().await;
     fleet.fault_all(json!({"crash_mark": "poison"})).await;
     let chat = client::chat("poison");
@@ -52,10 +52,10 @@
     assert_eq!(fleet.attempts().await.len(), before);
 }
 
-/// A runner starts an answer and then says nothing more. After the silence the turn goes on at
-/// the other runner, and the caller gets a whole answer.
+// A runner starts an answer and then sends nothing more. After the `silence` time-out, the turn continues at
+// the other runner, and the caller gets a complete answer.
 #[tokio::test]
-async fn a_silent_runner_is_left() {
+async fn a_turn_moves_away_from_a_silent_runner() {
     let fleet = Fleet::start(Plan {
         limits: "[limits]\nsilence = \"300ms\"\n",
         ..Plan::default()
@@ -74,10 +74,10 @@
     }
 }
 
-/// SIGTERM comes while an answer streams. The stream still ends whole and is committed, and the
-/// listener closes only then.
+// The node gets SIGTERM while an answer streams. The stream is still completed and committed, and only
+// then does the listener close.
 #[tokio::test]
-async fn a_shutdown_cuts_nothing_off() {
+async fn a_shutdown_completes_running_streams() {
     let fleet = Fleet::start(Plan {
         runner: slow(),
         ..Plan::default()
@@ -91,7 +91,7 @@
     let response = client::send(fleet.callers, "POST", CHAT, &headers, &body).await;
     let (node, callers) = (fleet.node, fleet.callers);
     node.shutdown().await;
-    // Where the process would end now, all that the caller gets has left the node.
+    // The process would end here: everything that the caller gets has been sent by now.
     let journal = platform::edge::Platform::range(&fleet.platform, "journal/", "", 100).await;
     let journal = journal.unwrap();
     let holds = |part: &[u8]| {
@@ -107,8 +107,7 @@
     assert!(closed.is_none());
 }
 
-/// Both runners are gone: the caller is told at once that its request didn't run, and when to come
-/// again.
+// Both runners are gone. The caller is told at once that its request didn't run, and when to retry.
 #[tokio::test]
 async fn without_a_runner_nothing_runs() {
     let mut fleet = Fleet::plain().await;
@@ -120,11 +119,11 @@
     assert_eq!(ran, "no", "{}", answer.1);
 }
 
-/// The platform is down and no other VM of the data centre is left to hold a copy. A turn couldn't
-/// be kept, so its caller is told at once that it didn't run and when to come again, in place of
-/// waiting for the platform unknowing; after the outage the same turn runs, once.
+// The platform is down, and no other VM of the data centre is left to hold a copy. A turn couldn't be
+// recorded, so its caller is told at once that it didn't run and when to retry, instead of waiting for the
+// platform without knowing why. After the outage the same turn runs, once.
 #[tokio::test]
-async fn a_vm_alone_in_an_outage_says_so_at_once() {
+async fn a_lone_vm_refuses_turns_at_once_during_an_outage() {
     let fleet = Fleet::plain().await;
     let chat = client::chat("one");
     fleet.platform.set_down(true);
@@ -134,7 +133,7 @@
     assert!(answer.1["error"]["retry_after_ms"].is_u64(), "{}", answer.1);
     assert!(fleet.attempts().await.is_empty());
     fleet.platform.set_down(false);
-    fleet.until_answers().await;
+    fleet.until_platform_answers().await;
     let answer = fleet.ask(CHAT, &named("berth", "1"), &chat).await;
     assert_eq!(answer.0, 200, "{}", answer.1);
     assert_eq!(fleet.attempts().await.len(), 1);
