--- a/crates/node/src/filters/forward.rs
+++ b/crates/node/src/filters/forward.rs
@@ -152,7 +152,7 @@
 
 async fn forward(core: Arc<Core>, ask: Ask, replies: UnboundedSender<Reply>) {
     let mut last = no_owner(&ask);
-    let mut may_have_run = earlier_run(&ask);
+    let mut ran = earlier_run(&ask);
     let mut broken = Ran::No;
     let now = core.clock.now();
     let owner_deadline = now.plus(max_owner_wait(&core, &ask));
@@ -168,7 +168,7 @@
                 last = refusal;
             }
             Outcome::Broken(seen) => {
-                may_have_run = Ran::Unknown;
+                ran = Ran::Unknown;
                 if !is_journaled(&core, &ask) {
                     broken = Ran::Unknown;
                 }
@@ -186,7 +186,7 @@
         }
     }
     // The refusal of a later try doesn't undo what an earlier try may have started.
-    if may_have_run == Ran::Unknown {
+    if ran == Ran::Unknown {
         last = last.ran(Ran::Unknown);
     }
     let _gone = replies.send(Reply::Refused(last));
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -27,24 +27,24 @@
     let stop = *core.stop.get_or_init(|| new);
     core.stopping.cancel();
     core.update(|view| view.stopping = true);
-    let left = stop.left(core.clock.now()).as_duration();
-    if timeout(left, release_all(core)).await.is_err() {
+    let remaining = stop.left(core.clock.now()).as_duration();
+    if timeout(remaining, release_all(core)).await.is_err() {
         warn("shards still busy at the end of the grace");
     }
     wait_for_balancer(core, stop).await;
     core.closing.cancel();
     core.work.close();
-    let left = stop.left(core.clock.now()).as_duration();
-    if timeout(left, core.work.wait()).await.is_err() {
+    let remaining = stop.left(core.clock.now()).as_duration();
+    if timeout(remaining, core.work.wait()).await.is_err() {
         warn("requests still busy at the end of the grace");
         core.expired.cancel();
         let _cut = timeout(phase_time(&stop), core.work.wait()).await;
     }
     core.stopped.cancel();
     core.tasks.close();
-    let left = stop.left(core.clock.now()).as_duration();
-    let left = left.max(phase_time(&stop));
-    if timeout(left, core.tasks.wait()).await.is_err() {
+    let remaining = stop.left(core.clock.now()).as_duration();
+    let remaining = remaining.max(phase_time(&stop));
+    if timeout(remaining, core.tasks.wait()).await.is_err() {
         warn("tasks still busy at the end of the grace");
     }
     log::info!("{} vm={}", Event::NodeStopped, core.settings.vm.name);
--- a/crates/node/tests/request/fleet.rs
+++ b/crates/node/tests/request/fleet.rs
@@ -138,8 +138,8 @@
 
     async fn until_view(&self, matches: impl Fn(&View) -> bool) {
         let mut view = self.node.core().view.subscribe();
-        let matched = view.wait_for(|view| matches(view));
-        tokio::time::timeout(client::PATIENCE, matched)
+        let found = view.wait_for(|view| matches(view));
+        tokio::time::timeout(client::PATIENCE, found)
             .await
             .unwrap()
             .unwrap();
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -222,8 +222,8 @@
     let program = id::Program::parse("berth").unwrap();
     let shard = route::shard(&core.settings, &program);
     let (sender, mut replies) = mpsc::unbounded_channel();
-    let taken = core.registry.ask(&shard, chat_of(program), sender);
-    assert!(taken.is_ok());
+    let accepted = core.registry.ask(&shard, chat_of(program), sender);
+    assert!(accepted.is_ok());
     let reply = replies.recv().await;
     let Some(Reply::Refused(refusal)) = reply else {
         panic!("{reply:?}");
