--- a/crates/node/examples/overhead.rs
+++ b/crates/node/examples/overhead.rs
@@ -1,10 +1,10 @@
-//! Measures the overhead of the system: the time to the first token and to the whole answer through a
-//! node, compared with the same calls sent directly to the runner, in one run.
+//! Measures the overhead of the system: the time to the first token and to the whole answer through
+//! a node, compared with the same calls sent directly to the runner, in one run.
 //!
-//! The example starts itself as the platform, the runner and the node, each as a process of its own,
-//! and sends the load itself. Direct and routed calls alternate in short blocks, so that changes in the
-//! machine's load affect both alike. It prints the ratios at the 50th, 95th and 99th percentile, the
-//! node's CPU time per turn and the platform's writes per turn.
+//! The example starts itself as the platform, the runner and the node, each as a process of its
+//! own, and sends the load itself. Direct and routed calls alternate in short blocks, so that
+//! changes in the machine's load affect both alike. It prints the ratios at the 50th, 95th and 99th
+//! percentile, the node's CPU time per turn and the platform's writes per turn.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -170,8 +170,8 @@
     fn cpu_seconds(&self) -> f64 {
         let path = format!("/proc/{}/stat", self.child.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
-        // The fields after the process name in parentheses. User and system time are at the indexes 12
-        // and 13.
+        // The fields after the process name in parentheses. User and system time are at the indexes
+        // 12 and 13.
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split(' ').collect();
         let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok());
         (ticks(12).unwrap_or(0.0) + ticks(13).unwrap_or(0.0)) / TICKS_PER_SECOND
@@ -288,8 +288,8 @@
     stats["writes"].as_u64().unwrap_or(0)
 }
 
-/// Keeps `calls` calls running for the duration of a block: each caller sends its next call when the
-/// last one has ended.
+/// Keeps `calls` calls running for the duration of a block: each caller sends its next call when
+/// the last one has ended.
 async fn block(address: SocketAddr, calls: usize, measured: &mut Latencies) {
     let http: Arc<Http> = Arc::new(legacy::Client::builder(TokioExecutor::new()).build_http());
     let end = Instant::now() + BLOCK;
--- a/crates/node/examples/slopes/child.rs
+++ b/crates/node/examples/slopes/child.rs
@@ -1,5 +1,5 @@
-//! The process of one VM. It answers each line on its standard input with its resource usage so far,
-//! and exits at the end of the input.
+//! The process of one VM. It answers each line on its standard input with its resource usage so
+//! far, and exits at the end of the input.
 
 use std::io::BufRead;
 use std::sync::atomic::Ordering;
--- a/crates/node/examples/slopes/main.rs
+++ b/crates/node/examples/slopes/main.rs
@@ -1,10 +1,10 @@
-//! Measures how the cost of the control traffic for a VM grows with the number of VMs, endpoints and
-//! shards.
+//! Measures how the cost of the control traffic for a VM grows with the number of VMs, endpoints
+//! and shards.
 //!
-//! `cargo run --release -p node --example slopes` starts itself again as VMs on loopback, each a process
-//! with a node, lets them idle and prints the resource usage of each. The stand-in platform and runners
-//! run in the first process. `… -- model` instead simulates the heartbeats of large fleets in one
-//! process: the frames and bytes are real, the clock is simulated.
+//! `cargo run --release -p node --example slopes` starts itself again as VMs on loopback, each a
+//! process with a node, lets them idle and prints the resource usage of each. The stand-in platform
+//! and runners run in the first process. `… -- model` instead simulates the heartbeats of large
+//! fleets in one process: the frames and bytes are real, the clock is simulated.
 
 mod child;
 mod model;
--- a/crates/node/examples/slopes/model.rs
+++ b/crates/node/examples/slopes/model.rs
@@ -11,12 +11,12 @@
 use wire::clock::Millis;
 use wire::id;
 
-/// The length in bytes of a frame's HTTP head: request or status line, content type, content length,
-/// and host or date.
+/// The length in bytes of a frame's HTTP head: request or status line, content type, content
+/// length, and host or date.
 pub const HEAD_BYTES: f64 = 112.0;
 
-/// The simulated fleets: data centres, VMs per centre, endpoints per centre. The second has data centres
-/// of the target size, the last has the target number of VMs; both together take too long.
+/// The simulated fleets: data centres, VMs per centre, endpoints per centre. The second has data
+/// centres of the target size, the last has the target number of VMs; both together take too long.
 const RUNS: [(usize, usize, usize); 5] =
     [(3, 3, 5), (2, 48, 75), (8, 12, 19), (8, 24, 38), (8, 48, 0)];
 /// Shards per data centre.
@@ -124,9 +124,9 @@
     ages.iter().sum::<u64>() / (ages.len() as u64).max(1)
 }
 
-/// Returns how long a revision takes to reach all VMs from two VMs of each centre, in milliseconds, by
-/// the heartbeat rounds alone. A real VM with a new revision also sends heartbeats at once, which the
-/// model leaves out.
+/// Returns how long a revision takes to reach all VMs from two VMs of each centre, in milliseconds,
+/// by the heartbeat rounds alone. A real VM with a new revision also sends heartbeats at once,
+/// which the model leaves out.
 fn propagation_time(fleet: &mut Fleet) -> u64 {
     let start = fleet.now();
     let mut seeded: Vec<id::Centre> = Vec::new();
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,5 +1,5 @@
-//! The listener for operators: health, metrics, the node's view of the deployment and the requests of
-//! [`operate`].
+//! The listener for operators: health, metrics, the node's view of the deployment and the requests
+//! of [`operate`].
 
 use std::fmt::Write;
 use std::sync::Arc;
--- a/crates/node/src/filters/answer.rs
+++ b/crates/node/src/filters/answer.rs
@@ -35,8 +35,8 @@
 use crate::metrics;
 use crate::view::View;
 
-/// How long the entry VM still waits for the owner's refusal after the caller's deadline: one or two
-/// hops between data centres.
+/// How long the entry VM still waits for the owner's refusal after the caller's deadline: one or
+/// two hops between data centres.
 const REFUSAL_MARGIN: Millis = Millis::new(100);
 
 /// The format of an answer.
@@ -178,8 +178,8 @@
     Ok(response)
 }
 
-/// Waits for the next reply. If the owner is lost, the deadline passes or this VM stops, it is unknown
-/// whether the turn runs.
+/// Waits for the next reply. If the owner is lost, the deadline passes or this VM stops, it is
+/// unknown whether the turn runs.
 async fn next_reply(core: &Core, timing: Timing, replies: &mut Replies) -> Result<Reply> {
     tokio::select! {
         biased;
@@ -245,8 +245,8 @@
 }
 
 impl Stream {
-    /// Sends every reply as an event. An incomplete answer ends with the refusal and without the end
-    /// marker, so that it can't be mistaken for a complete one.
+    /// Sends every reply as an event. An incomplete answer ends with the refusal and without the
+    /// end marker, so that it can't be mistaken for a complete one.
     async fn run(self, first: Reply, mut replies: Replies) {
         let mut reply = Ok(first);
         let mut sent = false;
--- a/crates/node/src/filters/forward.rs
+++ b/crates/node/src/filters/forward.rs
@@ -1,4 +1,5 @@
-//! Sends an [`Ask`] to the owner of its program, on this VM or another, and streams the replies back.
+//! Sends an [`Ask`] to the owner of its program, on this VM or another, and streams the replies
+//! back.
 
 mod owner_loss;
 
@@ -112,7 +113,8 @@
 }
 
 /// Refuses an ask from another VM when this VM is stopping and doesn't own the shard: the answer
-/// that it forwards would be cut off when the process ends. The other VM looks for the owner itself.
+/// that it forwards would be cut off when the process ends. The other VM looks for the owner
+/// itself.
 fn check_owner(core: &Core, ask: &Ask) -> Result<()> {
     let shard = route::shard(&core.settings, &ask.program);
     if core.stop.get().is_none() || core.registry.holds(&shard) {
@@ -192,8 +194,8 @@
     let _gone = replies.send(Reply::Refused(last));
 }
 
-/// Returns how long an ask may wait for an owner: a takeover lasts about one lease. Only the entry VM
-/// waits. The others refuse the ask at once, because it may have been sent to the wrong VM.
+/// Returns how long an ask may wait for an owner: a takeover lasts about one lease. Only the entry
+/// VM waits. The others refuse the ask at once, because it may have been sent to the wrong VM.
 fn max_owner_wait(core: &Core, ask: &Ask) -> Millis {
     if ask.hops > 0 {
         return Millis::ZERO;
@@ -249,8 +251,8 @@
     }
 }
 
-/// Waits for a change of the view, which may name a new owner, for at most [`RETRY_PAUSE`] and until
-/// `caller_deadline` at the latest.
+/// Waits for a change of the view, which may name a new owner, for at most [`RETRY_PAUSE`] and
+/// until `caller_deadline` at the latest.
 async fn wait_for_view_change(core: &Core, caller_deadline: Millis) {
     let mut view = core.view.subscribe();
     let remaining = caller_deadline.since(core.clock.now());
@@ -268,9 +270,9 @@
     }
 }
 
-/// Returns whether the next owner knows of a call that an earlier owner accepted, because its intent
-/// is journaled before the call is sent. For any other ask, the next owner knows only that it isn't
-/// running there.
+/// Returns whether the next owner knows of a call that an earlier owner accepted, because its
+/// intent is journaled before the call is sent. For any other ask, the next owner knows only that
+/// it isn't running there.
 fn is_journaled(core: &Core, ask: &Ask) -> bool {
     let Body::Call(call) = &ask.body else {
         return false;
@@ -403,9 +405,9 @@
 
 /// Forwards one reply, and returns the outcome of the try if the reply was the last one.
 ///
-/// An owner that refuses with [`Ran::No`] knows only of its own try. Forwarded unchanged, that would
-/// hide that an earlier owner may have run the ask, and the caller might have the work done twice.
-/// It is therefore replaced by `broken`.
+/// An owner that refuses with [`Ran::No`] knows only of its own try. Forwarded unchanged, that
+/// would hide that an earlier owner may have run the ask, and the caller might have the work done
+/// twice. It is therefore replaced by `broken`.
 fn forward_reply(
     reply: Reply,
     seen: usize,
--- a/crates/node/src/filters/forward/owner_loss.rs
+++ b/crates/node/src/filters/forward/owner_loss.rs
@@ -1,7 +1,8 @@
 //! Detects that the VM that an ask was sent to no longer owns the program.
 //!
-//! The connections to a VM that freezes or loses power neither answer nor break. Without this check,
-//! callers would hang until their own time-outs, long after another VM has taken the program over.
+//! The connections to a VM that freezes or loses power neither answer nor break. Without this
+//! check, callers would hang until their own time-outs, long after another VM has taken the program
+//! over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,9 +16,9 @@
 use crate::filters::route::Hop;
 use crate::view::View;
 
-/// How long a VM must have sent nothing before the first check. An owner hands a shard over only when
-/// nothing of it runs any more, so its last replies are only milliseconds old by then and still
-/// arrive within this time.
+/// How long a VM must have sent nothing before the first check. An owner hands a shard over only
+/// when nothing of it runs any more, so its last replies are only milliseconds old by then and
+/// still arrive within this time.
 const CHECK_DELAY: Duration = Duration::from_secs(2);
 /// How long the other VMs have to replace one that is considered down: its lease of 5 s must end,
 /// and the claim takes some more time.
--- a/crates/node/src/filters/forward/tests.rs
+++ b/crates/node/src/filters/forward/tests.rs
@@ -7,9 +7,9 @@
 
 use super::forward_reply;
 
-// A turn's owner dies while it runs the turn. The next owner has no capacity for it and refuses. If the
-// caller were told that the turn didn't run, it would ask elsewhere, and the turn might run twice. Without
-// a broken try the refusal is forwarded unchanged, and `Ran::Yes` is always kept.
+// A turn's owner dies while it runs the turn. The next owner has no capacity for it and refuses. If
+// the caller were told that the turn didn't run, it would ask elsewhere, and the turn might run
+// twice. Without a broken try the refusal is forwarded unchanged, and `Ran::Yes` is always kept.
 #[rstest]
 #[case::first_try(Ran::No, Ran::No, Ran::No)]
 #[case::after_a_broken_try(Ran::Unknown, Ran::No, Ran::Unknown)]
--- a/crates/node/src/filters/parse.rs
+++ b/crates/node/src/filters/parse.rs
@@ -108,7 +108,8 @@
 }
 
 /// Returns whether an earlier request for the same call may have run, as far as the headers tell.
-/// Does for an unparsed request what [`crate::filters::forward::earlier_run`] does for a parsed one.
+/// Does for an unparsed request what [`crate::filters::forward::earlier_run`] does for a parsed
+/// one.
 #[must_use]
 pub fn earlier_run(head: &Parts) -> Ran {
     let keyed = head.headers.contains_key(header::KEY);
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -21,8 +21,8 @@
 use wire::code::Code;
 use wire::code::Refusal;
 
-/// The limit in bytes for discarding the rest of a refused request's body, where the limit for bodies
-/// is lower.
+/// The limit in bytes for discarding the rest of a refused request's body, where the limit for
+/// bodies is lower.
 const MIN_DISCARD_LIMIT: usize = 16 * 1024 * 1024;
 /// The maximum time for discarding the rest of a refused request's body.
 pub const DISCARD_TIMEOUT: Millis = Millis::new(1_000);
@@ -83,8 +83,9 @@
         body
     }
 
-    /// Reads the rest of a refused request's body for at most `time_limit`, so that its sender gets the
-    /// refusal: see [`body::discard`]. Does nothing if the sender awaits `100 Continue` or has stalled.
+    /// Reads the rest of a refused request's body for at most `time_limit`, so that its sender gets
+    /// the refusal: see [`body::discard`]. Does nothing if the sender awaits `100 Continue` or has
+    /// stalled.
     ///
     /// Reads at least `limit` bytes, because requests may have bodies of that length.
     pub async fn discard(self, limit: usize, time_limit: Millis) {
@@ -127,8 +128,8 @@
 
 /// A body whose chunks are sent as they arrive on a channel.
 ///
-/// The channel is unbounded so that a slow reader never delays the turn. It holds at most one answer,
-/// whose length is bounded by the turn's reservation.
+/// The channel is unbounded so that a slow reader never delays the turn. It holds at most one
+/// answer, whose length is bounded by the turn's reservation.
 pub struct Channel(pub mpsc::UnboundedReceiver<Bytes>);
 
 impl hyper::body::Body for Channel {
--- a/crates/node/src/http/listen.rs
+++ b/crates/node/src/http/listen.rs
@@ -157,8 +157,8 @@
     let _ended = connection::serve(stream, &protocol, &end, answer).await;
 }
 
-/// Makes a stopping node close each connection after its response. If it closed the connection later,
-/// when idle, the caller's next request could already be on its way and would be lost.
+/// Makes a stopping node close each connection after its response. If it closed the connection
+/// later, when idle, the caller's next request could already be on its way and would be lost.
 fn close_if_stopping(core: &Core, mut response: Response) -> Response {
     if core.stopping.is_cancelled() {
         let close = HeaderValue::from_static("close");
--- a/crates/node/src/http/sse.rs
+++ b/crates/node/src/http/sse.rs
@@ -1,5 +1,5 @@
-//! The part of server-sent events that the chat format uses: `data:` lines, each followed by a blank
-//! line.
+//! The part of server-sent events that the chat format uses: `data:` lines, each followed by a
+//! blank line.
 
 use bytes::Bytes;
 use bytes::BytesMut;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -100,8 +100,8 @@
         self.lock().answered[kind as usize] += 1;
     }
 
-    /// Renders every metric. Counters that are still zero are included, because a scraper that knows no
-    /// earlier value doesn't see the first increment.
+    /// Renders every metric. Counters that are still zero are included, because a scraper that
+    /// knows no earlier value doesn't see the first increment.
     #[must_use]
     pub fn render(&self) -> String {
         let state = self.lock();
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -46,8 +46,8 @@
 const PUMP_INTERVAL: Duration = Duration::from_millis(50);
 /// The number of pumps per sweep: at least one sweep per second.
 const PUMPS_PER_SWEEP: u32 = 20;
-/// The maximum number of connections of each listener for VMs and operators. They don't count towards
-/// the limit for callers' connections.
+/// The maximum number of connections of each listener for VMs and operators. They don't count
+/// towards the limit for callers' connections.
 const MAX_INTERNAL_CONNECTIONS: u32 = 65_536;
 
 /// Why a node failed to start.
@@ -165,9 +165,9 @@
 }
 
 impl Handle {
-    /// Starts the controllers, and returns when the VM may serve. The listeners accept callers before
-    /// that, and the node may have to shut down before this returns, so await this together with the
-    /// stop signal.
+    /// Starts the controllers, and returns when the VM may serve. The listeners accept callers
+    /// before that, and the node may have to shut down before this returns, so await this together
+    /// with the stop signal.
     pub async fn start_controllers(&self) {
         let core = &self.core;
         controllers::start(core).await;
@@ -240,8 +240,8 @@
         filters::handle,
     );
     core.work.spawn(served);
-    // Requests from other VMs and operators are answered until the last work is done. Otherwise they
-    // would consider the VM dead while it still works.
+    // Requests from other VMs and operators are answered until the last work is done. Otherwise
+    // they would consider the VM dead while it still works.
     let internal = Lifetime {
         end: core.stopped.clone(),
         tasks: core.tasks.clone(),
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,9 +1,9 @@
 //! Shuts a node down within its grace.
 //!
-//! New requests that may outlast the process are refused ([`crate::filters`]). Each shard is released
-//! when its running work is done, and then the callers' listener closes. The controllers and the other
-//! listeners end last, because forwarded answers need news of their owners, and waiting calls must be
-//! given up in time.
+//! New requests that may outlast the process are refused ([`crate::filters`]). Each shard is
+//! released when its running work is done, and then the callers' listener closes. The controllers
+//! and the other listeners end last, because forwarded answers need news of their owners, and
+//! waiting calls must be given up in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,8 +60,8 @@
     while releases.join_next().await.is_some() {}
 }
 
-/// Waits until the load balancer has stopped sending requests here. Otherwise new callers would find
-/// no listener, and requests on open connections would be lost.
+/// Waits until the load balancer has stopped sending requests here. Otherwise new callers would
+/// find no listener, and requests on open connections would be lost.
 async fn wait_for_balancer(core: &Core, stop: Stop) {
     while !stop.is_over(core.clock.now(), Activity::Idle) {
         sleep(POLL_INTERVAL).await;
@@ -69,8 +69,8 @@
 }
 
 /// Returns the time limit for sending the last refusals, and again for ending the controllers. Each
-/// gets a third of the time between the deadline and the kill, so that the last third is left for the
-/// process to exit.
+/// gets a third of the time between the deadline and the kill, so that the last third is left for
+/// the process to exit.
 fn phase_time(stop: &Stop) -> Duration {
     stop.killed().since(stop.deadline()).as_duration() / 3
 }
--- a/crates/node/tests/request/admission.rs
+++ b/crates/node/tests/request/admission.rs
@@ -16,8 +16,8 @@
 
 const SWITCH: &str = "/v1/services/shore/switch";
 
-// A caller sends a few bytes and then stalls. Its connection ends, with a result code if the headers were
-// complete, and the node answers others meanwhile.
+// A caller sends a few bytes and then stalls. Its connection ends, with a result code if the
+// headers were complete, and the node answers others meanwhile.
 #[tokio::test]
 async fn a_stalled_caller_loses_its_connection() {
     let fleet = Fleet::start(Plan {
@@ -44,8 +44,8 @@
     }
 }
 
-// Idle connections use up the routine limit. Routine work is refused with a result code, because only
-// the connections reserved for urgent work are left; urgent work is accepted on them.
+// Idle connections use up the routine limit. Routine work is refused with a result code, because
+// only the connections reserved for urgent work are left; urgent work is accepted on them.
 #[tokio::test]
 async fn the_last_connections_are_reserved_for_urgent_work() {
     for (class, status) in [("routine", 503), ("urgent", 200)] {
@@ -67,10 +67,10 @@
     }
 }
 
-// Idle connections fill the listener, all of it or all but the connections reserved for urgent work, and a
-// call with an idempotency key is refused. Only its owner knows whether an earlier request with that key
-// ran. If the refusal said "no", the caller would send the call under another key, and both might run. A
-// request without a key hasn't run.
+// Idle connections fill the listener, all of it or all but the connections reserved for urgent
+// work, and a call with an idempotency key is refused. Only its owner knows whether an earlier
+// request with that key ran. If the refusal said "no", the caller would send the call under another
+// key, and both might run. A request without a key hasn't run.
 #[rstest]
 #[case::all_connections(4)]
 #[case::routine_connections(2)]
@@ -95,10 +95,10 @@
     assert_eq!(refusal(&chat), ("CY1108", "no"), "{}", chat.1);
 }
 
-// A call is sent again with its idempotency key, and refused before its program's owner sees it: its token
-// has been removed from the configuration, or its body exceeds the limit now. Only the owner's journal knows
-// whether the first request ran. If the refusal said "no", the caller would send the call under another
-// key, and both might run.
+// A call is sent again with its idempotency key, and refused before its program's owner sees it:
+// its token has been removed from the configuration, or its body exceeds the limit now. Only the
+// owner's journal knows whether the first request ran. If the refusal said "no", the caller would
+// send the call under another key, and both might run.
 #[rstest]
 #[case::unknown_token("nobody", 1, "CY1201")]
 #[case::long_body(client::TOKEN, 1_000, "CY1102")]
@@ -125,8 +125,8 @@
     assert_eq!(refusal(&plain), (code, "no"), "{}", plain.1);
 }
 
-// A call's body of several megabytes exceeds the limit. The sender must get the refusal, which says that an
-// earlier request may have run; a connection reset would say nothing.
+// A call's body of several megabytes exceeds the limit. The sender must get the refusal, which says
+// that an earlier request may have run; a connection reset would say nothing.
 #[tokio::test]
 async fn a_refusal_of_a_body_over_the_limit_reaches_its_sender() {
     let fleet = Fleet::start(Plan {
@@ -140,8 +140,9 @@
     assert!(answer.contains(r#""ran":"unknown""#), "{answer}");
 }
 
-// A request is refused by its path or a header, or because no connection is left, while its sender is still
-// sending megabytes. If the connection were closed with bytes unread, it would be reset and the refusal lost.
+// A request is refused by its path or a header, or because no connection is left, while its sender
+// is still sending megabytes. If the connection were closed with bytes unread, it would be reset
+// and the refusal lost.
 #[rstest]
 #[case::by_the_path("/v1/nothing", "x", 0, "CY1105")]
 #[case::by_a_header(CHAT, "1\r\nchestnutyoke-program: a b", 0, "CY1104")]
@@ -186,8 +187,9 @@
     answer
 }
 
-// A caller waits for `100 Continue` before it sends its body, and is refused by the path. Reading the body
-// would make the caller send it for nothing, so it isn't requested, and the connection ends.
+// A caller waits for `100 Continue` before it sends its body, and is refused by the path. Reading
+// the body would make the caller send it for nothing, so it isn't requested, and the connection
+// ends.
 #[tokio::test]
 async fn a_refusal_by_the_path_requests_no_body() {
     let fleet = Fleet::plain().await;
--- a/crates/node/tests/request/handover.rs
+++ b/crates/node/tests/request/handover.rs
@@ -1,4 +1,5 @@
-//! Asks for shards that are handed over while a node stops: which are accepted and which are forwarded.
+//! Asks for shards that are handed over while a node stops: which are accepted and which are
+//! forwarded.
 
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -25,9 +26,10 @@
 use crate::stop::short;
 use crate::stop::stopping;
 
-// A shard is released, and an ask arrives when nothing of the shard runs any more but its actor still
-// exists. If the actor accepted the ask, it would be stopped right after, and the caller's turn would be lost
-// with an unknown outcome. The ask is refused, so that it goes to the next owner.
+// A shard is released, and an ask arrives when nothing of the shard runs any more but its actor
+// still exists. If the actor accepted the ask, it would be stopped right after, and the caller's
+// turn would be lost with an unknown outcome. The ask is refused, so that it goes to the next
+// owner.
 #[tokio::test]
 async fn a_released_shard_accepts_no_ask() {
     let fleet = Fleet::plain().await;
@@ -48,9 +50,10 @@
     assert!(fleet.attempts().await.is_empty());
 }
 
-// A shard is released while one of its turns runs, and a caller creates a program in the same shard. The
-// program's record might come after the shard's last one: the caller would get no answer, or an answer for a
-// program that the next owner doesn't know. The request is refused, so that it goes to the next owner.
+// A shard is released while one of its turns runs, and a caller creates a program in the same
+// shard. The program's record might come after the shard's last one: the caller would get no
+// answer, or an answer for a program that the next owner doesn't know. The request is refused, so
+// that it goes to the next owner.
 #[tokio::test]
 async fn a_released_shard_creates_no_program() {
     let (callers, ended) = stopping().await;
@@ -65,8 +68,8 @@
     ended.await;
 }
 
-// A shard is released while one of its turns runs, and a caller ends the turn's program. The request is
-// refused for the same reason; the turn is answered.
+// A shard is released while one of its turns runs, and a caller ends the turn's program. The
+// request is refused for the same reason; the turn is answered.
 #[tokio::test]
 async fn a_released_shard_ends_no_program() {
     let (callers, ended) = stopping().await;
@@ -75,8 +78,9 @@
     ended.await;
 }
 
-// A call with an idempotency key finds no owner before its caller's deadline. This node hasn't forwarded it,
-// but an earlier request with the key may have run, which only the next owner's journal can tell.
+// A call with an idempotency key finds no owner before its caller's deadline. This node hasn't
+// forwarded it, but an earlier request with the key may have run, which only the next owner's
+// journal can tell.
 #[tokio::test]
 async fn a_call_that_finds_no_owner_may_have_run_before() {
     let (callers, ended) = stopping().await;
@@ -89,9 +93,9 @@
     ended.await;
 }
 
-// A claim that is in progress when the node is told to stop adds a shard after the node has listed the shards
-// to release. Asks for it may arrive until the process ends, and the process doesn't wait for them. They are
-// refused, so that they go to the next owner.
+// A claim that is in progress when the node is told to stop adds a shard after the node has listed
+// the shards to release. Asks for it may arrive until the process ends, and the process doesn't
+// wait for them. They are refused, so that they go to the next owner.
 #[tokio::test]
 async fn a_shard_claimed_during_the_stop_accepts_no_ask() {
     let fleet = Fleet::plain().await;
@@ -109,9 +113,9 @@
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
-// Another VM still considers the stopping one the owner of a shard that it has released. If the ask were
-// forwarded from there, the answer would pass through a process that is ending, and be cut off. The ask is
-// refused at once, so that the other VM looks for the owner itself.
+// Another VM still considers the stopping one the owner of a shard that it has released. If the ask
+// were forwarded from there, the answer would pass through a process that is ending, and be cut
+// off. The ask is refused at once, so that the other VM looks for the owner itself.
 #[tokio::test]
 async fn a_stopping_node_forwards_no_asks_of_other_vms() {
     let fleet = short().await;
--- a/crates/node/tests/request/lost.rs
+++ b/crates/node/tests/request/lost.rs
@@ -75,10 +75,10 @@
     lease
 }
 
-// A VM was paused for longer than its lease and resumes. Its first append conflicts with the new owner's, so
-// the turn is refused without having run. Once the shard is free again, the VM claims it and the program
-// continues where it was. A turn that meanwhile finds no owner before its caller's deadline is refused as not
-// run, so the caller may send it anywhere.
+// A VM was paused for longer than its lease and resumes. Its first append conflicts with the new
+// owner's, so the turn is refused without having run. Once the shard is free again, the VM claims
+// it and the program continues where it was. A turn that meanwhile finds no owner before its
+// caller's deadline is refused as not run, so the caller may send it anywhere.
 #[tokio::test]
 async fn a_lost_shard_runs_nothing_until_reclaimed() {
     let fleet = Fleet::plain().await;
@@ -109,9 +109,10 @@
     assert_eq!(fleet.attempts().await.len(), 2);
 }
 
-// Another VM has claimed the shard, and this one doesn't know yet. A call arrives here that may have run
-// there, and the append of its intent conflicts with the next owner's records. If the refusal said that it
-// didn't run, as is true for this VM, the caller would send another call, and both would have run.
+// Another VM has claimed the shard, and this one doesn't know yet. A call arrives here that may
+// have run there, and the append of its intent conflicts with the next owner's records. If the
+// refusal said that it didn't run, as is true for this VM, the caller would send another call, and
+// both would have run.
 #[tokio::test]
 async fn a_call_that_conflicts_with_the_next_owner_may_have_run_there() {
     let fleet = Fleet::plain().await;
@@ -126,9 +127,9 @@
     assert_eq!(refusal(&call).1, "unknown", "{}", call.1);
 }
 
-// A turn and a call wait for an owner without a deadline, and the VM is told to stop. No owner has accepted
-// them. If the turn's refusal said that it may have run, its caller couldn't ask elsewhere. An earlier
-// request for the call may have run.
+// A turn and a call wait for an owner without a deadline, and the VM is told to stop. No owner has
+// accepted them. If the turn's refusal said that it may have run, its caller couldn't ask
+// elsewhere. An earlier request for the call may have run.
 #[tokio::test]
 async fn requests_that_wait_for_an_owner_when_the_vm_stops_are_refused() {
     let fleet = Fleet::start(Plan {
--- a/crates/node/tests/request/main.rs
+++ b/crates/node/tests/request/main.rs
@@ -1,5 +1,5 @@
-//! Tests one node in this process, with stand-in endpoints and an in-memory platform, under the failures
-//! that a request may meet.
+//! Tests one node in this process, with stand-in endpoints and an in-memory platform, under the
+//! failures that a request may meet.
 
 mod admission;
 mod fleet;
--- a/crates/node/tests/request/metrics.rs
+++ b/crates/node/tests/request/metrics.rs
@@ -15,8 +15,8 @@
     String::from_utf8(body.to_bytes().to_vec()).unwrap()
 }
 
-// Operators look up a metric of a dashboard in the documentation. The test fails if a metric is served but
-// not listed, listed but not served, or explained differently in the two places.
+// Operators look up a metric of a dashboard in the documentation. The test fails if a metric is
+// served but not listed, listed but not served, or explained differently in the two places.
 #[tokio::test]
 async fn the_documentation_lists_every_metric() {
     let fleet = Fleet::plain().await;
--- a/crates/node/tests/request/order.rs
+++ b/crates/node/tests/request/order.rs
@@ -10,8 +10,8 @@
 use crate::fleet::refusal;
 use crate::fleet::slow;
 
-// A caller disconnects in the middle of its answer and sends the same turn again, twice at once. The turn
-// has continued meanwhile. Both requests get its answer, and the runner runs it once.
+// A caller disconnects in the middle of its answer and sends the same turn again, twice at once.
+// The turn has continued meanwhile. Both requests get its answer, and the runner runs it once.
 #[tokio::test]
 async fn a_turn_outlives_its_caller() {
     let fleet = Fleet::start(Plan {
@@ -36,8 +36,8 @@
     assert_eq!(fleet.attempts().await.len(), 1);
 }
 
-// While a turn runs and after it, other content under its number is refused, and so is a turn out of order.
-// Otherwise a program's history would depend on which request arrives first.
+// While a turn runs and after it, other content under its number is refused, and so is a turn out
+// of order. Otherwise a program's history would depend on which request arrives first.
 #[tokio::test]
 async fn other_content_and_turns_out_of_order_are_refused() {
     let fleet = Fleet::start(Plan {
--- a/crates/node/tests/request/service.rs
+++ b/crates/node/tests/request/service.rs
@@ -29,8 +29,8 @@
     runs.iter().map(|run| run["runs"].as_u64().unwrap()).sum()
 }
 
-// The service runs the call and its answer is lost. The caller is told that the outcome is unknown, now and
-// when it retries. The call isn't sent to the service a second time.
+// The service runs the call and its answer is lost. The caller is told that the outcome is unknown,
+// now and when it retries. The call isn't sent to the service a second time.
 #[tokio::test]
 async fn a_call_whose_answer_is_lost_is_not_sent_again() {
     let fleet = Fleet::plain().await;
@@ -48,8 +48,8 @@
     assert_eq!(runs(&fleet).await, 1);
 }
 
-// The service refuses the call before running it. The call may be sent again until it runs, and the caller
-// gets the answer of its only run.
+// The service refuses the call before running it. The call may be sent again until it runs, and the
+// caller gets the answer of its only run.
 #[tokio::test]
 async fn a_call_refused_by_the_service_may_be_sent_again() {
     let fleet = Fleet::plain().await;
@@ -68,8 +68,8 @@
     assert_eq!(runs(&fleet).await, 1);
 }
 
-// The same call arrives on two connections at once. It runs once and both get its answer. The same key with
-// other content is refused.
+// The same call arrives on two connections at once. It runs once and both get its answer. The same
+// key with other content is refused.
 #[tokio::test]
 async fn the_same_call_sent_twice_at_once_runs_once() {
     let fleet = Fleet::plain().await;
@@ -92,8 +92,8 @@
     assert_eq!(runs(&fleet).await, 1);
 }
 
-// The platform is down. A call that may run at most once is refused, with a time for the retry. After the
-// outage the same call runs.
+// The platform is down. A call that may run at most once is refused, with a time for the retry.
+// After the outage the same call runs.
 #[tokio::test]
 async fn calls_that_run_at_most_once_are_refused_during_an_outage() {
     let fleet = Fleet::plain().await;
@@ -150,10 +150,10 @@
     replies.recv().await
 }
 
-// A call ran, and its answer was lost on the way. The caller sends it again, but the owner now has a newer
-// configuration than the entry VM, and no selector allows the call any more. If it were refused as not run,
-// the caller would send another call, and both would have run. It gets the call's answer; a new call is
-// refused.
+// A call ran, and its answer was lost on the way. The caller sends it again, but the owner now has
+// a newer configuration than the entry VM, and no selector allows the call any more. If it were
+// refused as not run, the caller would send another call, and both would have run. It gets the
+// call's answer; a new call is refused.
 #[tokio::test]
 async fn a_call_that_ran_is_answered_when_it_is_no_longer_allowed() {
     let fleet = Fleet::plain().await;
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -56,9 +56,9 @@
     client::post(fleet.service.address(), "/faults", &[], faults).await;
 }
 
-// A turn runs longer than the grace. If the shutdown waited one grace for the shard and a second one for the
-// task, the supervisor would kill the process in between, and all connections would break at once. One grace
-// must suffice for the whole shutdown.
+// A turn runs longer than the grace. If the shutdown waited one grace for the shard and a second
+// one for the task, the supervisor would kill the process in between, and all connections would
+// break at once. One grace must suffice for the whole shutdown.
 #[tokio::test]
 async fn a_shutdown_takes_one_grace_at_most() {
     let fleet = short().await;
@@ -72,8 +72,9 @@
     ask.abort();
 }
 
-// A turn outlasts the grace. If its caller's connection were cut when the process ends, the caller couldn't
-// tell that from a crash. Before the end, the caller is told that the VM stops and that the turn may have run.
+// A turn outlasts the grace. If its caller's connection were cut when the process ends, the caller
+// couldn't tell that from a crash. Before the end, the caller is told that the VM stops and that
+// the turn may have run.
 #[tokio::test]
 async fn a_turn_that_outlasts_the_grace_ends_with_a_refusal() {
     let fleet = short().await;
@@ -88,9 +89,9 @@
     assert_eq!(refusal(&answer), ("CY4105", "unknown"));
 }
 
-// A call was sent, and the platform goes down before the outcome is recorded. The node is told to stop, and
-// the outcome can't become durable. The caller must not be left without an answer when the process ends: it
-// is told that the call may have run.
+// A call was sent, and the platform goes down before the outcome is recorded. The node is told to
+// stop, and the outcome can't become durable. The caller must not be left without an answer when
+// the process ends: it is told that the call may have run.
 #[tokio::test]
 async fn a_call_without_a_recorded_outcome_ends_with_a_refusal() {
     let fleet = short().await;
@@ -110,8 +111,8 @@
     assert_eq!(refusal(&answer).1, "unknown", "{}", answer.1);
 }
 
-// The platform is down and nothing runs. The shards' records can't be removed. The shutdown still ends long
-// before its grace, because the shards become free when the lease ends.
+// The platform is down and nothing runs. The shards' records can't be removed. The shutdown still
+// ends long before its grace, because the shards become free when the lease ends.
 #[tokio::test]
 async fn a_shutdown_without_the_platform_ends() {
     let fleet = Fleet::plain().await;
@@ -121,9 +122,9 @@
     assert!(ended.is_ok(), "the shutdown still waits");
 }
 
-// The slots of a service are taken, more calls wait for as long as the settings allow, and the node is told
-// to stop. If the task that gives up waiting calls ended with the shards, the calls would wait on, and their
-// callers would be cut off. They must be given up in time.
+// The slots of a service are taken, more calls wait for as long as the settings allow, and the node
+// is told to stop. If the task that gives up waiting calls ended with the shards, the calls would
+// wait on, and their callers would be cut off. They must be given up in time.
 #[tokio::test]
 async fn a_waiting_call_is_given_up_in_time_while_the_node_stops() {
     let fleet = Fleet::start(Plan {
@@ -157,9 +158,9 @@
     shutdown.await.unwrap();
 }
 
-// All slots are taken for longer than the grace, and calls wait for one. If their callers were told only at
-// the end of the grace, and that the calls may have run, they couldn't safely send them elsewhere. The calls
-// never had a slot, and their callers are told so in time.
+// All slots are taken for longer than the grace, and calls wait for one. If their callers were told
+// only at the end of the grace, and that the calls may have run, they couldn't safely send them
+// elsewhere. The calls never had a slot, and their callers are told so in time.
 #[tokio::test]
 async fn calls_that_still_wait_at_the_end_are_refused_as_not_run() {
     let fleet = short().await;
@@ -185,9 +186,9 @@
     assert_eq!(ran.iter().filter(|ran| *ran == "unknown").count(), sent);
 }
 
-// Calls wait for a slot while a stopping node has half a second left. Those whose deadline is before the end
-// of the process can still be served. If they were refused with the others, they would have to go elsewhere
-// with little of their time left.
+// Calls wait for a slot while a stopping node has half a second left. Those whose deadline is
+// before the end of the process can still be served. If they were refused with the others, they
+// would have to go elsewhere with little of their time left.
 #[tokio::test]
 async fn a_waiting_call_with_a_deadline_before_the_end_is_served() {
     let fleet = Fleet::plain().await;
@@ -210,9 +211,9 @@
     }
 }
 
-// A turn that a runner refused finds another runner when the node has less than half a second left. If it
-// were sent there, it would be cut off with the process, and its caller told that it may have run. It isn't
-// sent.
+// A turn that a runner refused finds another runner when the node has less than half a second left.
+// If it were sent there, it would be cut off with the process, and its caller told that it may have
+// run. It isn't sent.
 #[tokio::test]
 async fn a_turn_that_comes_too_late_in_the_stop_is_not_sent() {
     let fleet = Fleet::plain().await;
@@ -232,9 +233,9 @@
     assert!(fleet.attempts().await.is_empty());
 }
 
-// Half a body has arrived when a node is told to stop, and the rest doesn't arrive. If the node waited for it
-// until the process ends, the connection would be cut without an answer. Half a second before the end, the
-// caller is told that nothing ran.
+// Half a body has arrived when a node is told to stop, and the rest doesn't arrive. If the node
+// waited for it until the process ends, the connection would be cut without an answer. Half a
+// second before the end, the caller is told that nothing ran.
 #[tokio::test]
 async fn an_incomplete_body_is_refused_before_the_end() {
     let fleet = short().await;
@@ -257,9 +258,9 @@
     Stop::new(last.since(span), grace)
 }
 
-// A caller has opened a connection and sent no complete request yet, and the node is told to stop. If the
-// node waited for that connection until the time-out for headers, the supervisor would kill it meanwhile. A
-// connection without a request doesn't delay the shutdown.
+// A caller has opened a connection and sent no complete request yet, and the node is told to stop.
+// If the node waited for that connection until the time-out for headers, the supervisor would kill
+// it meanwhile. A connection without a request doesn't delay the shutdown.
 #[tokio::test]
 async fn a_connection_without_a_request_does_not_delay_the_shutdown() {
     let fleet = Fleet::plain().await;
@@ -275,8 +276,8 @@
     assert!(ended.is_ok(), "the shutdown still waits");
 }
 
-/// Starts a turn that takes 1.5 s, and tells the node to stop. The future that is returned waits for the
-/// turn's answer and the end of the shutdown.
+/// Starts a turn that takes 1.5 s, and tells the node to stop. The future that is returned waits
+/// for the turn's answer and the end of the shutdown.
 pub async fn stopping() -> (SocketAddr, impl Future<Output = ()>) {
     let fleet = Fleet::start(Plan {
         limits: "[limits]\ngrace = \"10s\"\n",
@@ -302,9 +303,9 @@
     })
 }
 
-// A turn still runs on a stopping node, and callers whose balancer hasn't noticed the stop send more. A
-// request without a deadline, or with one after the end of the process, could be cut off when the process
-// ends. It is refused at once as not run, with a time for the retry.
+// A turn still runs on a stopping node, and callers whose balancer hasn't noticed the stop send
+// more. A request without a deadline, or with one after the end of the process, could be cut off
+// when the process ends. It is refused at once as not run, with a time for the retry.
 #[rstest]
 #[case::no_deadline(None)]
 #[case::beyond_the_end(Some("60000"))]
@@ -324,9 +325,9 @@
     ended.await;
 }
 
-// A stopping node gets a call with an idempotency key. Only the journal knows whether an earlier request with
-// the key ran. If the refusal said "no", the caller would send the call under another key, and both might
-// run.
+// A stopping node gets a call with an idempotency key. Only the journal knows whether an earlier
+// request with the key ran. If the refusal said "no", the caller would send the call under another
+// key, and both might run.
 #[tokio::test]
 async fn a_call_refused_by_a_stopping_node_may_have_run() {
     let (callers, ended) = stopping().await;
@@ -339,9 +340,10 @@
     ended.await;
 }
 
-// If a stopping node kept a caller's connection open after its answer and closed it when idle, the caller's
-// next request could already be on its way. It would be lost, and the caller couldn't tell whether it ran.
-// The answer says that the connection closes, so that the next request uses another one.
+// If a stopping node kept a caller's connection open after its answer and closed it when idle, the
+// caller's next request could already be on its way. It would be lost, and the caller couldn't tell
+// whether it ran. The answer says that the connection closes, so that the next request uses another
+// one.
 #[tokio::test]
 async fn a_stopping_node_closes_each_connection_after_its_answer() {
     let (callers, ended) = stopping().await;
@@ -357,9 +359,10 @@
     ended.await;
 }
 
-// A stopping node gets a request whose deadline is before the end of the process. It isn't refused because of
-// the stop; it waits for an owner until its deadline. None appears, and no VM has accepted the request, so
-// its caller is told that it hasn't run. If told that it may have run, the caller couldn't ask elsewhere.
+// A stopping node gets a request whose deadline is before the end of the process. It isn't refused
+// because of the stop; it waits for an owner until its deadline. None appears, and no VM has
+// accepted the request, so its caller is told that it hasn't run. If told that it may have run, the
+// caller couldn't ask elsewhere.
 #[tokio::test]
 async fn a_stopping_node_accepts_requests_that_end_in_time() {
     let (callers, ended) = stopping().await;
@@ -374,8 +377,8 @@
     ended.await;
 }
 
-// A request that a stopping node accepts is served as long as the node owns the shard: the program whose turn
-// runs is shown.
+// A request that a stopping node accepts is served as long as the node owns the shard: the program
+// whose turn runs is shown.
 #[tokio::test]
 async fn a_stopping_node_shows_a_program_whose_turn_runs() {
     let (callers, ended) = stopping().await;
@@ -384,9 +387,10 @@
     ended.await;
 }
 
-// A call continues after the shards are released. If the listeners for VMs and operators closed with the
-// callers' listener, health probes would fail and other VMs would consider this one dead while it still
-// works. They answer until the last work is done; only the callers' listener is closed.
+// A call continues after the shards are released. If the listeners for VMs and operators closed
+// with the callers' listener, health probes would fail and other VMs would consider this one dead
+// while it still works. They answer until the last work is done; only the callers' listener is
+// closed.
 #[tokio::test]
 async fn operators_and_vms_are_answered_until_the_work_is_done() {
     let fleet = Fleet::plain().await;
@@ -413,8 +417,8 @@
 }
 
 // A caller connects and sends its request just as the listener closes. The kernel has accepted the
-// connection, but the node hasn't yet. If the connection were reset with the listener, the caller couldn't
-// tell whether its request ran. It is answered.
+// connection, but the node hasn't yet. If the connection were reset with the listener, the caller
+// couldn't tell whether its request ran. It is answered.
 #[tokio::test]
 async fn a_connection_made_as_the_listener_closes_is_answered() {
     let fleet = Fleet::plain().await;
@@ -434,9 +438,9 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-// The caller of a service call disconnects, and the node is told to stop while the service still works on it.
-// The outcome is recorded before the process ends, so that a retry elsewhere gets the answer and not an
-// unknown outcome.
+// The caller of a service call disconnects, and the node is told to stop while the service still
+// works on it. The outcome is recorded before the process ends, so that a retry elsewhere gets the
+// answer and not an unknown outcome.
 #[tokio::test]
 async fn a_call_whose_caller_has_disconnected_is_recorded() {
     let fleet = short().await;
--- a/crates/node/tests/request/turn.rs
+++ b/crates/node/tests/request/turn.rs
@@ -10,8 +10,8 @@
 use crate::fleet::refusal;
 use crate::fleet::slow;
 
-// A program with a budget of 10 tokens asks for 20. The runner is limited to 10, so the answer ends there.
-// The next turn finds no budget left, and the runners never generate more than 10.
+// A program with a budget of 10 tokens asks for 20. The runner is limited to 10, so the answer ends
+// there. The next turn finds no budget left, and the runners never generate more than 10.
 #[tokio::test]
 async fn a_budget_is_never_exceeded() {
     let budget = json!({"tokens": 10, "turns": 5, "idle": "60s"});
@@ -34,8 +34,8 @@
     assert_eq!(generated, 10);
 }
 
-// A request crashes the first runner and then the second. After the second crash its caller gets a final
-// refusal. When sent again, each time as another program and so in any shard, it isn't run.
+// A request crashes the first runner and then the second. After the second crash its caller gets a
+// final refusal. When sent again, each time as another program and so in any shard, it isn't run.
 #[tokio::test]
 async fn a_request_that_crashes_runners_is_refused() {
     let fleet = Fleet::plain().await;
@@ -52,8 +52,8 @@
     assert_eq!(fleet.attempts().await.len(), before);
 }
 
-// A runner starts an answer and then sends nothing more. After the `silence` time-out, the turn continues at
-// the other runner, and the caller gets a complete answer.
+// A runner starts an answer and then sends nothing more. After the `silence` time-out, the turn
+// continues at the other runner, and the caller gets a complete answer.
 #[tokio::test]
 async fn a_turn_moves_away_from_a_silent_runner() {
     let fleet = Fleet::start(Plan {
@@ -74,8 +74,8 @@
     }
 }
 
-// The node gets SIGTERM while an answer streams. The stream is still completed and committed, and only
-// then does the listener close.
+// The node gets SIGTERM while an answer streams. The stream is still completed and committed, and
+// only then does the listener close.
 #[tokio::test]
 async fn a_shutdown_completes_running_streams() {
     let fleet = Fleet::start(Plan {
@@ -119,9 +119,9 @@
     assert_eq!(ran, "no", "{}", answer.1);
 }
 
-// The platform is down, and no other VM of the data centre is left to hold a copy. A turn couldn't be
-// recorded, so its caller is told at once that it didn't run and when to retry, instead of waiting for the
-// platform without knowing why. After the outage the same turn runs, once.
+// The platform is down, and no other VM of the data centre is left to hold a copy. A turn couldn't
+// be recorded, so its caller is told at once that it didn't run and when to retry, instead of
+// waiting for the platform without knowing why. After the outage the same turn runs, once.
 #[tokio::test]
 async fn a_lone_vm_refuses_turns_at_once_during_an_outage() {
     let fleet = Fleet::plain().await;
