--- a/crates/node/src/controllers/call.rs
+++ b/crates/node/src/controllers/call.rs
@@ -68,7 +68,7 @@
     let post = Post {
         address: &address.to_string(),
         path,
-        kind: CONTENT_TYPE,
+        content_type: CONTENT_TYPE,
         headers: &[],
         body,
     };
