--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -122,7 +122,11 @@
             ..limits
         });
         let kv = Kv::new(vm_client.clone(), settings.store, STORE_TIMEOUT);
-        let replicas = Replicas::new(vm_client.clone(), &settings.centre, settings.tolerated_losses);
+        let replicas = Replicas::new(
+            vm_client.clone(),
+            &settings.centre,
+            settings.tolerated_losses,
+        );
         let cache_bytes =
             usize::try_from(settings.memory_bytes / TURN_CACHE_DIVISOR).unwrap_or(usize::MAX);
         Arc::new(Self {
