--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -53,7 +53,7 @@
         (
             "calls_waiting",
             "calls that wait for an endpoint's slot",
-            core.desk.waiting() as u64,
+            core.scheduler.waiting() as u64,
         ),
         (
             "shards_owned",
--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -175,7 +175,7 @@
 }
 
 async fn yield_copies(core: &Core, collect: &Collect) -> Result<Collected> {
-    let held = core.registry.surrender(&collect.shard, collect.epoch).await;
+    let held = core.registry.step_down(&collect.shard, collect.epoch).await;
     let mut copies = core.control.copies();
     copies.keep(&collect.shard, held);
     copies.collect(&collect.shard, collect.epoch)
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -12,7 +12,7 @@
 use wire::clock::Clock;
 
 use crate::controllers::Control;
-use crate::dispatch::desk::Desk;
+use crate::dispatch::scheduler::Scheduler;
 use crate::http::client::Client;
 use crate::http::listen::Door;
 use crate::metrics::Metrics;
@@ -37,7 +37,7 @@
     /// What the controllers share.
     pub control: Control,
     /// Gives out the endpoints' slots.
-    pub desk: Desk,
+    pub scheduler: Scheduler,
     /// Contents that are refused for good.
     pub poison: Poison,
     /// Counts and latencies.
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -3,8 +3,8 @@
 
 mod choose;
 pub mod collect;
-pub mod desk;
+pub mod ejection;
+pub mod endpoint_state;
 pub mod runner;
+pub mod scheduler;
 pub mod service;
-pub mod standing;
-pub mod sweep;
--- a/crates/node/src/dispatch/choose.rs
+++ b/crates/node/src/dispatch/choose.rs
@@ -8,10 +8,10 @@
 use wire::clock::Millis;
 
 use crate::core::Core;
-use crate::dispatch::desk::Work;
-use crate::dispatch::standing;
-use crate::dispatch::standing::Content;
-use crate::dispatch::standing::Standing;
+use crate::dispatch::endpoint_state;
+use crate::dispatch::endpoint_state::Content;
+use crate::dispatch::endpoint_state::EndpointState;
+use crate::dispatch::scheduler::Work;
 use crate::view::View;
 
 /// An endpoint chosen for a call.
@@ -32,7 +32,7 @@
 pub(super) fn pick(
     core: &Core,
     view: &View,
-    standings: &[Standing],
+    states: &[EndpointState],
     work: &Work,
     now: Millis,
 ) -> Option<Picked> {
@@ -40,15 +40,15 @@
     let mut names: Vec<&Endpoint> = Vec::with_capacity(endpoints.len());
     let mut candidates = Vec::with_capacity(endpoints.len());
     for endpoint in endpoints {
-        let found = standings.binary_search_by(|s| s.endpoint.cmp(&endpoint.name));
+        let found = states.binary_search_by(|s| s.endpoint.cmp(&endpoint.name));
         let Ok(at) = found else { continue };
-        if work.content == Content::Suspect && standings[at].has_suspect() {
+        if work.content == Content::Suspect && states[at].has_suspect() {
             continue;
         }
         let held = work.held.iter().find(|(name, _)| *name == endpoint.name);
         let cached = held.map_or(0, |(_, tokens)| *tokens);
         let load = view.load(&endpoint.name);
-        if let Some(candidate) = standings[at].candidate(endpoint, load, cached, now) {
+        if let Some(candidate) = states[at].candidate(endpoint, load, cached, now) {
             names.push(endpoint);
             candidates.push(candidate);
         }
@@ -64,7 +64,7 @@
         cache: core.settings.weights.cache,
     };
     let call = place::Call {
-        class: standing::class(work.class),
+        class: endpoint_state::class(work.class),
         prompt: work.prompt,
         output: work.output,
         salt: rand::random(),
--- a/crates/node/src/dispatch/sweep.rs
+++ b/crates/node/src/dispatch/ejection.rs
@@ -10,19 +10,19 @@
 use wire::id;
 
 use crate::core::Core;
-use crate::dispatch::standing::Standing;
+use crate::dispatch::endpoint_state::EndpointState;
 
 /// Ejects and takes back endpoints; to be called about once a second.
 pub fn sweep(core: &Arc<Core>) {
     let now = core.clock.now();
     let view = core.view();
-    let mut state = core.desk.lock();
+    let mut state = core.scheduler.lock();
     state.drain.roll(now);
     state.sync(&view, now);
-    let known = |s: &Standing| view.config.endpoint(s.endpoint.as_str()).is_some();
-    state.standings.retain(|s| known(s) || s.running() > 0);
+    let known = |s: &EndpointState| view.config.endpoint(s.endpoint.as_str()).is_some();
+    state.endpoints.retain(|s| known(s) || s.running() > 0);
     for pool in pools(&view.config) {
-        sweep_pool(&mut state.standings, &pool, now);
+        sweep_pool(&mut state.endpoints, &pool, now);
     }
 }
 
@@ -39,13 +39,13 @@
     names.into_iter().map(members).collect()
 }
 
-fn sweep_pool(standings: &mut [Standing], pool: &[&id::Endpoint], now: Millis) {
-    let find = |name: &&id::Endpoint| standings.binary_search_by(|s| s.endpoint.cmp(name)).ok();
+fn sweep_pool(endpoints: &mut [EndpointState], pool: &[&id::Endpoint], now: Millis) {
+    let find = |name: &&id::Endpoint| endpoints.binary_search_by(|s| s.endpoint.cmp(name)).ok();
     let places: Vec<usize> = pool.iter().filter_map(find).collect();
     let mut detectors: Vec<eject::Detector> =
-        places.iter().map(|at| standings[*at].detector).collect();
+        places.iter().map(|at| endpoints[*at].detector).collect();
     for change in eject::sweep(&mut detectors, now) {
-        let endpoint = &standings[places[change.index]].endpoint;
+        let endpoint = &endpoints[places[change.index]].endpoint;
         match change.kind {
             eject::Kind::Back => log::info!("{} endpoint={endpoint}", Event::EndpointRestored),
             fault => log::warn!(
@@ -55,6 +55,6 @@
         }
     }
     for (at, detector) in places.into_iter().zip(detectors) {
-        standings[at].detector = detector;
+        endpoints[at].detector = detector;
     }
 }
--- a/crates/node/src/dispatch/standing.rs
+++ b/crates/node/src/dispatch/endpoint_state.rs
@@ -38,7 +38,7 @@
 
 /// What this VM knows of one endpoint.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct EndpointState {
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// What its calls have shown.
@@ -57,8 +57,8 @@
     suspects: u32,
 }
 
-impl Standing {
-    /// Begins to keep an endpoint's standing.
+impl EndpointState {
+    /// Begins to keep an endpoint's state.
     #[must_use]
     pub fn new(endpoint: id::Endpoint, since: Millis) -> Self {
         Self {
--- a/crates/node/src/dispatch/standing/tests.rs
+++ b/crates/node/src/dispatch/endpoint_state/tests.rs
@@ -18,14 +18,14 @@
 /// seen with each change of the view, must not count again.
 #[test]
 fn one_slow_report_hardly_moves_the_speed() {
-    let mut standing = Standing::new(id::Endpoint::parse("fast").unwrap(), Millis::ZERO);
-    standing.report(&load(90.0, 1));
+    let mut state = EndpointState::new(id::Endpoint::parse("fast").unwrap(), Millis::ZERO);
+    state.report(&load(90.0, 1));
     for _ in 0..20 {
-        standing.report(&load(60.0, 2));
+        state.report(&load(60.0, 2));
     }
-    assert!(standing.speed > 80.0, "{}", standing.speed);
+    assert!(state.speed > 80.0, "{}", state.speed);
     for at in 3..60 {
-        standing.report(&load(60.0, at));
+        state.report(&load(60.0, at));
     }
-    assert!(standing.speed < 61.0, "{}", standing.speed);
+    assert!(state.speed < 61.0, "{}", state.speed);
 }
--- a/crates/node/src/dispatch/desk.rs
+++ b/crates/node/src/dispatch/scheduler.rs
@@ -29,9 +29,9 @@
 use crate::core::Core;
 use crate::dispatch::choose::Picked;
 use crate::dispatch::choose::pick;
-use crate::dispatch::standing;
-use crate::dispatch::standing::Content;
-use crate::dispatch::standing::Standing;
+use crate::dispatch::endpoint_state;
+use crate::dispatch::endpoint_state::Content;
+use crate::dispatch::endpoint_state::EndpointState;
 use crate::view::View;
 
 /// The part of the queue that only urgent calls may take: one in this many places.
@@ -87,15 +87,15 @@
 }
 
 /// Gives out the endpoints' slots.
-pub struct Desk(Mutex<State>);
+pub struct Scheduler(Mutex<State>);
 
 pub(super) struct State {
-    pub(super) standings: Vec<Standing>,
+    pub(super) endpoints: Vec<EndpointState>,
     queue: Queue<Waiter>,
     pub(super) drain: DrainRate,
     retries: retry::Budget,
     born: Millis,
-    /// The view that the standings follow.
+    /// The view that the endpoints follow.
     synced: Arc<View>,
 }
 
@@ -104,8 +104,8 @@
     slot: oneshot::Sender<Result<Slot>>,
 }
 
-impl Desk {
-    /// Makes a desk for a VM.
+impl Scheduler {
+    /// Makes a scheduler for a VM.
     #[must_use]
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let all = settings.limits.queue;
@@ -114,7 +114,7 @@
             reserved: all / URGENT_PART,
         };
         Self(Mutex::new(State {
-            standings: Vec::new(),
+            endpoints: Vec::new(),
             queue: Queue::new(limits),
             drain: DrainRate::default(),
             retries: retry::Budget::new(now),
@@ -137,8 +137,8 @@
     /// Gives an endpoint nothing until then.
     pub fn pause(&self, endpoint: &id::Endpoint, now: Millis, span: Millis) {
         let mut state = self.lock();
-        let at = state.standing(endpoint, now);
-        state.standings[at].pause(now.plus(span));
+        let at = state.find_or_insert(endpoint, now);
+        state.endpoints[at].pause(now.plus(span));
     }
 
     /// Yields how many calls wait.
@@ -158,7 +158,7 @@
 ///
 /// Refuses, always with `ran: no`, where no endpoint may take the call, the load is too high, or
 /// the call has waited for too long.
-pub async fn place(core: &Arc<Core>, work: Work) -> Result<Slot> {
+pub async fn acquire(core: &Arc<Core>, work: Work) -> Result<Slot> {
     let arrived = core.clock.now();
     let waited = enter(core, work, arrived)?;
     let slot = match waited {
@@ -174,13 +174,13 @@
 
 /// Gives free slots to the calls that wait, and gives up those whose time is over, as well as all
 /// that a VM which stops has no time for.
-pub fn pump(core: &Arc<Core>) {
+pub fn assign_slots(core: &Arc<Core>) {
     let now = core.clock.now();
     let view = core.view();
-    let mut state = core.desk.lock();
+    let mut state = core.scheduler.lock();
     state.sync(&view, now);
     let State {
-        standings,
+        endpoints,
         queue,
         drain,
         ..
@@ -195,13 +195,13 @@
         ready.push((entry.item, Err(refusal)));
     }
     loop {
-        for standing in standings.iter_mut() {
-            standing.claimed = 0;
+        for endpoint in endpoints.iter_mut() {
+            endpoint.claimed = 0;
         }
         let mut chosen = None;
         let popped = queue.pop_where(|entry| {
-            let picked = pick(core, &view, standings, &entry.item.work, now);
-            claim(standings, picked.as_ref());
+            let picked = pick(core, &view, endpoints, &entry.item.work, now);
+            claim(endpoints, picked.as_ref());
             chosen = picked.filter(Picked::can_start);
             chosen.is_some()
         });
@@ -209,7 +209,7 @@
             break;
         };
         drain.count(now, queue.len());
-        let slot = begin(core, standings, &entry.item.work, picked, now);
+        let slot = begin(core, endpoints, &entry.item.work, picked, now);
         ready.push((entry.item, Ok(slot)));
     }
     drop(state);
@@ -240,21 +240,21 @@
         return Err(shutting_down());
     }
     let view = core.view();
-    let class = standing::class(work.class);
-    let mut state = core.desk.lock();
+    let class = endpoint_state::class(work.class);
+    let mut state = core.scheduler.lock();
     state.sync(&view, now);
-    let picked = pick(core, &view, &state.standings, &work, now);
+    let picked = pick(core, &view, &state.endpoints, &work, now);
     if picked.is_none() && work.tries == 0 {
         let refusal = Refusal::new(Code::NoEndpoint, &work.serves);
-        return Err(refusal.retry_after(standing::PAUSE));
+        return Err(refusal.retry_after(endpoint_state::PAUSE));
     }
     let first = state.queue.waiting(class) == 0;
-    claim(&mut state.standings, picked.as_ref());
+    claim(&mut state.endpoints, picked.as_ref());
     if let Some(picked) = picked
         && picked.can_start()
         && first
     {
-        let slot = begin(core, &mut state.standings, &work, picked, now);
+        let slot = begin(core, &mut state.endpoints, &work, picked, now);
         return Ok(Entered::Placed(slot));
     }
     if work.tries == 0 {
@@ -274,7 +274,7 @@
 }
 
 fn admit(state: &State, work: &Work, now: Millis) -> Result<()> {
-    let class = standing::class(work.class);
+    let class = endpoint_state::class(work.class);
     let call = admit::Call {
         class,
         stage: match work.turn {
@@ -294,7 +294,7 @@
     now: Millis,
     limit: Millis,
 ) -> Entry<Waiter> {
-    let class = standing::class(work.class);
+    let class = endpoint_state::class(work.class);
     let run = expected(&work);
     Entry {
         class,
@@ -314,20 +314,20 @@
 
 /// Counts a call that will wait for the endpoint that it prefers, so that those behind it don't
 /// reckon with the same slot.
-fn claim(standings: &mut [Standing], picked: Option<&Picked>) {
+fn claim(endpoints: &mut [EndpointState], picked: Option<&Picked>) {
     let Some(picked) = picked.filter(|picked| !picked.can_start()) else {
         return;
     };
     let name = &picked.endpoint.name;
-    if let Ok(at) = standings.binary_search_by(|s| s.endpoint.cmp(name)) {
-        standings[at].claimed += 1;
+    if let Ok(at) = endpoints.binary_search_by(|s| s.endpoint.cmp(name)) {
+        endpoints[at].claimed += 1;
     }
 }
 
 /// Gives a call its slot.
 fn begin(
     core: &Arc<Core>,
-    standings: &mut [Standing],
+    endpoints: &mut [EndpointState],
     work: &Work,
     picked: Picked,
     now: Millis,
@@ -337,8 +337,8 @@
     } = picked;
     core.trace
         .note(now, Event::CallPlaced, &work.program, work.turn, &detail);
-    if let Ok(at) = standings.binary_search_by(|s| s.endpoint.cmp(&endpoint.name)) {
-        standings[at].begin(now, work.content);
+    if let Ok(at) = endpoints.binary_search_by(|s| s.endpoint.cmp(&endpoint.name)) {
+        endpoints[at].begin(now, work.content);
     }
     Slot {
         endpoint,
@@ -365,13 +365,13 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let now = self.core.clock.now();
-        let mut state = self.core.desk.lock();
-        let at = state.standing(&self.endpoint.name, now);
-        state.standings[at].end(self.began, now, self.content, self.sample);
+        let mut state = self.core.scheduler.lock();
+        let at = state.find_or_insert(&self.endpoint.name, now);
+        state.endpoints[at].end(self.began, now, self.content, self.sample);
         let idle = state.queue.is_empty();
         drop(state);
         if !idle {
-            pump(&self.core);
+            assign_slots(&self.core);
         }
     }
 }
@@ -384,24 +384,24 @@
         }
         self.synced = view.clone();
         for endpoint in &view.config.endpoints {
-            let at = self.standing(&endpoint.name, now);
+            let at = self.find_or_insert(&endpoint.name, now);
             if let Some(load) = view.load(&endpoint.name) {
-                self.standings[at].report(load);
+                self.endpoints[at].report(load);
             }
         }
     }
 
-    /// Finds the standing of an endpoint, or begins to keep it.
-    fn standing(&mut self, endpoint: &id::Endpoint, now: Millis) -> usize {
+    /// Finds the state of an endpoint, or begins to keep it.
+    fn find_or_insert(&mut self, endpoint: &id::Endpoint, now: Millis) -> usize {
         let found = self
-            .standings
+            .endpoints
             .binary_search_by(|s| s.endpoint.cmp(endpoint));
         found.unwrap_or_else(|at| {
             // At the VM's own start all endpoints are new to it, and none is to the others.
             let starting = now.since(self.born) < slow_start::DURATION;
             let since = if starting { Millis::ZERO } else { now };
-            self.standings
-                .insert(at, Standing::new(endpoint.clone(), since));
+            self.endpoints
+                .insert(at, EndpointState::new(endpoint.clone(), since));
             at
         })
     }
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -226,7 +226,7 @@
 fn own(core: &Core, program: &id::Program) -> Told {
     Told {
         vm: core.settings.vm.name.clone(),
-        decisions: core.trace.of(program),
+        decisions: core.trace.decisions(program),
     }
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -7,12 +7,12 @@
 pub mod call;
 mod decide;
 pub mod feed;
-pub mod keep;
+pub mod last_endpoint;
+pub mod maintenance;
 pub mod message;
 pub mod pending;
 pub mod poison;
 pub mod registry;
-pub mod seat;
 pub mod shard;
 pub mod turn;
 pub mod work;
--- a/crates/node/src/owner/call.rs
+++ b/crates/node/src/owner/call.rs
@@ -23,12 +23,12 @@
 use wire::id;
 
 use crate::core::Core;
-use crate::dispatch::desk;
-use crate::dispatch::desk::Slot;
-use crate::dispatch::desk::Work;
+use crate::dispatch::endpoint_state;
+use crate::dispatch::scheduler;
+use crate::dispatch::scheduler::Slot;
+use crate::dispatch::scheduler::Work;
 use crate::dispatch::service;
 use crate::dispatch::service::End;
-use crate::dispatch::standing;
 use crate::owner::feed::Feed;
 use crate::owner::feed::Sink;
 use crate::owner::message;
@@ -173,7 +173,7 @@
     async fn drive_once(&self, key: &id::Key) -> Result<Reply> {
         let mut work = self.work.clone();
         loop {
-            let mut slot = desk::place(&self.core, work.clone()).await?;
+            let mut slot = scheduler::acquire(&self.core, work.clone()).await?;
             let attempt = id::Attempt(rand::random());
             self.intend(key, attempt).await?;
             let end = self.send(&mut slot, attempt).await;
@@ -205,7 +205,7 @@
         let mut work = self.work.clone();
         let mut ran = Ran::No;
         loop {
-            let placed = desk::place(&self.core, work.clone()).await;
+            let placed = scheduler::acquire(&self.core, work.clone()).await;
             let mut slot = placed.map_err(|refusal| refusal.ran(ran))?;
             let attempt = id::Attempt(rand::random());
             let end = self.send(&mut slot, attempt).await;
@@ -279,13 +279,13 @@
                 slot.note(Sample::Done {
                     pace: turn::pace(elapsed, EXPECTED),
                 });
-                self.core.desk.succeed();
+                self.core.scheduler.succeed();
             }
             End::NotRun { .. } => {
                 let now = self.core.clock.now();
                 self.core
-                    .desk
-                    .pause(&slot.endpoint.name, now, standing::PAUSE);
+                    .scheduler
+                    .pause(&slot.endpoint.name, now, endpoint_state::PAUSE);
             }
             End::Unknown { .. } => slot.note(Sample::Failed),
         }
@@ -304,12 +304,13 @@
         work.tries += 1;
         work.avoid.push(endpoint.clone());
         let failure = Failure {
-            class: standing::class(work.class),
+            class: endpoint_state::class(work.class),
             repeat,
             ran,
             tries: work.tries,
         };
-        let Verdict::Again { after } = self.core.desk.retry(&failure, self.core.clock.now()) else {
+        let Verdict::Again { after } = self.core.scheduler.retry(&failure, self.core.clock.now())
+        else {
             return Err(Refusal::new(Code::EndpointFailed, detail).ran(ran));
         };
         let text = format!("tries={} reason={detail:?}", work.tries);
--- a/crates/node/src/owner/decide.rs
+++ b/crates/node/src/owner/decide.rs
@@ -108,7 +108,7 @@
             now: self.core.clock.now(),
         };
         let record = decision::commit(&self.state, gate)?.ok_or_else(superseded)?;
-        self.seats.set(&commit.program, &commit.endpoint);
+        self.last_endpoints.set(&commit.program, &commit.endpoint);
         Ok(self.decide(turn, [record]))
     }
 
--- a/crates/node/src/owner/seat.rs
+++ b/crates/node/src/owner/last_endpoint.rs
@@ -5,9 +5,9 @@
 
 /// Where each program ran last, sorted by program.
 #[derive(Debug, Default)]
-pub struct Seats(Vec<(id::Program, id::Endpoint)>);
+pub struct LastEndpoints(Vec<(id::Program, id::Endpoint)>);
 
-impl Seats {
+impl LastEndpoints {
     /// Looks up where a program ran last.
     #[must_use]
     pub fn find(&self, program: &id::Program) -> Option<&id::Endpoint> {
--- a/crates/node/src/owner/keep.rs
+++ b/crates/node/src/owner/maintenance.rs
@@ -68,7 +68,7 @@
     let _durable = owner.apply(records);
     let state = &owner.state;
     owner
-        .seats
+        .last_endpoints
         .retain(|p| state.program(p).is_some_and(|p| p.ended.is_none()));
 }
 
--- a/crates/node/src/owner/registry.rs
+++ b/crates/node/src/owner/registry.rs
@@ -143,7 +143,7 @@
     }
 
     /// Steps down for a newer owner of a shard, and yields what may not be in its journal yet.
-    pub async fn surrender(&self, shard: &id::Shard, epoch: u64) -> Vec<Batch> {
+    pub async fn step_down(&self, shard: &id::Shard, epoch: u64) -> Vec<Batch> {
         let Some(entry) = self.entry(shard).filter(|entry| entry.epoch < epoch) else {
             return Vec::new();
         };
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -31,11 +31,12 @@
 use wire::id;
 
 use crate::core::Core;
-use crate::dispatch::desk::Work;
+use crate::dispatch::scheduler::Work;
 use crate::owner::call;
 use crate::owner::feed::Feed;
 use crate::owner::feed::Sink;
-use crate::owner::keep;
+use crate::owner::last_endpoint::LastEndpoints;
+use crate::owner::maintenance;
 use crate::owner::message;
 use crate::owner::message::Answer;
 use crate::owner::message::Decided;
@@ -43,7 +44,6 @@
 use crate::owner::pending;
 use crate::owner::pending::Name;
 use crate::owner::pending::Pending;
-use crate::owner::seat::Seats;
 use crate::owner::turn;
 
 /// Tokens reserved for a turn whose caller names no limit: what a long answer takes. The rest of
@@ -77,7 +77,7 @@
     pub(super) log: Log,
     pub(super) myself: ActorRef<Message>,
     pub(super) pending: pending::List,
-    pub(super) seats: Seats,
+    pub(super) last_endpoints: LastEndpoints,
     /// Whether the shard takes nothing new any more; it never does again once it was told so, or
     /// what comes between its last look and its end would be lost on the way.
     draining: bool,
@@ -101,7 +101,7 @@
             log: arguments.log,
             myself,
             pending: pending::List::default(),
-            seats: Seats::default(),
+            last_endpoints: LastEndpoints::default(),
             draining: false,
             drained: Vec::new(),
         })
@@ -132,14 +132,14 @@
             }
             Message::Over(name) => owner.over(&name),
             Message::Gone(programs, answer) => {
-                let _asker_left = answer.send(keep::gone(owner, programs));
+                let _asker_left = answer.send(maintenance::gone(owner, programs));
             }
-            Message::Sweep(endpoint, programs) => keep::sweep(owner, &endpoint, programs),
+            Message::Sweep(endpoint, programs) => maintenance::sweep(owner, &endpoint, programs),
             Message::Released(program, endpoint) => {
                 let record = decision::cache_released(&owner.state, &program, &endpoint);
                 owner.apply(record.into_iter().collect());
             }
-            Message::Tick => keep::tick(owner),
+            Message::Tick => maintenance::tick(owner),
             Message::Drain(done) => owner.drain(done),
             Message::Close => myself.stop(None),
             Message::Lost => {
@@ -330,7 +330,7 @@
         });
         work.turn = turn;
         if let Some(program) = self.state.program(&ask.program) {
-            turn::remember(&mut work, program, self.seats.find(&ask.program));
+            turn::remember(&mut work, program, self.last_endpoints.find(&ask.program));
         }
         let task = turn::Task {
             core: self.core.clone(),
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -27,13 +27,13 @@
 
 use crate::core::Core;
 use crate::dispatch::collect::Partial;
-use crate::dispatch::desk;
-use crate::dispatch::desk::Slot;
-use crate::dispatch::desk::Work;
+use crate::dispatch::endpoint_state;
+use crate::dispatch::endpoint_state::Content;
 use crate::dispatch::runner;
 use crate::dispatch::runner::End;
-use crate::dispatch::standing;
-use crate::dispatch::standing::Content;
+use crate::dispatch::scheduler;
+use crate::dispatch::scheduler::Slot;
+use crate::dispatch::scheduler::Work;
 use crate::owner::feed::Feed;
 use crate::owner::message;
 use crate::owner::message::Answer;
@@ -143,7 +143,7 @@
 
     /// Gets a slot and makes the turn's start durable.
     async fn begin(&self, work: &Work) -> Result<(Attempt, Vec<chat::Message>)> {
-        let slot = desk::place(&self.core, work.clone()).await?;
+        let slot = scheduler::acquire(&self.core, work.clone()).await?;
         let id = id::Attempt(rand::random());
         let begin = message::Begin {
             program: work.program.clone(),
@@ -198,7 +198,7 @@
         attempt.slot.note(Sample::Done {
             pace: pace(elapsed, used),
         });
-        self.core.desk.succeed();
+        self.core.scheduler.succeed();
         let endpoint = attempt.slot.endpoint.name.clone();
         // The slot is free for others while the commit becomes durable.
         drop(attempt.slot);
@@ -225,13 +225,13 @@
         Ok(Reply::Done { turn, answer })
     }
 
-    /// Tells the desk what the failure showed of the endpoint.
+    /// Tells the scheduler what the failure showed of the endpoint.
     fn note(&self, attempt: &mut Attempt, failed: &Failed) {
         let endpoint = &attempt.slot.endpoint.name;
         let now = self.core.clock.now();
-        let pause = failed.refusal.retry_after.unwrap_or(standing::PAUSE);
+        let pause = failed.refusal.retry_after.unwrap_or(endpoint_state::PAUSE);
         if failed.crashed || failed.used == Some(0) {
-            self.core.desk.pause(endpoint, now, pause);
+            self.core.scheduler.pause(endpoint, now, pause);
         }
         if failed.refusal.code == Code::EndpointFailed {
             attempt.slot.note(Sample::Failed);
@@ -272,7 +272,7 @@
             .trace
             .note(now, Event::CallRetried, &work.program, self.turn, &detail);
         tokio::time::sleep(after.as_duration()).await;
-        let slot = match desk::place(&self.core, work.clone()).await {
+        let slot = match scheduler::acquire(&self.core, work.clone()).await {
             Ok(slot) => slot,
             Err(refusal) => {
                 self.stop(old, failed.used).await?;
@@ -321,12 +321,12 @@
             return Verdict::Final;
         }
         let failure = Failure {
-            class: standing::class(work.class),
+            class: endpoint_state::class(work.class),
             repeat: Repeat::Safe,
             ran: failed.refusal.ran,
             tries: work.tries,
         };
-        self.core.desk.retry(&failure, self.core.clock.now())
+        self.core.scheduler.retry(&failure, self.core.clock.now())
     }
 
     async fn blame(&self, endpoint: &id::Endpoint) -> Result<bool> {
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -4,8 +4,8 @@
 use wire::ask::Ask;
 
 use crate::core::Core;
-use crate::dispatch::desk::Work;
-use crate::dispatch::standing::Content;
+use crate::dispatch::endpoint_state::Content;
+use crate::dispatch::scheduler::Work;
 use crate::filters::authenticate;
 use crate::owner::turn::Result;
 
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -25,9 +25,9 @@
 use crate::controllers;
 use crate::controllers::Control;
 use crate::core::Core;
-use crate::dispatch::desk;
-use crate::dispatch::desk::Desk;
-use crate::dispatch::sweep;
+use crate::dispatch::ejection;
+use crate::dispatch::scheduler;
+use crate::dispatch::scheduler::Scheduler;
 use crate::filters;
 use crate::http::client::Client;
 use crate::http::listen;
@@ -139,7 +139,7 @@
         limits.receive,
     );
     let core = Arc::new(Core {
-        desk: Desk::new(&settings, clock.now()),
+        scheduler: Scheduler::new(&settings, clock.now()),
         poison: Poison::default(),
         metrics: Metrics::default(),
         trace: Trace::default(),
@@ -262,11 +262,11 @@
             _changed = news.changed() => {}
             () = core.stopped.cancelled() => return,
         }
-        desk::pump(&core);
+        scheduler::assign_slots(&core);
         pumps += 1;
         if pumps >= SWEEP {
             pumps = 0;
-            sweep::sweep(&core);
+            ejection::sweep(&core);
             core.registry.tick();
         }
     }
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -61,7 +61,7 @@
 
     /// Lists what is kept of a program, the earliest first.
     #[must_use]
-    pub fn of(&self, program: &id::Program) -> Vec<Decision> {
+    pub fn decisions(&self, program: &id::Program) -> Vec<Decision> {
         let decisions = self.lock();
         decisions
             .iter()
--- a/crates/node/src/trace/tests.rs
+++ b/crates/node/src/trace/tests.rs
@@ -17,8 +17,8 @@
         1,
         "choice=fast",
     );
-    assert_eq!(trace.of(&program("b"))[0].detail, "choice=fast");
-    let kept = trace.of(&program("a"));
+    assert_eq!(trace.decisions(&program("b"))[0].detail, "choice=fast");
+    let kept = trace.decisions(&program("a"));
     assert_eq!((kept.len(), kept[0].turn), (DEPTH - 1, 1));
 }
 
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -140,7 +140,7 @@
         (answer, asked.elapsed())
     };
     let asked: Vec<_> = (0..SLOTS).map(|_| tokio::spawn(read())).collect();
-    while fleet.node.core().desk.waiting() == 0 {
+    while fleet.node.core().scheduler.waiting() == 0 {
         tokio::task::yield_now().await;
     }
     let shutdown = tokio::spawn(fleet.node.shutdown());
@@ -168,10 +168,10 @@
     let callers = fleet.callers;
     let read = move || async move { client::ask(callers, READ, &[], &json!({})).await };
     let asked: Vec<_> = (0..SLOTS).map(|_| tokio::spawn(read())).collect();
-    while fleet.node.core().desk.waiting() == 0 {
+    while fleet.node.core().scheduler.waiting() == 0 {
         tokio::task::yield_now().await;
     }
-    let sent = SLOTS - fleet.node.core().desk.waiting();
+    let sent = SLOTS - fleet.node.core().scheduler.waiting();
     let ended = timeout(GRACE, fleet.node.shutdown()).await;
     assert!(ended.is_ok(), "longer than the grace");
     let mut ran = Vec::new();
@@ -200,7 +200,7 @@
         client::ask(callers, READ, &headers, &json!({})).await
     };
     let asked: Vec<_> = (0..SLOTS).map(|_| tokio::spawn(read())).collect();
-    while core.desk.waiting() == 0 {
+    while core.scheduler.waiting() == 0 {
         tokio::task::yield_now().await;
     }
     let last = core.clock.now().plus(Millis::new(570));
