--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,4 +1,4 @@
-//! What every part of one node shares.
+//! The state that all parts of a node share.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -21,59 +21,59 @@
 use crate::trace::Trace;
 use crate::view::View;
 
-/// What every part of one node shares. Several nodes may live in one process, so nothing of it is
-/// global.
+/// The state that all parts of a node share. None of it is global, because one process may contain
+/// several nodes.
 pub struct Core {
     /// The VM's settings.
     pub settings: Settings,
-    /// The time.
+    /// The clock.
     pub clock: Clock,
     /// The platform.
     pub platform: Arc<dyn Platform>,
-    /// What this VM knows of the deployment; only controllers write it.
+    /// What this VM knows about the deployment; only controllers write it.
     pub view: watch::Sender<Arc<View>>,
     /// The shards that this VM owns.
     pub registry: Registry,
-    /// What the controllers share.
+    /// The state that the controllers share.
     pub control: Control,
-    /// Gives out the endpoints' slots.
+    /// Assigns the endpoints' slots.
     pub scheduler: Scheduler,
-    /// Contents that are refused for good.
+    /// Contents that are refused permanently.
     pub poison: Poison,
-    /// Counts and latencies.
+    /// Counters and latencies.
     pub metrics: Metrics,
-    /// The latest decisions.
+    /// The latest routing and placement decisions.
     pub trace: Trace,
     /// Connections to VMs and endpoints.
     pub client: Client,
     /// The callers' listener.
     pub door: Arc<Door>,
-    /// The work for requests: callers' connections and every task that an answer or a record waits
-    /// for.
+    /// The tasks that serve requests: callers' connections, and every task that an answer or a record
+    /// waits for.
     pub work: TaskTracker,
     /// Every other task that must end before the node has stopped.
     pub tasks: TaskTracker,
-    /// The plan of the node's stop, from its begin on.
+    /// The plan of the node's stop; set when the stop begins.
     pub stop: OnceLock<Stop>,
-    /// Set when the node begins to shut down.
+    /// Cancelled when the node begins to stop.
     pub stopping: CancellationToken,
-    /// Set when the shards are given up: the callers' listener closes, and its connections with
-    /// their last answer.
+    /// Cancelled when the shards are released: the callers' listener closes, and each of its
+    /// connections closes after its last answer.
     pub closing: CancellationToken,
-    /// Set when the time for what runs is over: who still waits is told so.
+    /// Cancelled when the time for running requests is over: callers that still wait are told so.
     pub expired: CancellationToken,
-    /// Set when no work is left: the other listeners close, and every controller may end.
+    /// Cancelled when no request is left: the other listeners close, and every controller may end.
     pub stopped: CancellationToken,
 }
 
 impl Core {
-    /// Yields the deployment as this VM sees it now.
+    /// Returns the deployment as this VM sees it now.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Changes the view and tells every reader.
+    /// Changes the view and notifies every reader.
     pub fn update(&self, change: impl FnOnce(&mut View)) {
         self.view.send_modify(|view| change(Arc::make_mut(view)));
     }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Runs calls at endpoints: chooses one within the limits of each, speaks its protocol, and tells
-//! exactly what became of the call.
+//! Runs calls at endpoints: chooses an endpoint within the endpoints' limits, speaks its protocol,
+//! and reports exactly what is known about the call's outcome.
 
 mod choose;
 pub mod collect;
--- a/crates/node/src/dispatch/choose.rs
+++ b/crates/node/src/dispatch/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses an endpoint for one call: the endpoints that the selectors allow, as candidates of
+//! Chooses an endpoint for one call. The endpoints that the selectors allow are the candidates of
 //! [`policy::place`].
 
 use policy::place;
@@ -15,28 +15,28 @@
 use crate::view::View;
 
 /// An endpoint chosen for a call.
-pub(super) struct Picked {
+pub(super) struct Placement {
     pub(super) endpoint: Endpoint,
     pub(super) choice: Choice,
-    /// The decision for the log, where the call can start.
+    /// The decision as text for the log; empty if the call can't start now.
     pub(super) detail: String,
 }
 
-impl Picked {
+impl Placement {
     pub(super) fn can_start(&self) -> bool {
         self.choice.start == Start::Now
     }
 }
 
-/// Chooses an endpoint for a call as things stand; logs the decision where the call can start.
-pub(super) fn pick(
+/// Chooses an endpoint for a call. Returns `None` if no endpoint may take the call.
+pub(super) fn choose(
     core: &Core,
     view: &View,
     states: &[EndpointState],
     work: &Work,
     now: Millis,
-) -> Option<Picked> {
-    let endpoints = usable(core, view, work);
+) -> Option<Placement> {
+    let endpoints = allowed_endpoints(core, view, work);
     let mut names: Vec<&Endpoint> = Vec::with_capacity(endpoints.len());
     let mut candidates = Vec::with_capacity(endpoints.len());
     for endpoint in endpoints {
@@ -45,17 +45,18 @@
         if work.content == Content::Suspect && states[at].has_suspect() {
             continue;
         }
-        let held = work.held.iter().find(|(name, _)| *name == endpoint.name);
-        let cached = held.map_or(0, |(_, tokens)| *tokens);
+        let cached_at = work.held.iter().find(|(name, _)| *name == endpoint.name);
+        let cached = cached_at.map_or(0, |(_, tokens)| *tokens);
         let load = view.load(&endpoint.name);
         if let Some(candidate) = states[at].candidate(endpoint, load, cached, now) {
             names.push(endpoint);
             candidates.push(candidate);
         }
     }
-    // One that fails everything is idle and reports the highest speed; it mustn't become the lane.
-    let whole = |c: &place::Candidate| if c.share < 1.0 { 0.0 } else { c.speed };
-    let speeds: Vec<f64> = candidates.iter().map(whole).collect();
+    // An endpoint that fails every call is idle and reports the highest speed. It counts with speed 0
+    // so that it doesn't become the lane for urgent calls.
+    let lane_speed = |c: &place::Candidate| if c.share < 1.0 { 0.0 } else { c.speed };
+    let speeds: Vec<f64> = candidates.iter().map(lane_speed).collect();
     for (candidate, lane) in candidates.iter_mut().zip(place::lanes(&speeds)) {
         candidate.lane = lane;
     }
@@ -64,7 +65,7 @@
         cache: core.settings.weights.cache,
     };
     let call = place::Call {
-        class: endpoint_state::class(work.class),
+        class: endpoint_state::policy_class(work.class),
         prompt: work.prompt,
         output: work.output,
         salt: rand::random(),
@@ -72,18 +73,18 @@
     let choice = place::choose(&candidates, &call, &weights)?;
     let endpoint = names[choice.index];
     let detail = match choice.start {
-        Start::Now => reason(endpoint, &choice, &names),
+        Start::Now => describe(endpoint, &choice, &names),
         Start::Later => String::new(),
     };
-    Some(Picked {
+    Some(Placement {
         endpoint: endpoint.clone(),
         choice,
         detail,
     })
 }
 
-/// Renders a decision for the log.
-fn reason(endpoint: &Endpoint, choice: &Choice, names: &[&Endpoint]) -> String {
+/// Formats a decision for the log.
+fn describe(endpoint: &Endpoint, choice: &Choice, names: &[&Endpoint]) -> String {
     let names: Vec<&str> = names.iter().map(|e| e.name.as_str()).collect();
     format!(
         "choice={} reason=\"cost={:.0} wait={:.0} miss={:.0} run={:.0} next={:.0}\" candidates={}",
@@ -97,22 +98,22 @@
     )
 }
 
-/// Lists the endpoints that the selectors allow now: those of this data centre, or where it has
-/// none, all; without the ones that failed the call, unless there are no others.
-fn usable<'a>(core: &Core, view: &'a View, work: &Work) -> Vec<&'a Endpoint> {
+/// Returns the endpoints that the selectors allow: only those of this data centre if there are any,
+/// and without those that failed the call if others remain.
+fn allowed_endpoints<'a>(core: &Core, view: &'a View, work: &Work) -> Vec<&'a Endpoint> {
     let caller = view.config.caller(work.caller.as_str());
     let grant = caller.and_then(|caller| {
         let config = &view.config;
         config.grant(caller, &work.program, work.kind, &work.serves)
     });
     let mut endpoints = grant.map(|grant| grant.endpoints).unwrap_or_default();
-    let near = |e: &&Endpoint| e.centre == core.settings.vm.centre;
-    if endpoints.iter().any(near) {
-        endpoints.retain(near);
+    let is_local = |e: &&Endpoint| e.centre == core.settings.vm.centre;
+    if endpoints.iter().any(is_local) {
+        endpoints.retain(is_local);
     }
-    let fresh = |e: &&Endpoint| !work.avoid.contains(&e.name);
-    if endpoints.iter().any(fresh) {
-        endpoints.retain(fresh);
+    let is_untried = |e: &&Endpoint| !work.avoid.contains(&e.name);
+    if endpoints.iter().any(is_untried) {
+        endpoints.retain(is_untried);
     }
     endpoints
 }
--- a/crates/node/src/dispatch/collect/tests.rs
+++ b/crates/node/src/dispatch/collect/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn text_and_tool_calls_come_together() {
+fn text_and_tool_calls_are_assembled() {
     let mut partial = Partial::default();
     for delta in [
         json!({"role": "assistant", "content": "He"}),
--- a/crates/node/src/dispatch/ejection.rs
+++ b/crates/node/src/dispatch/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejects endpoints that fail or are slow, and takes them back, by [`policy::eject`].
+//! Ejects endpoints that fail or are slow, and restores them, according to [`policy::eject`].
 
 use std::sync::Arc;
 
@@ -12,40 +12,42 @@
 use crate::core::Core;
 use crate::dispatch::endpoint_state::EndpointState;
 
-/// Ejects and takes back endpoints; to be called about once a second.
+/// Ejects and restores endpoints. Called about once a second.
 pub fn sweep(core: &Arc<Core>) {
     let now = core.clock.now();
     let view = core.view();
     let mut state = core.scheduler.lock();
-    state.drain.roll(now);
+    state.drain_rate.roll(now);
     state.sync(&view, now);
-    let known = |s: &EndpointState| view.config.endpoint(s.endpoint.as_str()).is_some();
-    state.endpoints.retain(|s| known(s) || s.running() > 0);
+    let is_known = |s: &EndpointState| view.config.endpoint(s.endpoint.as_str()).is_some();
+    state.endpoints.retain(|s| is_known(s) || s.in_flight() > 0);
     for pool in pools(&view.config) {
         sweep_pool(&mut state.endpoints, &pool, now);
     }
 }
 
-/// Lists the pools of endpoints that serve the same.
+/// Returns the pools: endpoints grouped by the first model or service that they serve.
 fn pools(config: &Config) -> Vec<Vec<&id::Endpoint>> {
-    let first = |e: &Endpoint| e.serves.first().cloned().unwrap_or_default();
-    let mut names: Vec<String> = config.endpoints.iter().map(first).collect();
+    let first_served = |e: &Endpoint| e.serves.first().cloned().unwrap_or_default();
+    let mut names: Vec<String> = config.endpoints.iter().map(first_served).collect();
     names.sort();
     names.dedup();
     let members = |name: String| {
         let all = config.endpoints.iter();
-        all.filter(|e| first(e) == name).map(|e| &e.name).collect()
+        all.filter(|e| first_served(e) == name)
+            .map(|e| &e.name)
+            .collect()
     };
     names.into_iter().map(members).collect()
 }
 
-fn sweep_pool(endpoints: &mut [EndpointState], pool: &[&id::Endpoint], now: Millis) {
-    let find = |name: &&id::Endpoint| endpoints.binary_search_by(|s| s.endpoint.cmp(name)).ok();
-    let places: Vec<usize> = pool.iter().filter_map(find).collect();
+fn sweep_pool(states: &mut [EndpointState], pool: &[&id::Endpoint], now: Millis) {
+    let find = |name: &&id::Endpoint| states.binary_search_by(|s| s.endpoint.cmp(name)).ok();
+    let indexes: Vec<usize> = pool.iter().filter_map(find).collect();
     let mut detectors: Vec<eject::Detector> =
-        places.iter().map(|at| endpoints[*at].detector).collect();
+        indexes.iter().map(|at| states[*at].detector).collect();
     for change in eject::sweep(&mut detectors, now) {
-        let endpoint = &endpoints[places[change.index]].endpoint;
+        let endpoint = &states[indexes[change.index]].endpoint;
         match change.kind {
             eject::Kind::Back => log::info!("{} endpoint={endpoint}", Event::EndpointRestored),
             fault => log::warn!(
@@ -54,7 +56,7 @@
             ),
         }
     }
-    for (at, detector) in places.into_iter().zip(detectors) {
-        endpoints[at].detector = detector;
+    for (at, detector) in indexes.into_iter().zip(detectors) {
+        states[at].detector = detector;
     }
 }
--- a/crates/node/src/dispatch/endpoint_state.rs
+++ b/crates/node/src/dispatch/endpoint_state.rs
@@ -1,5 +1,5 @@
-//! What this VM knows of one endpoint from its own calls: which run, which ended since the last
-//! load report, and how well they went.
+//! What this VM knows about one endpoint from its own calls and the endpoint's load reports: the
+//! calls in flight, those that ended since the last report, the speed, and how many calls fail.
 
 use policy::class::Class;
 use policy::eject::Detector;
@@ -15,112 +15,118 @@
 
 use crate::view::Load;
 
-/// What is known of a call's content.
+/// Whether a call's content is suspected of crashing endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Content {
-    /// Nothing speaks against it.
+    /// It isn't suspected.
     #[default]
     Plain,
-    /// An endpoint crashed while it ran the call. Such calls are kept apart from each other, so
-    /// that one that is innocent isn't there when the guilty one crashes the next.
+    /// An endpoint crashed while it ran the call. An endpoint runs at most one such call at a time,
+    /// so that an innocent call isn't there when the one at fault crashes the next endpoint.
     Suspect,
 }
 
-/// Tokens a second reckoned with before an endpoint has reported or shown its speed: a slow
-/// runner, so that an unknown one isn't preferred to a known one.
-const SPEED: f64 = 20.0;
-/// Prompt tokens prefilled in the time of one generated token. Prefill is batched over the prompt;
-/// runners report no figure for it.
-const PREFILL: f64 = 50.0;
-/// How long an endpoint gets nothing after it couldn't be reached or refused without saying for
-/// how long; about the lag of the load reports and the list, which then tell.
-pub const PAUSE: Millis = Millis::new(1_000);
+/// Assumed tokens per second of an endpoint that has neither reported nor shown its speed. This is
+/// the speed of a slow runner, so that an unknown endpoint isn't preferred to a known one.
+const DEFAULT_SPEED: f64 = 20.0;
+/// Prompt tokens that are prefilled in the time of one generated token. Prefill is batched over the
+/// prompt; runners report no figure for it.
+const PREFILL_SPEED_RATIO: f64 = 50.0;
+/// How long an endpoint gets no calls after it was unreachable, or refused a call without a retry
+/// time. About the delay of the load reports and the platform's list, which then show its state.
+pub const DEFAULT_PAUSE: Millis = Millis::new(1_000);
 
-/// What this VM knows of one endpoint.
+/// What this VM knows about one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointState {
     /// The endpoint.
     pub endpoint: id::Endpoint,
-    /// What its calls have shown.
+    /// Detects from its calls whether it fails or is slow.
     pub detector: Detector,
-    /// Calls that wait for it, as of the last look at the queue.
+    /// Calls that wait for it, counted in the last pass over the queue.
     pub claimed: u32,
-    /// This VM's calls there, beside the last report.
-    ledger: Calls,
-    /// Its speed as reported, smoothed; 0 before the first report that names one.
+    /// This VM's calls at the endpoint, which correct the last load report.
+    own_calls: Calls,
+    /// Its reported speed in tokens per second, smoothed; 0 before the first report with a speed.
     speed: f64,
-    /// When the last report was made.
-    reported: Millis,
-    /// Until when it gets nothing.
-    paused: Millis,
-    /// How many of the running calls are under suspicion of crashing endpoints.
-    suspects: u32,
+    /// When the endpoint made the last report with a speed.
+    reported_at: Millis,
+    /// Until when it gets no calls.
+    paused_until: Millis,
+    /// How many of the calls in flight are suspected of crashing endpoints.
+    suspect_calls: u32,
 }
 
 impl EndpointState {
-    /// Begins to keep an endpoint's state.
+    /// Creates the state of an endpoint that this VM has known since `since`.
     #[must_use]
     pub fn new(endpoint: id::Endpoint, since: Millis) -> Self {
         Self {
             endpoint,
             detector: Detector::new(since),
             claimed: 0,
-            ledger: Calls::default(),
+            own_calls: Calls::default(),
             speed: 0.0,
-            reported: Millis::ZERO,
-            paused: Millis::ZERO,
-            suspects: 0,
+            reported_at: Millis::ZERO,
+            paused_until: Millis::ZERO,
+            suspect_calls: 0,
         }
     }
 
-    /// Counts a call that is sent.
-    pub fn begin(&mut self, now: Millis, content: Content) {
-        self.ledger.record_sent(now);
-        self.suspects += u32::from(content == Content::Suspect);
+    /// Records that a call is sent.
+    pub fn record_sent(&mut self, now: Millis, content: Content) {
+        self.own_calls.record_sent(now);
+        self.suspect_calls += u32::from(content == Content::Suspect);
     }
 
-    /// Counts the end of a call that was sent at `began`.
-    pub fn end(&mut self, began: Millis, now: Millis, content: Content, sample: Option<Sample>) {
-        let suspects = u32::from(content == Content::Suspect);
-        self.suspects = self.suspects.saturating_sub(suspects);
-        self.ledger.record_ended(began, now);
+    /// Records that the call sent at `sent_at` has ended.
+    pub fn record_ended(
+        &mut self,
+        sent_at: Millis,
+        now: Millis,
+        content: Content,
+        sample: Option<Sample>,
+    ) {
+        let suspect_calls = u32::from(content == Content::Suspect);
+        self.suspect_calls = self.suspect_calls.saturating_sub(suspect_calls);
+        self.own_calls.record_ended(sent_at, now);
         if let Some(sample) = sample {
             self.detector.note(sample);
         }
     }
 
-    /// Gives the endpoint nothing until then.
+    /// Sends the endpoint no calls until `until`.
     pub fn pause(&mut self, until: Millis) {
-        self.paused = self.paused.max(until);
+        self.paused_until = self.paused_until.max(until);
     }
 
-    /// Takes the endpoint's last report in; one that was taken in before changes nothing.
-    pub fn report(&mut self, load: &Load) {
-        self.ledger.record_report(load.at);
-        if load.at <= self.reported || load.speed <= 0.0 {
+    /// Records the endpoint's last load report. Recording the same report again has no effect.
+    pub fn record_report(&mut self, load: &Load) {
+        self.own_calls.record_report(load.at);
+        if load.at <= self.reported_at || load.speed <= 0.0 {
             return;
         }
-        self.reported = load.at;
+        self.reported_at = load.at;
         if self.speed <= 0.0 {
             self.speed = load.speed;
         }
         self.speed = place::smoothed(self.speed, load.speed);
     }
 
-    /// Tells whether a call runs there that is under suspicion of crashing endpoints.
+    /// Returns whether a call in flight is suspected of crashing endpoints.
     #[must_use]
     pub fn has_suspect(&self) -> bool {
-        self.suspects > 0
+        self.suspect_calls > 0
     }
 
-    /// Yields how many of this VM's calls run there.
+    /// Returns how many of this VM's calls are in flight at the endpoint.
     #[must_use]
-    pub fn running(&self) -> usize {
-        self.ledger.in_flight()
+    pub fn in_flight(&self) -> usize {
+        self.own_calls.in_flight()
     }
 
-    /// Yields the endpoint as placement sees it, but for its lane, which depends on the others;
-    /// `None` where it may get nothing.
+    /// Returns the endpoint as a placement candidate, or `None` if it may get no calls. The caller
+    /// sets the lane, which depends on the other endpoints.
     #[must_use]
     pub fn candidate(
         &self,
@@ -129,22 +135,22 @@
         cached: u64,
         now: Millis,
     ) -> Option<Candidate> {
-        if now < self.paused || load.is_some_and(|load| !load.up || load.leaving) {
+        if now < self.paused_until || load.is_some_and(|load| !load.up || load.leaving) {
             return None;
         }
-        let shown = self.detector.pace().map(|pace| 1_000.0 / pace.max(0.001));
+        let measured = self.detector.pace().map(|pace| 1_000.0 / pace.max(0.001));
         let speed = match endpoint.kind {
             Kind::Runner if self.speed > 0.0 => self.speed,
-            _ => shown.unwrap_or(SPEED),
+            _ => measured.unwrap_or(DEFAULT_SPEED),
         };
         Some(Candidate {
             slots: endpoint.slots,
             reported: load.map_or(0, |load| load.running.saturating_add(load.waiting)),
-            sent: u32::try_from(self.ledger.sent_since_report()).unwrap_or(u32::MAX),
-            ended: u32::try_from(self.ledger.ended_since_report()).unwrap_or(u32::MAX),
+            sent: u32::try_from(self.own_calls.sent_since_report()).unwrap_or(u32::MAX),
+            ended: u32::try_from(self.own_calls.ended_since_report()).unwrap_or(u32::MAX),
             claimed: self.claimed,
             speed,
-            prefill: speed * PREFILL,
+            prefill: speed * PREFILL_SPEED_RATIO,
             cached,
             share: self.detector.share(now),
             lane: Lane::Shared,
@@ -153,9 +159,9 @@
     }
 }
 
-/// Converts the operators' class to the policy's.
+/// Converts the class of the configuration to that of crate `policy`.
 #[must_use]
-pub fn class(class: settings::config::Class) -> Class {
+pub fn policy_class(class: settings::config::Class) -> Class {
     match class {
         settings::config::Class::Urgent => Class::Urgent,
         settings::config::Class::Routine => Class::Routine,
--- a/crates/node/src/dispatch/runner.rs
+++ b/crates/node/src/dispatch/runner.rs
@@ -1,5 +1,5 @@
-//! Speaks to model runners: one streamed chat completion, watched for silence, its output limit
-//! and its end marker.
+//! The client of model runners: runs one streamed chat completion and checks its silence timeout,
+//! its output limit and its end marker.
 
 use std::time::Duration;
 
@@ -24,81 +24,81 @@
 use crate::http::sse::Events;
 
 /// The priority field of urgent calls; runners serve lower values first.
-const URGENT: i64 = -1;
+const URGENT_PRIORITY: i64 = -1;
 /// The priority field of routine calls.
-const ROUTINE: i64 = 0;
-/// How long a runner may take to show that it lives after a connection broke off: many times what
-/// a load report takes, and less than any start of a model engine.
-const PROBE: Duration = Duration::from_secs(1);
-/// How much of a refusal's body is read, in bytes.
-const MAX_REFUSAL: usize = 64 * 1024;
+const ROUTINE_PRIORITY: i64 = 0;
+/// How long a runner may take to answer a probe after a connection broke: many times as long as a
+/// load report takes, and shorter than any start of a model engine.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest body of a refusal that is read.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
 /// One attempt at a turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Job<'a> {
-    /// IP number and port of the runner.
+    /// IP address and port of the runner.
     pub address: &'a str,
-    /// The model, and the options that are passed through.
+    /// The model and the options that are passed on to the runner.
     pub request: &'a chat::Request,
     /// The whole history and the new messages.
     pub prompt: &'a [chat::Message],
-    /// The program, a hint for the runner's cache.
+    /// The program, a hint to the runner's cache.
     pub program: &'a id::Program,
     /// The attempt.
     pub attempt: id::Attempt,
-    /// How soon it is heard.
+    /// The priority class.
     pub class: Class,
     /// The most tokens that this attempt may generate.
     pub limit: u64,
-    /// How long the runner may be silent.
+    /// How long the runner may send nothing.
     pub silence: Millis,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// The end marker came.
-    Whole {
+    /// The end marker arrived.
+    Complete {
         /// Why the model stopped.
         finish: String,
         /// Tokens used.
         usage: chat::Usage,
     },
-    /// No connection was made: the call did not run.
+    /// No connection was made, so the call didn't run.
     NotSent(String),
     /// The runner refused the call before it ran.
     Refused {
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The body of the refusal.
         detail: String,
-        /// When it may be asked again, where it said so.
+        /// The time to wait before a retry, if the runner named one.
         retry_after: Option<Millis>,
-        /// Whether the refusal is about the request, and another runner would say the same.
-        lasting: bool,
+        /// Whether the refusal is about the request, so that every runner would refuse it.
+        permanent: bool,
     },
-    /// The connection broke off, as it does when a runner crashes.
+    /// The connection broke, as it does when a runner crashes.
     Broken(String),
-    /// The runner was silent for too long, or broke the protocol; it may still be running.
+    /// The runner sent nothing for too long, or violated the protocol; the call may still run.
     Stalled(String),
 }
 
-/// Tells whether a runner whose connection broke off still lives.
+/// Returns whether a runner whose connection broke is still alive.
 ///
-/// A network fault or a slow reader's cut would else count as a crash, and two of them would
-/// condemn an innocent request for good. A runner that crashed can't answer at once: it has to
-/// load gigabytes of weights before it listens again.
-pub async fn lives(client: &Client, address: &str) -> bool {
+/// Without this check, a network fault or a runner that disconnects a slow reader would count as a
+/// crash, and two of them would make an innocent request be refused permanently. A crashed runner
+/// can't answer at once: it has to load gigabytes of weights before it listens again.
+pub async fn is_alive(client: &Client, address: &str) -> bool {
     let probe = client.get(address, "/load");
-    matches!(timeout(PROBE, probe).await, Ok(Ok(_)))
+    matches!(timeout(PROBE_TIMEOUT, probe).await, Ok(Ok(_)))
 }
 
-/// Runs one attempt; `delta` is called with each piece of the message.
+/// Runs one attempt; calls `send_delta` with each piece of the message.
 pub async fn run(
     client: &Client,
     job: Job<'_>,
     partial: &mut Partial,
-    mut delta: impl FnMut(Value) + Send,
+    mut send_delta: impl FnMut(Value) + Send,
 ) -> End {
     let headers = [
         (header::ATTEMPT, job.attempt.to_string()),
@@ -116,12 +116,12 @@
         Ok(Ok(response)) => response,
         Ok(Err(Fault::NotSent(detail))) => return End::NotSent(detail),
         Ok(Err(Fault::Broken(detail))) => return End::Broken(detail),
-        Err(_) => return End::Stalled(format!("no headers within {}", job.silence)),
+        Err(_) => return End::Stalled(format!("no response headers within {}", job.silence)),
     };
     if !response.status().is_success() {
         return refused(response).await;
     }
-    stream(job, response.into_body(), partial, &mut delta).await
+    stream(job, response.into_body(), partial, &mut send_delta).await
 }
 
 fn body(job: &Job<'_>, partial: &Partial) -> Bytes {
@@ -131,17 +131,17 @@
     fields.insert("stream".to_owned(), json!(true));
     fields.insert("stream_options".to_owned(), json!({"include_usage": true}));
     let priority = match job.class {
-        Class::Urgent => URGENT,
-        Class::Routine => ROUTINE,
+        Class::Urgent => URGENT_PRIORITY,
+        Class::Routine => ROUTINE_PRIORITY,
     };
     fields.insert("priority".to_owned(), json!(priority));
     if partial.is_empty() {
         fields.insert("messages".to_owned(), json!(job.prompt));
         return Value::Object(fields).to_string().into();
     }
-    // What an earlier attempt said stands last, and the runner goes on from there.
-    let said = partial.message();
-    let messages: Vec<&chat::Message> = job.prompt.iter().chain([&said]).collect();
+    // The answer so far comes last, and the runner continues it.
+    let answer_so_far = partial.message();
+    let messages: Vec<&chat::Message> = job.prompt.iter().chain([&answer_so_far]).collect();
     fields.insert("messages".to_owned(), json!(messages));
     fields.insert("continue_final_message".to_owned(), json!(true));
     fields.insert("add_generation_prompt".to_owned(), json!(false));
@@ -152,7 +152,7 @@
     let status = response.status();
     let seconds = response.headers().get(header::RETRY_AFTER);
     let seconds = seconds.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    let body = Limited::new(response.into_body(), MAX_REFUSAL)
+    let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES)
         .collect()
         .await;
     let body = body
@@ -162,13 +162,13 @@
         status: status.as_u16(),
         detail: String::from_utf8_lossy(&body).into_owned(),
         retry_after: seconds.map(|s| Millis::new(s.saturating_mul(1_000))),
-        lasting: status.is_client_error() && status.as_u16() != 429 && status.as_u16() != 409,
+        permanent: status.is_client_error() && status.as_u16() != 429 && status.as_u16() != 409,
     }
 }
 
-/// What a stream has shown so far.
+/// What has been received on a stream so far.
 #[derive(Default)]
-struct Seen {
+struct Received {
     finish: Option<String>,
     usage: Option<chat::Usage>,
     pieces: u64,
@@ -178,15 +178,15 @@
     job: Job<'_>,
     mut incoming: Incoming,
     partial: &mut Partial,
-    delta: &mut (impl FnMut(Value) + Send),
+    send_delta: &mut (impl FnMut(Value) + Send),
 ) -> End {
     let silence = job.silence.as_duration();
     let mut events = Events::default();
-    let mut seen = Seen::default();
+    let mut received = Received::default();
     loop {
         while let Some(data) = events.pop() {
             if &*data == b"[DONE]" {
-                return whole(seen);
+                return complete(received);
             }
             let Ok(chunk) = serde_json::from_slice::<Value>(&data) else {
                 return End::Stalled("a chunk isn't JSON".to_owned());
@@ -194,17 +194,17 @@
             if chunk.get("error").is_some() {
                 return End::Broken(chunk["error"].to_string());
             }
-            take(chunk, job.limit, &mut seen, partial, delta);
-            if seen.pieces > job.limit {
-                // The runner ignores its limit. Dropping the connection cancels it, before it
-                // spends more than the program has.
-                seen.finish = Some("length".to_owned());
-                return whole(seen);
+            apply_chunk(chunk, job.limit, &mut received, partial, send_delta);
+            if received.pieces > job.limit {
+                // The runner ignores its limit. Dropping the connection cancels the call before it
+                // uses more tokens than the program has left.
+                received.finish = Some("length".to_owned());
+                return complete(received);
             }
         }
         match timeout(silence, incoming.frame()).await {
-            Err(_) => return End::Stalled(format!("silent for {}", job.silence)),
-            Ok(None) => return End::Broken("the stream ended without its end marker".to_owned()),
+            Err(_) => return End::Stalled(format!("no data for {}", job.silence)),
+            Ok(None) => return End::Broken("the stream ended without an end marker".to_owned()),
             Ok(Some(Err(fault))) => return End::Broken(fault.to_string()),
             Ok(Some(Ok(frame))) => {
                 let data = frame.data_ref().map_or(&[][..], |data| data);
@@ -216,39 +216,39 @@
     }
 }
 
-fn take(
+fn apply_chunk(
     mut chunk: Value,
     limit: u64,
-    seen: &mut Seen,
+    received: &mut Received,
     partial: &mut Partial,
-    delta: &mut (impl FnMut(Value) + Send),
+    send_delta: &mut (impl FnMut(Value) + Send),
 ) {
-    if let Some(usage) = usage(&chunk) {
-        seen.usage = Some(usage);
+    if let Some(usage) = parse_usage(&chunk) {
+        received.usage = Some(usage);
     }
     let Some(choice) = chunk.pointer_mut("/choices/0") else {
         return;
     };
     if let Some(finish) = choice.get("finish_reason").and_then(Value::as_str) {
-        seen.finish = Some(finish.to_owned());
+        received.finish = Some(finish.to_owned());
     }
     let piece = choice.get_mut("delta").map(Value::take).unwrap_or_default();
-    if says_something(&piece) {
-        seen.pieces += 1;
-        if seen.pieces <= limit {
+    if has_content(&piece) {
+        received.pieces += 1;
+        if received.pieces <= limit {
             partial.add(&piece);
-            delta(piece);
+            send_delta(piece);
         }
     }
 }
 
-fn says_something(piece: &Value) -> bool {
+fn has_content(piece: &Value) -> bool {
     let empty = |value: &Value| value.is_null() || value.as_str() == Some("");
     let fields = piece.as_object();
     fields.is_some_and(|f: &Map<String, Value>| f.iter().any(|(n, v)| n != "role" && !empty(v)))
 }
 
-fn usage(chunk: &Value) -> Option<chat::Usage> {
+fn parse_usage(chunk: &Value) -> Option<chat::Usage> {
     let usage = chunk.get("usage").filter(|usage| usage.is_object())?;
     let mut parsed: chat::Usage = serde_json::from_value(usage.clone()).ok()?;
     if let Some(cached) = usage.pointer("/prompt_tokens_details/cached_tokens") {
@@ -257,18 +257,18 @@
     Some(parsed)
 }
 
-/// Ends a stream whose end marker came. One without a finish reason was cut off by the runner
-/// itself and isn't whole.
-fn whole(seen: Seen) -> End {
-    let Some(finish) = seen.finish else {
+/// Returns the end of a stream whose end marker arrived. A stream without a finish reason was cut off
+/// by the runner and isn't complete.
+fn complete(received: Received) -> End {
+    let Some(finish) = received.finish else {
         return End::Broken("the end marker came without a finish reason".to_owned());
     };
     let counted = chat::Usage {
-        completion_tokens: seen.pieces,
+        completion_tokens: received.pieces,
         ..chat::Usage::default()
     };
-    End::Whole {
+    End::Complete {
         finish,
-        usage: seen.usage.unwrap_or(counted),
+        usage: received.usage.unwrap_or(counted),
     }
 }
--- a/crates/node/src/dispatch/scheduler.rs
+++ b/crates/node/src/dispatch/scheduler.rs
@@ -1,5 +1,5 @@
-//! The one place on a VM that gives out endpoints' slots, for all its shards: admits, queues and
-//! places calls by the decisions of crate `policy`.
+//! Assigns the endpoints' slots, for all shards of a VM: admits, queues and places calls according
+//! to the decisions of crate `policy`.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,36 +27,36 @@
 use wire::id;
 
 use crate::core::Core;
-use crate::dispatch::choose::Picked;
-use crate::dispatch::choose::pick;
+use crate::dispatch::choose::Placement;
+use crate::dispatch::choose::choose;
 use crate::dispatch::endpoint_state;
 use crate::dispatch::endpoint_state::Content;
 use crate::dispatch::endpoint_state::EndpointState;
 use crate::view::View;
 
-/// The part of the queue that only urgent calls may take: one in this many places.
-const URGENT_PART: usize = 10;
-/// Milliseconds an output token that a call's expected run is reckoned with: the letter's 58 ms
-/// for 95 in 100, halved for the mean.
-const TOKEN: u64 = 29;
+/// One in this many places of the queue is reserved for urgent calls.
+const URGENT_DIVISOR: usize = 10;
+/// Milliseconds per output token from which a call's expected run time is computed: half of the
+/// required 95th percentile of 58 ms, as an estimate of the mean.
+const MS_PER_TOKEN: u64 = 29;
 
-/// The outcome of placing a call.
+/// The result of placing a call.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// A call that needs a slot.
+/// A turn or service call that needs a slot.
 #[derive(Clone, Debug)]
 pub struct Work {
     /// The program.
     pub program: id::Program,
     /// The turn, 0 for a service's call.
     pub turn: u32,
-    /// Who asks.
+    /// The caller that made the request.
     pub caller: id::Caller,
-    /// How soon it is heard.
+    /// Its priority class.
     pub class: settings::config::Class,
-    /// What kind of endpoint it needs.
+    /// The kind of endpoint that it needs.
     pub kind: Kind,
-    /// The model or service.
+    /// The model or service that the endpoint must serve.
     pub serves: String,
     /// Prompt tokens, estimated.
     pub prompt: u64,
@@ -64,39 +64,39 @@
     pub output: u64,
     /// Tokens that the program has generated so far.
     pub spent: u64,
-    /// Endpoints that hold cache of the program, and how many tokens.
+    /// The endpoints that hold cache of the program, each with the number of cached tokens.
     pub held: Vec<(id::Endpoint, u64)>,
     /// Endpoints that failed this call before.
     pub avoid: Vec<id::Endpoint>,
-    /// What is known of its content.
+    /// Whether its content is suspected of crashing endpoints.
     pub content: Content,
-    /// How often it was tried.
+    /// The number of attempts so far.
     pub tries: u32,
     /// When the caller stops waiting.
     pub deadline: Option<Millis>,
 }
 
-/// A slot at an endpoint, given back when dropped.
+/// A slot at an endpoint, freed on drop.
 pub struct Slot {
     /// The endpoint.
     pub endpoint: Endpoint,
     core: Arc<Core>,
-    began: Millis,
+    assigned_at: Millis,
     content: Content,
     sample: Option<Sample>,
 }
 
-/// Gives out the endpoints' slots.
+/// Assigns the endpoints' slots.
 pub struct Scheduler(Mutex<State>);
 
 pub(super) struct State {
     pub(super) endpoints: Vec<EndpointState>,
     queue: Queue<Waiter>,
-    pub(super) drain: DrainRate,
-    retries: retry::Budget,
-    born: Millis,
-    /// The view that the endpoints follow.
-    synced: Arc<View>,
+    pub(super) drain_rate: DrainRate,
+    retry_budget: retry::Budget,
+    started_at: Millis,
+    /// The view from which `endpoints` was last updated.
+    synced_view: Arc<View>,
 }
 
 struct Waiter {
@@ -105,43 +105,43 @@
 }
 
 impl Scheduler {
-    /// Makes a scheduler for a VM.
+    /// Creates the scheduler of a VM.
     #[must_use]
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let all = settings.limits.queue;
         let limits = queue::Limits {
             all,
-            reserved: all / URGENT_PART,
+            reserved: all / URGENT_DIVISOR,
         };
         Self(Mutex::new(State {
             endpoints: Vec::new(),
             queue: Queue::new(limits),
-            drain: DrainRate::default(),
-            retries: retry::Budget::new(now),
-            born: now,
-            synced: Arc::default(),
+            drain_rate: DrainRate::default(),
+            retry_budget: retry::Budget::new(now),
+            started_at: now,
+            synced_view: Arc::default(),
         }))
     }
 
-    /// Counts a call that succeeded, which earns a part of a retry.
-    pub fn succeed(&self) {
-        self.lock().retries.succeed();
+    /// Records that a call succeeded, which adds to the retry budget.
+    pub fn record_success(&self) {
+        self.lock().retry_budget.succeed();
     }
 
-    /// Decides whether a failed call is tried again.
-    pub fn retry(&self, failure: &retry::Failure, now: Millis) -> retry::Verdict {
+    /// Decides whether a failed call is retried.
+    pub fn decide_retry(&self, failure: &retry::Failure, now: Millis) -> retry::Verdict {
         let mut state = self.lock();
-        state.retries.decide(failure, now, &mut rand::rng())
+        state.retry_budget.decide(failure, now, &mut rand::rng())
     }
 
-    /// Gives an endpoint nothing until then.
+    /// Sends an endpoint no calls for `span`.
     pub fn pause(&self, endpoint: &id::Endpoint, now: Millis, span: Millis) {
         let mut state = self.lock();
         let at = state.find_or_insert(endpoint, now);
         state.endpoints[at].pause(now.plus(span));
     }
 
-    /// Yields how many calls wait.
+    /// Returns the number of calls that wait for a slot.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.lock().queue.len()
@@ -156,24 +156,24 @@
 ///
 /// # Errors
 ///
-/// Refuses, always with `ran: no`, where no endpoint may take the call, the load is too high, or
-/// the call has waited for too long.
+/// Returns a refusal, always with `ran: no`, if no endpoint may take the call, the load is too high,
+/// the call has waited for too long, or the VM stops before the call could end.
 pub async fn acquire(core: &Arc<Core>, work: Work) -> Result<Slot> {
     let arrived = core.clock.now();
-    let waited = enter(core, work, arrived)?;
-    let slot = match waited {
-        Entered::Placed(slot) => Ok(slot),
-        Entered::Queued(receiver) => {
-            let gone = Err(Refusal::new(Code::ShuttingDown, ""));
-            receiver.await.unwrap_or(gone)
+    let admission = place_or_queue(core, work, arrived)?;
+    let slot = match admission {
+        Admission::Placed(slot) => Ok(slot),
+        Admission::Queued(receiver) => {
+            let dropped = Err(Refusal::new(Code::ShuttingDown, ""));
+            receiver.await.unwrap_or(dropped)
         }
     };
     core.metrics.queued(core.clock.now().since(arrived));
     slot
 }
 
-/// Gives free slots to the calls that wait, and gives up those whose time is over, as well as all
-/// that a VM which stops has no time for.
+/// Assigns free slots to waiting calls. Refuses the calls that have waited for too long, and those
+/// for which a stopping VM has no time left.
 pub fn assign_slots(core: &Arc<Core>) {
     let now = core.clock.now();
     let view = core.view();
@@ -182,17 +182,17 @@
     let State {
         endpoints,
         queue,
-        drain,
+        drain_rate,
         ..
     } = &mut *state;
-    let mut ready = Vec::new();
-    for entry in queue.remove(|waiter| is_given_up(core, &waiter.work, now)) {
-        ready.push((entry.item, Err(shutting_down())));
+    let mut outcomes = Vec::new();
+    for entry in queue.remove(|waiter| is_too_late(core, &waiter.work, now)) {
+        outcomes.push((entry.item, Err(shutting_down())));
     }
     for entry in queue.take_expired(now) {
-        let load = admit::Load::of(queue, drain, entry.class, &entry.caller);
+        let load = admit::Load::of(queue, drain_rate, entry.class, &entry.caller);
         let refusal = admit::refuse_expired(&load, &mut rand::rng());
-        ready.push((entry.item, Err(refusal)));
+        outcomes.push((entry.item, Err(refusal)));
     }
     loop {
         for endpoint in endpoints.iter_mut() {
@@ -200,28 +200,30 @@
         }
         let mut chosen = None;
         let popped = queue.pop_where(|entry| {
-            let picked = pick(core, &view, endpoints, &entry.item.work, now);
-            claim(endpoints, picked.as_ref());
-            chosen = picked.filter(Picked::can_start);
+            let placement = choose(core, &view, endpoints, &entry.item.work, now);
+            count_claim(endpoints, placement.as_ref());
+            chosen = placement.filter(Placement::can_start);
             chosen.is_some()
         });
-        let (Some(entry), Some(picked)) = (popped, chosen) else {
+        let (Some(entry), Some(placement)) = (popped, chosen) else {
             break;
         };
-        drain.count(now, queue.len());
-        let slot = begin(core, endpoints, &entry.item.work, picked, now);
-        ready.push((entry.item, Ok(slot)));
+        drain_rate.count(now, queue.len());
+        let slot = assign_slot(core, endpoints, &entry.item.work, placement, now);
+        outcomes.push((entry.item, Ok(slot)));
     }
     drop(state);
-    // Sent without the lock: a slot whose waiter is gone is given back by its drop.
-    for (waiter, outcome) in ready {
-        let _gone = waiter.slot.send(outcome);
+    // Sent after the lock is released, because a slot whose waiter is gone is dropped, and the drop
+    // takes the lock.
+    for (waiter, outcome) in outcomes {
+        let _waiter_gone = waiter.slot.send(outcome);
     }
 }
 
-/// Tells whether a call without a slot gets none any more, as the VM ends before the call may: cut off
-/// at its endpoint it may have run, and its caller couldn't send it elsewhere.
-fn is_given_up(core: &Core, work: &Work, now: Millis) -> bool {
+/// Returns whether a call without a slot gets none any more because the VM stops before the call
+/// could end. If the call were cut off at its endpoint, it might have run, and its caller couldn't
+/// send it elsewhere.
+fn is_too_late(core: &Core, work: &Work, now: Millis) -> bool {
     let stop = core.stop.get();
     stop.is_some_and(|stop| stop.gives_up(now, work.deadline))
 }
@@ -230,51 +232,51 @@
     Refusal::new(Code::ShuttingDown, "").retry_after(stop::RETRY)
 }
 
-enum Entered {
+enum Admission {
     Placed(Slot),
     Queued(oneshot::Receiver<Result<Slot>>),
 }
 
-fn enter(core: &Arc<Core>, work: Work, now: Millis) -> Result<Entered> {
-    if is_given_up(core, &work, now) {
+fn place_or_queue(core: &Arc<Core>, work: Work, now: Millis) -> Result<Admission> {
+    if is_too_late(core, &work, now) {
         return Err(shutting_down());
     }
     let view = core.view();
-    let class = endpoint_state::class(work.class);
+    let class = endpoint_state::policy_class(work.class);
     let mut state = core.scheduler.lock();
     state.sync(&view, now);
-    let picked = pick(core, &view, &state.endpoints, &work, now);
-    if picked.is_none() && work.tries == 0 {
+    let placement = choose(core, &view, &state.endpoints, &work, now);
+    if placement.is_none() && work.tries == 0 {
         let refusal = Refusal::new(Code::NoEndpoint, &work.serves);
-        return Err(refusal.retry_after(endpoint_state::PAUSE));
+        return Err(refusal.retry_after(endpoint_state::DEFAULT_PAUSE));
     }
-    let first = state.queue.waiting(class) == 0;
-    claim(&mut state.endpoints, picked.as_ref());
-    if let Some(picked) = picked
-        && picked.can_start()
-        && first
+    let is_first = state.queue.waiting(class) == 0;
+    count_claim(&mut state.endpoints, placement.as_ref());
+    if let Some(placement) = placement
+        && placement.can_start()
+        && is_first
     {
-        let slot = begin(core, &mut state.endpoints, &work, picked, now);
-        return Ok(Entered::Placed(slot));
+        let slot = assign_slot(core, &mut state.endpoints, &work, placement, now);
+        return Ok(Admission::Placed(slot));
     }
     if work.tries == 0 {
         admit(&state, &work, now)?;
     }
     let detail = format!("class={class:?} waiting={}", state.queue.len());
     core.trace
-        .note(now, Event::CallQueued, &work.program, work.turn, &detail);
+        .record(now, Event::CallQueued, &work.program, work.turn, &detail);
     let (sender, receiver) = oneshot::channel();
     let limit = now.plus(core.settings.limits.wait);
     if let Err(entry) = state.queue.push(entry(work, sender, now, limit)) {
-        let load = admit::Load::of(&state.queue, &state.drain, class, &entry.caller);
+        let load = admit::Load::of(&state.queue, &state.drain_rate, class, &entry.caller);
         let refusal = Refusal::new(Code::QueueFull, "");
         return Err(refusal.retry_after(load.wait().max(admit::MIN_RETRY_AFTER)));
     }
-    Ok(Entered::Queued(receiver))
+    Ok(Admission::Queued(receiver))
 }
 
 fn admit(state: &State, work: &Work, now: Millis) -> Result<()> {
-    let class = endpoint_state::class(work.class);
+    let class = endpoint_state::policy_class(work.class);
     let call = admit::Call {
         class,
         stage: match work.turn {
@@ -282,9 +284,9 @@
             _ => Stage::Later,
         },
         deadline: work.deadline.map(|deadline| deadline.since(now)),
-        run: expected(work),
+        run: expected_run(work),
     };
-    let load = admit::Load::of(&state.queue, &state.drain, class, &work.caller);
+    let load = admit::Load::of(&state.queue, &state.drain_rate, class, &work.caller);
     admit::decide(&load, &call, &mut rand::rng())
 }
 
@@ -294,12 +296,12 @@
     now: Millis,
     limit: Millis,
 ) -> Entry<Waiter> {
-    let class = endpoint_state::class(work.class);
-    let run = expected(&work);
+    let class = endpoint_state::policy_class(work.class);
+    let run = expected_run(&work);
     Entry {
         class,
         caller: work.caller.clone(),
-        attained: Millis::new(work.spent.saturating_mul(TOKEN)),
+        attained: Millis::new(work.spent.saturating_mul(MS_PER_TOKEN)),
         cost: run,
         arrived: now,
         expires: queue::expiry(now, class, work.deadline, run).min(limit),
@@ -307,58 +309,58 @@
     }
 }
 
-/// Yields how long a call is expected to run.
-fn expected(work: &Work) -> Millis {
-    Millis::new(work.output.saturating_mul(TOKEN))
+/// Returns how long a call is expected to run.
+fn expected_run(work: &Work) -> Millis {
+    Millis::new(work.output.saturating_mul(MS_PER_TOKEN))
 }
 
-/// Counts a call that will wait for the endpoint that it prefers, so that those behind it don't
-/// reckon with the same slot.
-fn claim(endpoints: &mut [EndpointState], picked: Option<&Picked>) {
-    let Some(picked) = picked.filter(|picked| !picked.can_start()) else {
+/// Counts a call that waits for its preferred endpoint, so that calls behind it don't plan with the
+/// same slot.
+fn count_claim(endpoints: &mut [EndpointState], placement: Option<&Placement>) {
+    let Some(placement) = placement.filter(|placement| !placement.can_start()) else {
         return;
     };
-    let name = &picked.endpoint.name;
+    let name = &placement.endpoint.name;
     if let Ok(at) = endpoints.binary_search_by(|s| s.endpoint.cmp(name)) {
         endpoints[at].claimed += 1;
     }
 }
 
-/// Gives a call its slot.
-fn begin(
+/// Assigns a slot at the chosen endpoint to a call.
+fn assign_slot(
     core: &Arc<Core>,
     endpoints: &mut [EndpointState],
     work: &Work,
-    picked: Picked,
+    placement: Placement,
     now: Millis,
 ) -> Slot {
-    let Picked {
+    let Placement {
         endpoint, detail, ..
-    } = picked;
+    } = placement;
     core.trace
-        .note(now, Event::CallPlaced, &work.program, work.turn, &detail);
+        .record(now, Event::CallPlaced, &work.program, work.turn, &detail);
     if let Ok(at) = endpoints.binary_search_by(|s| s.endpoint.cmp(&endpoint.name)) {
-        endpoints[at].begin(now, work.content);
+        endpoints[at].record_sent(now, work.content);
     }
     Slot {
         endpoint,
         core: core.clone(),
-        began: now,
+        assigned_at: now,
         content: work.content,
         sample: None,
     }
 }
 
 impl Slot {
-    /// Notes what the call showed of the endpoint.
-    pub fn note(&mut self, sample: Sample) {
+    /// Sets what the call shows about the endpoint; recorded when the slot is dropped.
+    pub fn set_sample(&mut self, sample: Sample) {
         self.sample = Some(sample);
     }
 
-    /// Yields when the slot was given out.
+    /// Returns when the slot was assigned.
     #[must_use]
-    pub fn began(&self) -> Millis {
-        self.began
+    pub fn assigned_at(&self) -> Millis {
+        self.assigned_at
     }
 }
 
@@ -367,7 +369,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.scheduler.lock();
         let at = state.find_or_insert(&self.endpoint.name, now);
-        state.endpoints[at].end(self.began, now, self.content, self.sample);
+        state.endpoints[at].record_ended(self.assigned_at, now, self.content, self.sample);
         let idle = state.queue.is_empty();
         drop(state);
         if !idle {
@@ -377,28 +379,29 @@
 }
 
 impl State {
-    /// Takes in the endpoints and load reports of a new view.
+    /// Updates the endpoints from a new view's configuration and load reports.
     pub(super) fn sync(&mut self, view: &Arc<View>, now: Millis) {
-        if Arc::ptr_eq(&self.synced, view) {
+        if Arc::ptr_eq(&self.synced_view, view) {
             return;
         }
-        self.synced = view.clone();
+        self.synced_view = view.clone();
         for endpoint in &view.config.endpoints {
             let at = self.find_or_insert(&endpoint.name, now);
             if let Some(load) = view.load(&endpoint.name) {
-                self.endpoints[at].report(load);
+                self.endpoints[at].record_report(load);
             }
         }
     }
 
-    /// Finds the state of an endpoint, or begins to keep it.
+    /// Returns the index of an endpoint's state, which is created if absent.
     fn find_or_insert(&mut self, endpoint: &id::Endpoint, now: Millis) -> usize {
         let found = self
             .endpoints
             .binary_search_by(|s| s.endpoint.cmp(endpoint));
         found.unwrap_or_else(|at| {
-            // At the VM's own start all endpoints are new to it, and none is to the others.
-            let starting = now.since(self.born) < slow_start::DURATION;
+            // Right after the VM's own start all endpoints are new to it, but not to the other VMs.
+            // `Millis::ZERO` spares them the slow start.
+            let starting = now.since(self.started_at) < slow_start::DURATION;
             let since = if starting { Millis::ZERO } else { now };
             self.endpoints
                 .insert(at, EndpointState::new(endpoint.clone(), since));
--- a/crates/node/src/dispatch/service.rs
+++ b/crates/node/src/dispatch/service.rs
@@ -1,4 +1,4 @@
-//! Speaks to plain services: one call, and what can be said of whether it ran.
+//! The client of plain services: makes one call and reports what is known about whether it ran.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -14,20 +14,20 @@
 use crate::http::client::Fault;
 use crate::http::client::Post;
 
-/// The longest answer of a service in bytes; leaves room beside it in a journal key.
-const MAX_ANSWER: usize = 512 * 1024;
+/// The longest answer of a service. Leaves room in a journal key for the rest of the record.
+const MAX_ANSWER_BYTES: usize = 512 * 1024;
 
 /// One attempt at a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Job<'a> {
-    /// IP number and port of the service.
+    /// IP address and port of the service.
     pub address: &'a str,
     /// The call.
     pub call: &'a Call,
     /// The attempt.
     pub attempt: id::Attempt,
     /// How long the answer may take.
-    pub silence: Millis,
+    pub timeout: Millis,
 }
 
 /// How an attempt ended.
@@ -40,12 +40,12 @@
         /// The body.
         body: Bytes,
     },
-    /// The call did not run: no connection was made, or the service itself says so.
+    /// The call didn't run: no connection was made, or the service says so.
     NotRun {
         /// Why.
         detail: String,
     },
-    /// The call may have run, or may still run.
+    /// The call may have run or may still be running.
     Unknown {
         /// Why.
         detail: String,
@@ -66,9 +66,9 @@
         headers: &headers,
         body: job.call.body.clone(),
     };
-    let answered = timeout(job.silence.as_duration(), send(client, post)).await;
+    let answered = timeout(job.timeout.as_duration(), send(client, post)).await;
     answered.unwrap_or_else(|_| End::Unknown {
-        detail: format!("no answer within {}", job.silence),
+        detail: format!("no answer within {}", job.timeout),
     })
 }
 
@@ -79,7 +79,7 @@
         Err(Fault::Broken(detail)) => return End::Unknown { detail },
     };
     let status = response.status();
-    let body = match Limited::new(response.into_body(), MAX_ANSWER)
+    let body = match Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await
     {
@@ -100,8 +100,8 @@
     }
 }
 
-/// Tells whether a service's refusal says that the call did not run: `{"ran": "no"}`, at the top
-/// or under `error`.
+/// Returns whether a service's refusal says that the call didn't run: `{"ran": "no"}`, at the top
+/// level or under `error`.
 fn says_not_run(body: &[u8]) -> bool {
     let Ok(value) = serde_json::from_slice::<Value>(body) else {
         return false;
--- a/crates/node/src/owner/call.rs
+++ b/crates/node/src/owner/call.rs
@@ -1,5 +1,5 @@
-//! Carries one call of a plain service through its steps. A call that may run at most once has a
-//! durable intent before it is sent and a durable outcome before it is answered.
+//! Carries one call to a plain service through its steps. For a call that may run at most once, the
+//! intent is durable before the call is sent, and the outcome is durable before the caller gets it.
 
 use std::sync::Arc;
 
@@ -41,32 +41,38 @@
 use crate::owner::turn::Result;
 use crate::owner::work;
 
-/// Tokens' worth of time that a service's call is expected to take in placement.
-const EXPECTED: u64 = 8;
+/// Expected run time of a service call in output tokens, the unit of run time in placement.
+const EXPECTED_TOKENS: u64 = 8;
 
-/// Takes a call in.
+/// Accepts a call: starts it, joins it if it is already in progress, or replays its outcome.
 ///
 /// # Errors
 ///
-/// Refuses it, with what is known of whether it ran.
-pub fn ask(owner: &mut Owner, ask: &Ask, call: &Call, sink: &Sink) -> Result<()> {
+/// Returns a refusal, with what is known about whether the call ran.
+pub fn accept(owner: &mut Owner, ask: &Ask, call: &Call, sink: &Sink) -> Result<()> {
     if !runs_once(&owner.core, call) {
         let work = work(&owner.core, ask, call)?;
         owner.check_open()?;
         let feed = Feed::default();
-        feed.join(sink.clone());
+        feed.subscribe(sink.clone());
         let task = task(owner, ask, call, id::Digest(0), work, feed);
-        owner.core.work.spawn(task.repeatable());
+        owner.core.work.spawn(task.run_repeatable());
         return Ok(());
     }
     let Some(key) = &call.key else {
         return Err(Refusal::new(Code::KeyMissing, &call.operation));
     };
-    once(owner, ask, call, key, sink)
+    accept_once(owner, ask, call, key, sink)
 }
 
-fn once(owner: &mut Owner, ask: &Ask, call: &Call, key: &id::Key, sink: &Sink) -> Result<()> {
-    let digest = digest(call);
+fn accept_once(
+    owner: &mut Owner,
+    ask: &Ask,
+    call: &Call,
+    key: &id::Key,
+    sink: &Sink,
+) -> Result<()> {
+    let digest = content_digest(call);
     let name = Name::Call(ask.program.clone(), key.clone());
     if let Some(pending) = owner.pending.find(&name)
         && pending.caller == ask.caller
@@ -74,7 +80,7 @@
         if pending.digest != digest {
             return Err(Refusal::new(Code::KeyConflict, key.as_str()));
         }
-        pending.feed.join(sink.clone());
+        pending.feed.subscribe(sink.clone());
         return Ok(());
     }
     if owner.state.program(&ask.program).is_some() {
@@ -91,19 +97,19 @@
             decision::Call::Start(_) => {}
             decision::Call::Replay { status, body } => {
                 let body = body.clone();
-                let _gone = sink.send(Reply::Called { status, body });
+                let _receiver_gone = sink.send(Reply::Called { status, body });
                 return Ok(());
             }
-            // A call that runs here is pending and was joined above.
+            // A call that runs on this VM is pending and was joined above.
             decision::Call::Join(_) => return Err(Refusal::new(Code::KeyConflict, key.as_str())),
         }
     }
-    // Only after the journal: a configuration that allows the call no more tells nothing of an earlier
-    // asking, and refused as not run, its caller might have it run twice.
+    // The configuration is checked after the journal. If it no longer allows the call, an earlier
+    // request may still have run it; a refusal as not run could make the caller run it twice.
     let work = work(&owner.core, ask, call)?;
     owner.check_open()?;
     let feed = Feed::default();
-    feed.join(sink.clone());
+    feed.subscribe(sink.clone());
     owner.pending.insert(Pending {
         name,
         caller: ask.caller.clone(),
@@ -113,7 +119,7 @@
         cancel: CancellationToken::new(),
     });
     let task = task(owner, ask, call, digest, work, feed);
-    owner.core.work.spawn(task.once(key.clone()));
+    owner.core.work.spawn(task.run_once(key.clone()));
     Ok(())
 }
 
@@ -136,7 +142,7 @@
         .runs_once(call.service.as_str(), &call.operation)
 }
 
-/// One call under way.
+/// A call in progress.
 struct Task {
     core: Arc<Core>,
     shard: ActorRef<Message>,
@@ -150,16 +156,16 @@
 
 impl Task {
     /// Runs a call that may run at most once.
-    async fn once(self, key: id::Key) {
-        let outcome = self.drive_once(&key).await;
+    async fn run_once(self, key: id::Key) {
+        let outcome = self.attempt_once(&key).await;
         self.finish(outcome);
         let name = Name::Call(self.work.program.clone(), key);
-        let _gone = self.shard.cast(Message::Over(name));
+        let _actor_gone = self.shard.cast(Message::Finished(name));
     }
 
     /// Runs a call that may be repeated.
-    async fn repeatable(self) {
-        let outcome = self.drive_repeatable().await;
+    async fn run_repeatable(self) {
+        let outcome = self.attempt_repeatable().await;
         self.finish(outcome);
     }
 
@@ -170,7 +176,7 @@
         }
     }
 
-    async fn drive_once(&self, key: &id::Key) -> Result<Reply> {
+    async fn attempt_once(&self, key: &id::Key) -> Result<Reply> {
         let mut work = self.work.clone();
         loop {
             let mut slot = scheduler::acquire(&self.core, work.clone()).await?;
@@ -181,11 +187,11 @@
             drop(slot);
             match end {
                 End::Answered { status, body } => {
-                    let effect = Outcome::Answered {
+                    let outcome = Outcome::Answered {
                         status,
                         body: body.clone(),
                     };
-                    self.resolve(key, attempt, effect).await?;
+                    self.resolve(key, attempt, outcome).await?;
                     return Ok(Reply::Called { status, body });
                 }
                 End::Unknown { detail } => {
@@ -194,14 +200,14 @@
                 }
                 End::NotRun { detail } => {
                     self.resolve(key, attempt, Outcome::NotRun).await?;
-                    self.again(&mut work, &endpoint, &detail, Repeat::Once, Ran::No)
+                    self.wait_for_retry(&mut work, &endpoint, &detail, Repeat::Once, Ran::No)
                         .await?;
                 }
             }
         }
     }
 
-    async fn drive_repeatable(&self) -> Result<Reply> {
+    async fn attempt_repeatable(&self) -> Result<Reply> {
         let mut work = self.work.clone();
         let mut ran = Ran::No;
         loop {
@@ -219,12 +225,13 @@
                     detail
                 }
             };
-            self.again(&mut work, &endpoint, &detail, Repeat::Safe, ran)
+            self.wait_for_retry(&mut work, &endpoint, &detail, Repeat::Safe, ran)
                 .await?;
         }
     }
 
-    /// Makes the intent durable. One that is withheld is withdrawn, as it is never sent.
+    /// Makes the intent durable. Withdraws an intent that is withheld because the platform is down,
+    /// as its call is never sent.
     async fn intend(&self, key: &id::Key, attempt: id::Attempt) -> Result<()> {
         let intend = message::Intend {
             program: self.work.program.clone(),
@@ -246,19 +253,19 @@
             let program = self.work.program.clone();
             let key = key.clone();
             let message = Message::Resolve(program, key, attempt, Outcome::NotRun, sender);
-            let _gone = self.shard.cast(message);
+            let _actor_gone = self.shard.cast(message);
         }
         intended.map_err(|refusal| match refusal.code {
-            // It wasn't sent from here; but the next owner may have run it on an earlier asking.
+            // This VM didn't send the call, but the next owner may have run it for another request.
             Code::OwnerLost => refusal.ran(Ran::Unknown),
             _ => refusal,
         })
     }
 
-    /// Makes the outcome durable. Where that fails, the next owner will only see the intent.
-    async fn resolve(&self, key: &id::Key, attempt: id::Attempt, effect: Outcome) -> Result<()> {
+    /// Makes the outcome durable. If that fails, the next owner sees only the intent.
+    async fn resolve(&self, key: &id::Key, attempt: id::Attempt, outcome: Outcome) -> Result<()> {
         let program = self.work.program.clone();
-        let message = |sender| Message::Resolve(program, key.clone(), attempt, effect, sender);
+        let message = |sender| Message::Resolve(program, key.clone(), attempt, outcome, sender);
         let resolved = turn::decide(&self.core, &self.shard, message).await;
         resolved.map_err(|refusal| {
             Refusal::new(Code::OutcomeUnknown, &refusal.message).ran(Ran::Unknown)
@@ -270,30 +277,30 @@
             address: &slot.endpoint.address,
             call: &self.call,
             attempt,
-            silence: self.core.settings.limits.silence,
+            timeout: self.core.settings.limits.silence,
         };
         let end = service::run(&self.core.client, job).await;
         match &end {
             End::Answered { .. } => {
-                let elapsed = self.core.clock.now().since(slot.began());
-                slot.note(Sample::Done {
-                    pace: turn::pace(elapsed, EXPECTED),
+                let elapsed = self.core.clock.now().since(slot.assigned_at());
+                slot.set_sample(Sample::Done {
+                    pace: turn::pace(elapsed, EXPECTED_TOKENS),
                 });
-                self.core.scheduler.succeed();
+                self.core.scheduler.record_success();
             }
             End::NotRun { .. } => {
                 let now = self.core.clock.now();
                 self.core
                     .scheduler
-                    .pause(&slot.endpoint.name, now, endpoint_state::PAUSE);
+                    .pause(&slot.endpoint.name, now, endpoint_state::DEFAULT_PAUSE);
             }
-            End::Unknown { .. } => slot.note(Sample::Failed),
+            End::Unknown { .. } => slot.set_sample(Sample::Failed),
         }
         end
     }
 
-    /// Waits for a further try, where there may be one.
-    async fn again(
+    /// Waits until the call may be tried again; refuses it if it may not.
+    async fn wait_for_retry(
         &self,
         work: &mut Work,
         endpoint: &id::Endpoint,
@@ -304,12 +311,15 @@
         work.tries += 1;
         work.avoid.push(endpoint.clone());
         let failure = Failure {
-            class: endpoint_state::class(work.class),
+            class: endpoint_state::policy_class(work.class),
             repeat,
             ran,
             tries: work.tries,
         };
-        let Verdict::Again { after } = self.core.scheduler.retry(&failure, self.core.clock.now())
+        let Verdict::Again { after } = self
+            .core
+            .scheduler
+            .decide_retry(&failure, self.core.clock.now())
         else {
             return Err(Refusal::new(Code::EndpointFailed, detail).ran(ran));
         };
@@ -317,13 +327,13 @@
         let now = self.core.clock.now();
         self.core
             .trace
-            .note(now, Event::CallRetried, &work.program, 0, &text);
+            .record(now, Event::CallRetried, &work.program, 0, &text);
         tokio::time::sleep(after.as_duration()).await;
         Ok(())
     }
 }
 
-fn digest(call: &Call) -> id::Digest {
+fn content_digest(call: &Call) -> id::Digest {
     let mut content = format!("{}/{}\n", call.service, call.operation).into_bytes();
     content.extend_from_slice(&call.body);
     id::Digest::of(&content)
@@ -331,5 +341,5 @@
 
 fn work(core: &Core, ask: &Ask, call: &Call) -> Result<Work> {
     let service = call.service.to_string();
-    work::new(core, ask, Kind::Service, &service, 0, EXPECTED)
+    work::new(core, ask, Kind::Service, &service, 0, EXPECTED_TOKENS)
 }
--- a/crates/node/src/owner/decide.rs
+++ b/crates/node/src/owner/decide.rs
@@ -1,5 +1,6 @@
-//! The actor's decisions for the tasks that carry turns and calls: each asks the journal's gate,
-//! applies the records that it yields, and hands them to the journal in the same step.
+//! The decisions that the shard's actor makes for turn and call tasks. Each calls the journal's
+//! decision function, applies the resulting records to the state, and hands them to the journal in
+//! the same step.
 
 use journal::decision;
 use journal::decision::Turn;
@@ -19,8 +20,8 @@
 
 impl Owner {
     pub(super) fn begin(&mut self, begin: &message::Begin) -> Result<Decided<Begun>, Refusal> {
-        let created = self.first_of(&begin.program, &begin.caller, begin.budget)?;
-        let gate = decision::Begin {
+        let created = self.create_if_absent(&begin.program, &begin.caller, begin.budget)?;
+        let input = decision::Begin {
             program: &begin.program,
             caller: &begin.caller,
             turn: Some(begin.turn),
@@ -31,11 +32,11 @@
             endpoint: Some(&begin.endpoint),
             now: self.core.clock.now(),
         };
-        let start = match decision::begin(&self.state, &gate) {
+        let start = match decision::begin(&self.state, &input) {
             Ok(Turn::Start(start)) => start,
             Ok(_) => return Err(Refusal::new(Code::Internal, "the turn began twice")),
             Err(refusal) => {
-                let _durable = self.apply(created.into_iter().collect());
+                let _append = self.apply(created.into_iter().collect());
                 return Err(refusal);
             }
         };
@@ -49,9 +50,9 @@
         Ok(self.decide(value, records))
     }
 
-    /// Applies the making of a program that doesn't exist yet, and yields its record, which goes
-    /// to the journal with the program's first deed.
-    fn first_of(
+    /// Creates the program in the state if it doesn't exist yet. Returns the record, which the
+    /// caller appends to the journal together with the program's first turn or call.
+    fn create_if_absent(
         &mut self,
         program: &id::Program,
         caller: &id::Caller,
@@ -60,7 +61,7 @@
         if self.state.program(program).is_some() {
             return Ok(None);
         }
-        let wish = decision::Create {
+        let create = decision::Create {
             program,
             caller,
             tokens: budget.tokens,
@@ -68,7 +69,7 @@
             idle: budget.idle,
             now: self.core.clock.now(),
         };
-        let record = decision::create(&self.state, &wish)?;
+        let record = decision::create(&self.state, &create)?;
         if let Some(record) = &record {
             self.state.apply(record);
         }
@@ -79,7 +80,7 @@
         &mut self,
         restart: &message::Restart,
     ) -> Result<Decided<decision::Start>, Refusal> {
-        let gate = decision::Restart {
+        let input = decision::Restart {
             program: &restart.program,
             ended: restart.ended,
             used: restart.used,
@@ -88,7 +89,7 @@
             endpoint: Some(&restart.endpoint),
             now: self.now(),
         };
-        let start = decision::restart(&self.state, &gate)?.ok_or_else(superseded)?;
+        let start = decision::restart(&self.state, &input)?.ok_or_else(superseded)?;
         let records = start.records.clone();
         Ok(self.decide(start, records))
     }
@@ -98,7 +99,7 @@
             .state
             .program(&commit.program)
             .map_or(0, |p| p.committed() + 1);
-        let gate = decision::Commit {
+        let input = decision::Commit {
             program: &commit.program,
             attempt: commit.attempt,
             messages: commit.messages,
@@ -107,7 +108,7 @@
             endpoint: &commit.endpoint,
             now: self.core.clock.now(),
         };
-        let record = decision::commit(&self.state, gate)?.ok_or_else(superseded)?;
+        let record = decision::commit(&self.state, input)?.ok_or_else(superseded)?;
         self.last_endpoints.set(&commit.program, &commit.endpoint);
         Ok(self.decide(turn, [record]))
     }
@@ -125,15 +126,15 @@
         match decision::blame(&self.state, program, digest, endpoint) {
             decision::Blame::Suspect(records) => self.decide(false, records),
             decision::Blame::Poisoned(records) => {
-                poison::condemn(&self.core, self.state.content_digest(program, digest));
+                poison::mark(&self.core, self.state.content_digest(program, digest));
                 self.decide(true, records)
             }
         }
     }
 
     pub(super) fn intend(&mut self, intend: &message::Intend) -> Result<Decided<()>, Refusal> {
-        let created = self.first_of(&intend.program, &intend.caller, intend.budget)?;
-        let gate = decision::Intend {
+        let created = self.create_if_absent(&intend.program, &intend.caller, intend.budget)?;
+        let input = decision::Intend {
             program: &intend.program,
             caller: &intend.caller,
             key: &intend.key,
@@ -142,11 +143,11 @@
             now: self.now(),
             status: self.status(),
         };
-        let records = match decision::intend(&self.state, &gate) {
+        let records = match decision::intend(&self.state, &input) {
             Ok(decision::Call::Start(records)) => records,
             Ok(_) => return Err(Refusal::new(Code::Internal, "the call began twice")),
             Err(refusal) => {
-                let _durable = self.apply(created.into_iter().collect());
+                let _append = self.apply(created.into_iter().collect());
                 return Err(refusal);
             }
         };
--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -1,7 +1,7 @@
-//! The replies to one ask, shared by every caller that asked the same.
+//! The replies to one request, sent to every caller that made the same request.
 //!
-//! A turn doesn't depend on who listens: callers may go away, and others that ask the same turn
-//! join and first get what has been said so far.
+//! A turn doesn't depend on its listeners: callers may disconnect, and others that request the same
+//! turn subscribe and first get the replies sent so far.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,61 +13,62 @@
 use wire::ask::Reply;
 use wire::code::Refusal;
 
-/// Where replies to one caller go.
+/// Sends replies to one caller.
 pub type Sink = UnboundedSender<Reply>;
 
-/// The replies to one ask. Clones share them.
+/// The replies to one request. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Feed(Arc<Mutex<Said>>);
+pub struct Feed(Arc<Mutex<State>>);
 
 #[derive(Debug, Default)]
-struct Said {
+struct State {
     deltas: Vec<Value>,
     last: Option<Reply>,
     sinks: Vec<Sink>,
 }
 
 impl Feed {
-    /// Adds a listener, which gets what was said so far.
-    pub fn join(&self, sink: Sink) {
-        let mut said = self.lock();
-        for delta in &said.deltas {
-            let _gone = sink.send(Reply::Delta(delta.clone()));
+    /// Adds a listener and sends it the replies so far.
+    pub fn subscribe(&self, sink: Sink) {
+        let mut state = self.lock();
+        for delta in &state.deltas {
+            let _receiver_gone = sink.send(Reply::Delta(delta.clone()));
         }
-        match &said.last {
+        match &state.last {
             Some(last) => {
-                let _gone = sink.send(last.clone());
+                let _receiver_gone = sink.send(last.clone());
             }
-            None => said.sinks.push(sink),
+            None => state.sinks.push(sink),
         }
     }
 
-    /// Passes a piece of the answer on.
-    pub fn delta(&self, delta: Value) {
-        let mut said = self.lock();
-        said.sinks
+    /// Sends a piece of the answer to every listener.
+    pub fn send_delta(&self, delta: Value) {
+        let mut state = self.lock();
+        state
+            .sinks
             .retain(|sink| sink.send(Reply::Delta(delta.clone())).is_ok());
-        said.deltas.push(delta);
+        state.deltas.push(delta);
     }
 
-    /// Passes the last reply on; later ones are dropped.
+    /// Sends the last reply to every listener; ignores later calls.
     pub fn finish(&self, last: Reply) {
-        let mut said = self.lock();
-        if said.last.is_some() {
+        let mut state = self.lock();
+        if state.last.is_some() {
             return;
         }
-        for sink in std::mem::take(&mut said.sinks) {
-            let _gone = sink.send(last.clone());
+        for sink in std::mem::take(&mut state.sinks) {
+            let _receiver_gone = sink.send(last.clone());
         }
-        said.last = Some(last);
+        state.last = Some(last);
     }
 
-    /// Ends with a refusal.
+    /// Sends a refusal as the last reply.
     pub fn refuse(&self, refusal: Refusal) {
         self.finish(Reply::Refused(refusal));
     }
 
-    fn lock(&self) -> MutexGuard<'_, Said> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/owner/feed/tests.rs
+++ b/crates/node/src/owner/feed/tests.rs
@@ -5,12 +5,12 @@
 use super::*;
 
 #[test]
-fn a_late_listener_gets_everything_once() {
+fn a_late_listener_gets_every_reply_once() {
     let feed = Feed::default();
-    feed.delta(json!("a"));
+    feed.send_delta(json!("a"));
     let (sink, mut replies) = mpsc::unbounded_channel();
-    feed.join(sink);
-    feed.delta(json!("b"));
+    feed.subscribe(sink);
+    feed.send_delta(json!("b"));
     feed.refuse(Refusal::new(Code::Poisoned, ""));
     feed.refuse(Refusal::new(Code::Internal, ""));
     assert_eq!(replies.try_recv(), Ok(Reply::Delta(json!("a"))));
--- a/crates/node/src/owner/last_endpoint.rs
+++ b/crates/node/src/owner/last_endpoint.rs
@@ -1,14 +1,14 @@
-//! Where each program ran last, and so where its whole history is cached. Kept in memory only:
-//! after a takeover the journal's list of holders stands in for it.
+//! The endpoint at which each program ran last, which caches the program's whole history. Kept in
+//! memory only: after a takeover the journal's list of cache holders is used instead.
 
 use wire::id;
 
-/// Where each program ran last, sorted by program.
+/// The endpoint at which each program ran last, sorted by program.
 #[derive(Debug, Default)]
 pub struct LastEndpoints(Vec<(id::Program, id::Endpoint)>);
 
 impl LastEndpoints {
-    /// Looks up where a program ran last.
+    /// Returns the endpoint at which a program ran last.
     #[must_use]
     pub fn find(&self, program: &id::Program) -> Option<&id::Endpoint> {
         let at = self
@@ -18,7 +18,7 @@
         Some(&self.0[at].1)
     }
 
-    /// Notes where a program ran.
+    /// Records that a program ran at an endpoint.
     pub fn set(&mut self, program: &id::Program, endpoint: &id::Endpoint) {
         match self.0.binary_search_by(|(name, _)| name.cmp(program)) {
             Ok(at) => self.0[at].1 = endpoint.clone(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Forgets the programs that don't match.
+    /// Removes the programs for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&id::Program) -> bool) {
         self.0.retain(|(name, _)| keep(name));
     }
--- a/crates/node/src/owner/maintenance.rs
+++ b/crates/node/src/owner/maintenance.rs
@@ -1,5 +1,5 @@
-//! What a shard's actor looks after without being asked: programs that were idle for too long,
-//! cache that engines hold for ended ones, and the journal's length.
+//! The periodic maintenance of a shard by its actor: ends programs that were idle for too long,
+//! releases the cache that endpoints hold for ended programs, and limits the journal's length.
 
 use journal::decision;
 use journal::snapshot::Image;
@@ -14,35 +14,35 @@
 use crate::owner::message::Message;
 use crate::owner::shard::Owner;
 
-/// Orders to release that go out of one shard at a time; a lost one is sent again a second later.
-const RELEASES: usize = 64;
-/// How long an endpoint may take to confirm an order; less than the second between two sends.
-const ORDER: Millis = Millis::new(800);
-/// How long an ended program is kept, so that its idempotency keys and its last answer's refusal
-/// outlast every retry of a caller.
+/// The most release orders that a shard sends per tick. A lost order is sent again a second later.
+const MAX_RELEASES_PER_TICK: usize = 64;
+/// How long an endpoint may take to confirm an order; less than the second between two ticks.
+const ORDER_TIMEOUT: Millis = Millis::new(800);
+/// How long an ended program is kept, so that its idempotency keys, and the refusal of a request for
+/// its last answer, outlast every retry of a caller.
 const RETENTION: Millis = Millis::new(60 * 60 * 1000);
 
-/// Does what is due.
+/// Runs the maintenance that is due.
 pub(super) fn tick(owner: &mut Owner) {
     end_idle(owner);
-    forget(owner);
-    release(owner);
-    name_holders(owner);
+    forget_ended(owner);
+    release_caches(owner);
+    update_copy_holders(owner);
     if owner.log.is_snapshot_due() {
         owner.log.snapshot(Image::of(&owner.state));
     }
 }
 
-/// Names the VMs that hold copies anew where one was replaced. Without it an owner that opened its
-/// shard as the first VM of its data centre, or whose holders were restarted since, would have
-/// nowhere to put a committed turn in the next outage.
-fn name_holders(owner: &mut Owner) {
+/// Journals a changed list of the VMs that hold copies. Without this, an owner that opened its shard
+/// as the first VM of its data centre, or whose copy holders have restarted since, would have no VM
+/// to copy a committed turn to in the next outage.
+fn update_copy_holders(owner: &mut Owner) {
     if !owner.log.may_change_holders() {
         return;
     }
     let holders = copies::holders(&owner.core, &owner.shard);
     let record = decision::change_copy_holders(&owner.state, &holders);
-    let _durable = owner.apply(record.into_iter().collect());
+    let _append = owner.apply(record.into_iter().collect());
 }
 
 fn end_idle(owner: &mut Owner) {
@@ -55,27 +55,27 @@
             continue;
         };
         let ended = decision::end(&owner.state, &program, &caller, Code::IdleExpired, now);
-        let _durable = owner.apply(ended.unwrap_or_default());
+        let _append = owner.apply(ended.unwrap_or_default());
     }
 }
 
-fn forget(owner: &mut Owner) {
+fn forget_ended(owner: &mut Owner) {
     let now = owner.now();
     let ended = owner.state.programs().filter(|p| p.ended.is_some());
     let records: Vec<_> = ended
         .filter_map(|p| decision::forget(&owner.state, &p.id, RETENTION, now))
         .collect();
-    let _durable = owner.apply(records);
+    let _append = owner.apply(records);
     let state = &owner.state;
     owner
         .last_endpoints
         .retain(|p| state.program(p).is_some_and(|p| p.ended.is_none()));
 }
 
-/// Asks endpoints again to release what they hold of ended programs, until they confirm.
-fn release(owner: &mut Owner) {
+/// Orders endpoints to release their cache of ended programs, again at each tick until they confirm.
+fn release_caches(owner: &mut Owner) {
     let view = owner.core.view();
-    let held = decision::cache_holders(&owner.state).take(RELEASES);
+    let held = decision::cache_holders(&owner.state).take(MAX_RELEASES_PER_TICK);
     let held: Vec<(id::Program, id::Endpoint)> = held
         .map(|(program, endpoint)| (program.clone(), endpoint.clone()))
         .collect();
@@ -85,28 +85,28 @@
             .endpoint(endpoint.as_str())
             .map(|e| e.address.clone())
         else {
-            // An endpoint that the operators took out of the configuration is gone with its cache.
+            // An endpoint that operators removed from the configuration is gone, and so is its cache.
             let record = decision::cache_released(&owner.state, &program, &endpoint);
-            let _durable = owner.apply(record.into_iter().collect());
+            let _append = owner.apply(record.into_iter().collect());
             continue;
         };
-        let order = order(owner, &program);
+        let order = release_order(owner, &program);
         let core = owner.core.clone();
         let myself = owner.myself.clone();
         owner.core.tasks.spawn(async move {
-            if confirmed(&core, &address, order).await {
+            if send_order(&core, &address, order).await {
                 log::info!(
                     "{} program={program} endpoint={endpoint}",
                     Event::CacheReleased
                 );
-                let _gone = myself.cast(Message::Released(program, endpoint));
+                let _actor_gone = myself.cast(Message::Released(program, endpoint));
             }
         });
     }
 }
 
-/// Yields those of the programs that are gone: unknown to the shard, or ended. A program is known
-/// from before its first dispatch on.
+/// Returns those of the programs that are gone: unknown to the shard, or ended. The shard knows a
+/// program before the program's first dispatch.
 pub(super) fn gone(owner: &Owner, programs: Vec<id::Program>) -> Vec<id::Program> {
     let live = |id: &id::Program| {
         let program = owner.state.program(id);
@@ -115,8 +115,8 @@
     programs.into_iter().filter(|id| !live(id)).collect()
 }
 
-/// Orders an endpoint to release those of the programs that are gone, though the journal doesn't
-/// name it as their holder.
+/// Orders an endpoint to release its cache of those of the programs that are gone, although the
+/// journal doesn't list the endpoint as a holder.
 pub(super) fn sweep(owner: &Owner, endpoint: &id::Endpoint, programs: Vec<id::Program>) {
     let view = owner.core.view();
     let Some(known) = view.config.endpoint(endpoint.as_str()) else {
@@ -124,9 +124,9 @@
     };
     for program in gone(owner, programs) {
         let (core, address) = (owner.core.clone(), known.address.clone());
-        let (endpoint, order) = (endpoint.clone(), order(owner, &program));
+        let (endpoint, order) = (endpoint.clone(), release_order(owner, &program));
         owner.core.tasks.spawn(async move {
-            if confirmed(&core, &address, order).await {
+            if send_order(&core, &address, order).await {
                 log::warn!(
                     "{} program={program} endpoint={endpoint}",
                     Event::CacheSwept
@@ -136,7 +136,7 @@
     }
 }
 
-fn order(owner: &Owner, program: &id::Program) -> String {
+fn release_order(owner: &Owner, program: &id::Program) -> String {
     let order = serde_json::json!({
         "order": "release",
         "program": program,
@@ -146,8 +146,8 @@
     order.to_string()
 }
 
-/// Sends an order and tells whether the endpoint confirmed it.
-async fn confirmed(core: &Core, address: &str, order: String) -> bool {
+/// Sends an order. Returns whether the endpoint confirmed it.
+async fn send_order(core: &Core, address: &str, order: String) -> bool {
     let post = Post {
         address,
         path: "/orders",
@@ -155,6 +155,6 @@
         headers: &[],
         body: order.into(),
     };
-    let sent = tokio::time::timeout(ORDER.as_duration(), core.client.post(post)).await;
+    let sent = tokio::time::timeout(ORDER_TIMEOUT.as_duration(), core.client.post(post)).await;
     sent.is_ok_and(|answer| answer.is_ok_and(|answer| answer.status().is_success()))
 }
--- a/crates/node/src/owner/message.rs
+++ b/crates/node/src/owner/message.rs
@@ -1,4 +1,4 @@
-//! What a shard's actor is told and asked.
+//! The messages to a shard's actor.
 
 use journal::decision;
 use journal::log;
@@ -13,15 +13,15 @@
 
 use crate::owner::feed::Sink;
 
-/// A decision of the actor's, with the append that must be durable before its effect.
+/// A decision of the actor, with the append that must be durable before the decision takes effect.
 pub struct Decided<T> {
-    /// What was decided.
+    /// The result of the decision.
     pub value: T,
-    /// The append of its records.
+    /// The append of its records; `None` if there are none.
     pub durable: Option<log::Append>,
 }
 
-/// Where a decision goes.
+/// Sends a decision to the task that asked for it.
 pub type Answer<T> = oneshot::Sender<Result<Decided<T>, Refusal>>;
 
 /// A message to a shard's actor.
@@ -30,31 +30,32 @@
     Ask(Ask, Sink),
     /// A turn has an endpoint and wants to start.
     Begin(Begin, Answer<Begun>),
-    /// An attempt ended and the turn goes on elsewhere.
+    /// An attempt ended and the turn continues with another attempt.
     Restart(Restart, Answer<decision::Start>),
-    /// An answer is whole.
+    /// An answer is complete.
     Commit(Commit, Answer<u32>),
     /// A turn ends without an answer.
     Stop(id::Program, id::Attempt, Option<u64>, Answer<()>),
-    /// An endpoint crashed while it ran a turn; answers whether the content is refused for good.
+    /// An endpoint crashed while it ran a turn. The answer says whether the content is poisoned, that
+    /// is, refused permanently.
     Blame(id::Program, id::Digest, id::Endpoint, Answer<bool>),
     /// A call that may run at most once has an endpoint and wants to start.
     Intend(Intend, Answer<()>),
-    /// What became of such a call.
+    /// The outcome of such a call.
     Resolve(id::Program, id::Key, id::Attempt, Outcome, Answer<()>),
-    /// The task of a request has ended; its place among the pending ones is free.
-    Over(crate::owner::pending::Name),
+    /// The task of a request has ended; the request is no longer pending.
+    Finished(crate::owner::pending::Name),
     /// An endpoint confirmed that it holds no cache of an ended program.
     Released(id::Program, id::Endpoint),
-    /// Which of these programs are gone?
+    /// Asks which of these programs are gone: unknown to the shard, or ended.
     Gone(Vec<id::Program>, oneshot::Sender<Vec<id::Program>>),
-    /// An endpoint holds cache of these programs; release those that are gone.
+    /// An endpoint holds cache of these programs; it is to release those that are gone.
     Sweep(id::Endpoint, Vec<id::Program>),
-    /// Look after idle and ended programs.
+    /// Runs the periodic maintenance.
     Tick,
-    /// Take no new turns, and answer when nothing runs any more.
+    /// Accepts no new work and answers when no request is pending.
     Drain(oneshot::Sender<()>),
-    /// The shard is given up: what was asked before gets its answer, then the actor ends.
+    /// The shard is released: the actor answers the messages before this one, then ends.
     Close,
     /// The shard has another owner.
     Lost,
@@ -64,17 +65,17 @@
 pub struct Begin {
     /// The program.
     pub program: id::Program,
-    /// Who asks.
+    /// The caller that made the request.
     pub caller: id::Caller,
-    /// What the program may use, where it is to be made.
+    /// The program's budget, used if the program has to be created.
     pub budget: Budget,
     /// The turn.
     pub turn: u32,
     /// The new messages.
     pub messages: Vec<chat::Message>,
-    /// Their digest, with the options.
+    /// The digest of the new messages and the options.
     pub digest: id::Digest,
-    /// Tokens that the answer may have.
+    /// The most tokens that the answer may have.
     pub want: u64,
     /// The attempt.
     pub attempt: id::Attempt,
@@ -84,7 +85,7 @@
 
 /// A turn that may start once its records are durable.
 pub struct Begun {
-    /// The attempt's output limit and turn.
+    /// The attempt's output limit and the turn.
     pub start: decision::Start,
     /// The history before the turn.
     pub history: Vec<chat::Message>,
@@ -96,9 +97,9 @@
     pub program: id::Program,
     /// The attempt that ended.
     pub ended: id::Attempt,
-    /// Tokens that it generated; `None` where that isn't known.
+    /// Tokens that the ended attempt generated; `None` if unknown.
     pub used: Option<u64>,
-    /// Tokens that the rest may have.
+    /// The most tokens that the rest of the answer may have.
     pub want: u64,
     /// The new attempt.
     pub attempt: id::Attempt,
@@ -106,7 +107,7 @@
     pub endpoint: id::Endpoint,
 }
 
-/// A whole answer.
+/// A complete answer.
 pub struct Commit {
     /// The program.
     pub program: id::Program,
@@ -126,9 +127,9 @@
 pub struct Intend {
     /// The program.
     pub program: id::Program,
-    /// Who asks.
+    /// The caller that made the request.
     pub caller: id::Caller,
-    /// What the program may use, where it is to be made.
+    /// The program's budget, used if the program has to be created.
     pub budget: Budget,
     /// The idempotency key.
     pub key: id::Key,
--- a/crates/node/src/owner/poison.rs
+++ b/crates/node/src/owner/poison.rs
@@ -1,9 +1,10 @@
-//! Contents that crashed the endpoints that ran them, as this VM knows them.
+//! The poisoned contents that this VM knows: contents that crashed the endpoints that ran them.
 //!
-//! Each shard's journal remembers its own. A caller that asks again without naming a program gets
-//! a new one, perhaps of another shard or through another VM; without this list the request would
-//! crash two further endpoints there. It is spread in the data centre when a content is condemned,
-//! and kept in memory: a VM that missed it learns it from the next two crashes.
+//! Each shard's journal contains the shard's own poisoned contents. A caller that repeats a request
+//! without naming a program gets a new program, perhaps in another shard or through another VM;
+//! without this list the request would crash two more endpoints there. A VM that marks a content as
+//! poisoned notifies the other VMs of its data centre. The list is kept in memory only: a VM that
+//! missed the notification learns of the content from the next two crashes.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,31 +21,31 @@
 use crate::http::client::Post;
 use crate::peer;
 
-/// Contents kept; the oldest go first. Such requests come "now and then": a thousand outlast every
-/// caller's retries.
-const KEPT: usize = 1_024;
-/// How long another VM may take to hear of a content.
-const TOLD: Millis = Millis::new(1_000);
+/// The most contents kept; the oldest is dropped first. Such requests are rare, so a thousand
+/// entries outlast every caller's retries.
+const MAX_CONTENTS: usize = 1_024;
+/// Timeout for notifying another VM of a content.
+const NOTIFY_TIMEOUT: Millis = Millis::new(1_000);
 
-/// Contents that are refused for good, sorted, with the time at which each was condemned.
+/// Contents that are refused permanently, sorted, with the time at which this VM added each.
 #[derive(Debug, Default)]
 pub struct Poison(Mutex<Vec<(id::Digest, Millis)>>);
 
 impl Poison {
-    /// Tells whether a content is refused for good.
+    /// Returns whether a content is refused permanently.
     #[must_use]
-    pub fn knows(&self, content: id::Digest) -> bool {
+    pub fn contains(&self, content: id::Digest) -> bool {
         let known = self.lock();
         known.binary_search_by_key(&content, |(c, _)| *c).is_ok()
     }
 
-    /// Adds a content.
+    /// Adds a content; drops the oldest one if there are too many.
     pub fn add(&self, content: id::Digest, now: Millis) {
         let mut known = self.lock();
         if let Err(at) = known.binary_search_by_key(&content, |(c, _)| *c) {
             known.insert(at, (content, now));
         }
-        if known.len() > KEPT {
+        if known.len() > MAX_CONTENTS {
             let oldest = known.iter().enumerate().min_by_key(|(_, (_, at))| *at);
             if let Some((at, _)) = oldest {
                 known.remove(at);
@@ -57,8 +58,8 @@
     }
 }
 
-/// Condemns a content on this VM and tells the others of the data centre.
-pub fn condemn(core: &Arc<Core>, content: id::Digest) {
+/// Marks a content as poisoned on this VM and notifies the other VMs of the data centre.
+pub fn mark(core: &Arc<Core>, content: id::Digest) {
     core.poison.add(content, core.clock.now());
     let Ok(body) = frame::encode(&content) else {
         return;
@@ -71,11 +72,11 @@
         let address = other.address.to_string();
         core.clone()
             .tasks
-            .spawn(async move { tell(&core, &address, body).await });
+            .spawn(async move { notify(&core, &address, body).await });
     }
 }
 
-async fn tell(core: &Core, address: &str, body: Bytes) {
+async fn notify(core: &Core, address: &str, body: Bytes) {
     let post = Post {
         address,
         path: peer::POISON,
@@ -83,10 +84,11 @@
         headers: &[],
         body,
     };
-    let _lost = tokio::time::timeout(TOLD.as_duration(), core.client.post(post)).await;
+    let _unreached =
+        tokio::time::timeout(NOTIFY_TIMEOUT.as_duration(), core.client.post(post)).await;
 }
 
-/// Answers [`peer::POISON`]; `None` where the body isn't a frame.
+/// Handles [`peer::POISON`]. Returns `None` if the body isn't a frame.
 pub fn serve(core: &Core, body: Bytes) -> Option<Bytes> {
     let content = frame::decode::<id::Digest>(&mut BytesMut::from(body)).ok()??;
     core.poison.add(content, core.clock.now());
--- a/crates/node/src/owner/poison/tests.rs
+++ b/crates/node/src/owner/poison/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn the_oldest_go_first() {
+fn the_oldest_content_is_dropped_first() {
     let poison = Poison::default();
-    let count = KEPT as u64 + 1;
+    let count = MAX_CONTENTS as u64 + 1;
     for n in 0..count {
-        // Downwards, so that the order of contents isn't that of their times.
+        // Contents descend while times ascend, so that the two orders differ.
         poison.add(id::Digest(count - n), Millis::new(n));
     }
-    assert!(!poison.knows(id::Digest(count)));
-    assert!(poison.knows(id::Digest(count - 1)));
-    assert!(poison.knows(id::Digest(1)));
+    assert!(!poison.contains(id::Digest(count)));
+    assert!(poison.contains(id::Digest(count - 1)));
+    assert!(poison.contains(id::Digest(1)));
 }
--- a/crates/node/src/owner/registry.rs
+++ b/crates/node/src/owner/registry.rs
@@ -1,5 +1,5 @@
 //! The shards that this VM owns. The claims controller calls [`Registry::claim`] and
-//! [`Registry::release`]; the filters look an ask's shard up.
+//! [`Registry::release`]; the filters look up the shard of a request.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,7 +26,7 @@
 use crate::owner::message::Message;
 use crate::owner::shard;
 
-/// The outcome of a claim.
+/// The result of a claim.
 pub type Result<T> = claim::Result<T>;
 
 /// The shards that this VM owns, sorted by shard.
@@ -43,12 +43,12 @@
     setup: Setup,
 }
 
-/// Whether an owned shard takes new turns.
+/// Whether an owned shard accepts new turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does.
+    /// It accepts new turns.
     Serving,
-    /// It is about to be given up.
+    /// It is about to be released and refuses new turns.
     Draining,
 }
 
@@ -57,21 +57,21 @@
 pub struct Owned {
     /// The shard.
     pub shard: id::Shard,
-    /// The number of this ownership.
+    /// The epoch of this ownership.
     pub epoch: u64,
-    /// Whether it takes new turns.
+    /// Whether it accepts new turns.
     pub phase: Phase,
-    /// Where its journal stands.
+    /// The status of its journal.
     pub status: Status,
 }
 
 impl Registry {
-    /// Opens a shard's journal, which fences every earlier owner, and starts to serve it. Yields
-    /// the ownership's number.
+    /// Opens a shard's journal, which fences every earlier owner, and starts to serve the shard.
+    /// Returns the epoch of the ownership.
     ///
     /// # Errors
     ///
-    /// Fails where the shard can't be opened now; the claim may be tried again.
+    /// Fails if the shard can't be opened now; the claim may be tried again.
     pub async fn claim(&self, core: &Arc<Core>, setup: Setup, lease: Lease) -> Result<u64> {
         let opened = claim::open(setup.clone(), lease).await?;
         let shard = setup.shard.clone();
@@ -83,10 +83,13 @@
         };
         let spawned = Actor::spawn(None, shard::Shard, arguments).await;
         let (actor, task) = spawned.map_err(|f| claim::Fault::Damaged(f.to_string()))?;
-        let ended = forget(core.clone(), shard.clone(), opened.epoch, task);
+        let ended = forget_when_ended(core.clone(), shard.clone(), opened.epoch, task);
         core.tasks.spawn(ended);
-        core.tasks
-            .spawn(watch(core.clone(), opened.log.clone(), actor.clone()));
+        core.tasks.spawn(watch_ownership(
+            core.clone(),
+            opened.log.clone(),
+            actor.clone(),
+        ));
         let entry = Entry {
             shard,
             epoch: opened.epoch,
@@ -103,12 +106,12 @@
         Ok(opened.epoch)
     }
 
-    /// Writes the ownership record of an open shard anew after its lease has lapsed. `false` where
-    /// the shard isn't open here or another VM holds the record.
+    /// Writes the ownership record of an open shard again after its lease has expired. Returns
+    /// `false` if the shard isn't open on this VM or another VM holds the record.
     ///
     /// # Errors
     ///
-    /// Fails where the platform doesn't answer as it should.
+    /// Fails if the platform doesn't answer as expected.
     pub async fn reclaim(&self, shard: &id::Shard, lease: Lease) -> Result<bool> {
         let Some(entry) = self.entry(shard) else {
             return Ok(false);
@@ -116,8 +119,8 @@
         claim::reclaim(&entry.setup, entry.epoch, lease).await
     }
 
-    /// Finishes what runs of a shard, then gives it up. What still arrives meanwhile waits or is
-    /// forwarded. Returns when the shard is free to be claimed by another.
+    /// Waits until a shard's pending requests have ended, then releases the shard. Requests that
+    /// arrive meanwhile wait or are forwarded. Returns when another VM can claim the shard.
     pub async fn release(&self, shard: &id::Shard) {
         let Some(entry) = self.entry(shard) else {
             return;
@@ -125,13 +128,14 @@
         self.set_draining(shard);
         let (sender, drained) = oneshot::channel();
         if entry.actor.cast(Message::Drain(sender)).is_ok() {
-            let _gone = drained.await;
+            let _actor_gone = drained.await;
         }
         self.remove(shard, entry.epoch);
-        // Stopped at once, the actor would drop the asks that reached it before the shard was removed.
+        // `Close` is queued behind the requests that reached the actor before the shard was removed.
+        // An immediate stop would drop them.
         let _ended = entry.actor.cast(Message::Close);
         if let Err(fault) = claim::release(&entry.setup, entry.epoch).await {
-            // The lease's end frees the shard as well, only later.
+            // The shard becomes free anyway, but only when its lease expires.
             log::warn!("{} shard={shard} reason={fault:?}", Event::ShardReleased);
             return;
         }
@@ -142,7 +146,8 @@
         );
     }
 
-    /// Steps down for a newer owner of a shard, and yields what may not be in its journal yet.
+    /// Steps down for a newer owner of a shard. Returns the batches that may not be in the journal
+    /// yet.
     pub async fn step_down(&self, shard: &id::Shard, epoch: u64) -> Vec<Batch> {
         let Some(entry) = self.entry(shard).filter(|entry| entry.epoch < epoch) else {
             return Vec::new();
@@ -153,12 +158,12 @@
         held
     }
 
-    /// Forgets a shard that has another owner.
-    pub fn lose(&self, shard: &id::Shard, epoch: u64) {
+    /// Removes a shard of which this VM's ownership with this epoch has ended.
+    pub fn forget(&self, shard: &id::Shard, epoch: u64) {
         self.remove(shard, epoch);
     }
 
-    /// Yields the shards that this VM owns, sorted.
+    /// Returns the shards that this VM owns, sorted.
     #[must_use]
     pub fn owned(&self) -> Vec<Owned> {
         let owned = |entry: &Entry| Owned {
@@ -170,71 +175,72 @@
         self.lock().iter().map(owned).collect()
     }
 
-    /// Tells whether this VM owns a shard.
+    /// Returns whether this VM owns a shard.
     #[must_use]
     pub fn holds(&self, shard: &id::Shard) -> bool {
-        self.entry_at(shard, |_| ()).is_some()
+        self.read_entry(shard, |_| ()).is_some()
     }
 
-    /// Tells whether this VM owns a shard and takes new turns of it.
+    /// Returns whether this VM owns a shard and accepts new turns for it.
     #[must_use]
     pub fn serves(&self, shard: &id::Shard) -> bool {
-        self.entry_at(shard, |e| e.phase) == Some(Phase::Serving)
+        self.read_entry(shard, |e| e.phase) == Some(Phase::Serving)
     }
 
-    /// Hands an ask to a shard's actor.
+    /// Sends a request to a shard's actor.
     ///
     /// # Errors
     ///
-    /// Gives the ask back where the shard isn't owned here.
+    /// Returns the request if this VM doesn't own the shard.
     pub fn ask(
         &self,
         shard: &id::Shard,
         ask: Ask,
         sink: Sink,
     ) -> std::result::Result<(), Box<(Ask, Sink)>> {
-        let Some(actor) = self.entry_at(shard, |e| e.actor.clone()) else {
+        let Some(actor) = self.read_entry(shard, |e| e.actor.clone()) else {
             return Err(Box::new((ask, sink)));
         };
         match actor.cast(Message::Ask(ask, sink)) {
             Err(MessagingErr::SendErr(Message::Ask(ask, sink))) => Err(Box::new((ask, sink))),
-            // A message that is lost otherwise drops its sink, which its listener notices.
+            // If the message is lost in another way, its sink is dropped, which the listener notices.
             _ => Ok(()),
         }
     }
 
-    /// Asks a shard's actor which programs are gone, and yields the number of the ownership with
-    /// them; `None` where the shard isn't owned here.
+    /// Returns those of the programs that are gone (unknown to the shard, or ended), with the epoch
+    /// of the ownership. Returns `None` if this VM doesn't own the shard.
     pub async fn gone(
         &self,
         shard: &id::Shard,
         programs: &[id::Program],
     ) -> Option<(u64, Vec<id::Program>)> {
-        let (epoch, actor) = self.entry_at(shard, |e| (e.epoch, e.actor.clone()))?;
+        let (epoch, actor) = self.read_entry(shard, |e| (e.epoch, e.actor.clone()))?;
         let (sender, answer) = oneshot::channel();
         actor.cast(Message::Gone(programs.to_vec(), sender)).ok()?;
         Some((epoch, answer.await.ok()?))
     }
 
-    /// Has a shard's actor order an endpoint to release those of the programs that are gone.
+    /// Tells a shard's actor to order an endpoint to release its cache of those of the programs that
+    /// are gone.
     pub fn sweep(&self, shard: &id::Shard, endpoint: &id::Endpoint, programs: &[id::Program]) {
-        if let Some(actor) = self.entry_at(shard, |e| e.actor.clone()) {
-            let _gone = actor.cast(Message::Sweep(endpoint.clone(), programs.to_vec()));
+        if let Some(actor) = self.read_entry(shard, |e| e.actor.clone()) {
+            let _actor_gone = actor.cast(Message::Sweep(endpoint.clone(), programs.to_vec()));
         }
     }
 
-    /// Tells every shard to look after its idle and ended programs.
+    /// Tells every shard's actor to run its periodic maintenance.
     pub fn tick(&self) {
         for entry in self.lock().iter() {
-            let _gone = entry.actor.cast(Message::Tick);
+            let _actor_gone = entry.actor.cast(Message::Tick);
         }
     }
 
     fn entry(&self, shard: &id::Shard) -> Option<Entry> {
-        self.entry_at(shard, Entry::clone)
+        self.read_entry(shard, Entry::clone)
     }
 
-    fn entry_at<T>(&self, shard: &id::Shard, read: impl Fn(&Entry) -> T) -> Option<T> {
+    fn read_entry<T>(&self, shard: &id::Shard, read: impl Fn(&Entry) -> T) -> Option<T> {
         let entries = self.lock();
         let at = entries.binary_search_by(|e| e.shard.cmp(shard)).ok()?;
         Some(read(&entries[at]))
@@ -257,21 +263,22 @@
     }
 }
 
-/// Forgets a shard whose actor has ended, by a fault in it, say. Without this the VM would hold the
-/// shard and serve nobody; so it claims the shard anew, and the journal fences what is left.
-async fn forget<T>(core: Arc<Core>, shard: id::Shard, epoch: u64, actor: JoinHandle<T>) {
+/// Removes a shard once its actor has ended, for example because of a fault in the actor. Otherwise
+/// the VM would own the shard without serving it. After the removal the VM claims the shard again,
+/// and the journal fences whatever is left of the old ownership.
+async fn forget_when_ended<T>(core: Arc<Core>, shard: id::Shard, epoch: u64, actor: JoinHandle<T>) {
     tokio::select! {
-        _ended = actor => core.registry.lose(&shard, epoch),
+        _ended = actor => core.registry.forget(&shard, epoch),
         () = core.stopped.cancelled() => {}
     }
 }
 
 /// Tells the actor when its journal has another owner.
-async fn watch(core: Arc<Core>, log: Log, actor: ActorRef<Message>) {
+async fn watch_ownership(core: Arc<Core>, log: Log, actor: ActorRef<Message>) {
     let mut status = log.watch();
     drop(log);
     let lost = async {
-        // An error means that the log's task has ended, as it does once the shard is released.
+        // An error means that the log's task has ended, which it does once the shard is released.
         let _ended = status.wait_for(|status| *status == Status::Lost).await;
     };
     tokio::select! {
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -1,6 +1,6 @@
-//! The actor of one shard: the only place that decides on its programs. It applies each decision
-//! to its state and hands it to the journal in one step; the effects wait, in the requests' own
-//! tasks, until the journal has it.
+//! The actor of one shard, which alone decides on the shard's programs. The actor applies each
+//! decision to its state and hands the records to the journal in one step. The effects of a decision
+//! wait in the requests' own tasks until its records are durable.
 
 use std::sync::Arc;
 
@@ -46,18 +46,19 @@
 use crate::owner::pending::Pending;
 use crate::owner::turn;
 
-/// Tokens reserved for a turn whose caller names no limit: what a long answer takes. The rest of
-/// the reservation is free again once the turn commits.
-const RESERVE: u64 = 4_096;
-/// When a caller may come again in an outage of the platform; it is looked at once a second.
-const OUTAGE_PAUSE: Millis = Millis::new(1_000);
-/// When a caller may come again whose shard is being handed over.
-const HANDOVER: Millis = Millis::new(500);
+/// Tokens reserved for a turn whose caller sets no limit: enough for a long answer. The unused part
+/// is released when the turn commits.
+const DEFAULT_RESERVATION: u64 = 4_096;
+/// How long callers are told to wait before a retry during an outage of the platform, which is
+/// checked once a second.
+const OUTAGE_RETRY_DELAY: Millis = Millis::new(1_000);
+/// How long callers are told to wait before a retry while their shard is handed over.
+const HANDOVER_RETRY_DELAY: Millis = Millis::new(500);
 
-/// The actor's behaviour.
+/// The actor's message handler.
 pub struct Shard;
 
-/// What an actor is started with.
+/// The arguments of a new actor.
 pub struct Arguments {
     /// The node.
     pub core: Arc<Core>,
@@ -69,7 +70,7 @@
     pub log: Log,
 }
 
-/// What an actor knows.
+/// The state of an actor.
 pub struct Owner {
     pub(super) core: Arc<Core>,
     pub(super) shard: id::Shard,
@@ -78,10 +79,11 @@
     pub(super) myself: ActorRef<Message>,
     pub(super) pending: pending::List,
     pub(super) last_endpoints: LastEndpoints,
-    /// Whether the shard takes nothing new any more; it never does again once it was told so, or
-    /// what comes between its last look and its end would be lost on the way.
+    /// Whether the shard refuses new work. Never reset, because work accepted between the report
+    /// that the shard is drained and the actor's end would be lost.
     draining: bool,
-    drained: Vec<oneshot::Sender<()>>,
+    /// Notified once no request is pending.
+    drain_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Actor for Shard {
@@ -103,7 +105,7 @@
             pending: pending::List::default(),
             last_endpoints: LastEndpoints::default(),
             draining: false,
-            drained: Vec::new(),
+            drain_waiters: Vec::new(),
         })
     }
 
@@ -126,13 +128,13 @@
                 reply(answer, Ok(owner.blame(&program, digest, &endpoint)));
             }
             Message::Intend(intend, answer) => reply(answer, owner.intend(&intend)),
-            Message::Resolve(program, key, attempt, effect, answer) => {
-                let record = decision::resolve(&owner.state, &program, &key, attempt, effect);
+            Message::Resolve(program, key, attempt, outcome, answer) => {
+                let record = decision::resolve(&owner.state, &program, &key, attempt, outcome);
                 reply(answer, Ok(owner.decide((), record)));
             }
-            Message::Over(name) => owner.over(&name),
+            Message::Finished(name) => owner.finish(&name),
             Message::Gone(programs, answer) => {
-                let _asker_left = answer.send(maintenance::gone(owner, programs));
+                let _asker_gone = answer.send(maintenance::gone(owner, programs));
             }
             Message::Sweep(endpoint, programs) => maintenance::sweep(owner, &endpoint, programs),
             Message::Released(program, endpoint) => {
@@ -140,10 +142,10 @@
                 owner.apply(record.into_iter().collect());
             }
             Message::Tick => maintenance::tick(owner),
-            Message::Drain(done) => owner.drain(done),
+            Message::Drain(sender) => owner.drain(sender),
             Message::Close => myself.stop(None),
             Message::Lost => {
-                owner.lose();
+                owner.abandon();
                 myself.stop(None);
             }
         }
@@ -151,9 +153,9 @@
     }
 }
 
-/// Answers a task; one that is gone needs no answer.
+/// Sends a decision to a task; ignores that the task may be gone.
 fn reply<T>(answer: Answer<T>, decided: Result<Decided<T>, Refusal>) {
-    let _gone = answer.send(decided);
+    let _receiver_gone = answer.send(decided);
 }
 
 impl Owner {
@@ -184,7 +186,7 @@
     fn ask(&mut self, ask: &Ask, sink: &Sink) {
         let refused = match &ask.body {
             Body::Chat(chat) => self.chat(ask, chat, sink),
-            Body::Call(call) => call::ask(self, ask, call, sink),
+            Body::Call(call) => call::accept(self, ask, call, sink),
             Body::Create => self
                 .create(ask)
                 .and_then(|durable| self.show(ask, sink, durable)),
@@ -195,14 +197,15 @@
                 .and_then(|durable| self.show(ask, sink, durable)),
         };
         if let Err(refusal) = refused {
-            let _gone = sink.send(Reply::Refused(refusal));
+            let _receiver_gone = sink.send(Reply::Refused(refusal));
         }
     }
 
-    /// Refuses new work while the shard is handed over or the VM stops, and in an outage in which nothing of it
-    /// could become durable: it would wait for the platform with its caller none the wiser.
+    /// Refuses new work while the shard is handed over or the VM stops, and in an outage in which
+    /// none of its records could become durable: the work would wait for the platform, and its
+    /// caller would get no explanation.
     pub(super) fn check_open(&self) -> Result<(), Refusal> {
-        self.check_kept()?;
+        self.check_writable()?;
         if let Status::Outage { retry_after } = self.status()
             && self.log.has_no_holders()
         {
@@ -212,30 +215,30 @@
         Ok(())
     }
 
-    /// Refuses what changes the shard's state while it is handed over or the VM stops: nothing would
-    /// wait for its record, which the next owner may not read.
-    fn check_kept(&self) -> Result<(), Refusal> {
-        // A claim that ends after the stop's begin brings a shard that nobody drains.
+    /// Refuses changes of the shard's state while the shard is handed over or the VM stops: nothing
+    /// would wait for their records, which the next owner may not read.
+    fn check_writable(&self) -> Result<(), Refusal> {
+        // A claim that completes after the VM began to stop opens a shard that nothing drains.
         if self.draining || self.core.stopping.is_cancelled() {
-            return Err(Refusal::new(Code::ShuttingDown, "").retry_after(HANDOVER));
+            return Err(Refusal::new(Code::ShuttingDown, "").retry_after(HANDOVER_RETRY_DELAY));
         }
         Ok(())
     }
 
-    /// Yields where the log stands. What the VM knows of the platform counts, too: a log learns of
-    /// an outage only from an append of its own, and an intent among that one would have to be
-    /// answered as unknown although it never runs.
+    /// Returns the status of the log, or an outage if the VM knows that the platform doesn't answer.
+    /// The log itself learns of an outage only from one of its own appends; if that append contained
+    /// an intent, the call would have to be answered as unknown although it never runs.
     pub(super) fn status(&self) -> Status {
         match self.log.status() {
             Status::Open if !self.core.view().platform => Status::Outage {
-                retry_after: OUTAGE_PAUSE,
+                retry_after: OUTAGE_RETRY_DELAY,
             },
             status => status,
         }
     }
 
     fn chat(&mut self, ask: &Ask, chat: &Chat, sink: &Sink) -> Result<(), Refusal> {
-        let digest = digest(chat);
+        let digest = turn_digest(chat);
         let name = Name::Turn(ask.program.clone());
         if let Some(pending) = self.pending.find(&name)
             && pending.caller == ask.caller
@@ -244,32 +247,33 @@
             if pending.digest != digest {
                 return Err(Refusal::new(Code::TurnConflict, &pending.turn.to_string()));
             }
-            pending.feed.join(sink.clone());
+            pending.feed.subscribe(sink.clone());
             return Ok(());
         }
         let work = turn::work(&self.core, ask, chat)?;
         if self.state.program(&ask.program).is_none() && chat.turn == Some(1) {
             return self.chat_first(ask, chat, digest, work, sink);
         }
-        let begin = self.gate(ask, chat, digest);
-        match decision::begin(&self.state, &begin)? {
+        let input = self.begin_input(ask, chat, digest);
+        match decision::begin(&self.state, &input)? {
             Turn::Replay { turn, answer } => {
                 let answer = answer.clone();
-                let _gone = sink.send(Reply::Done { turn, answer });
+                let _receiver_gone = sink.send(Reply::Done { turn, answer });
                 Ok(())
             }
-            // A turn that runs here is pending and was joined above.
+            // A turn that runs on this VM is pending and was joined above.
             Turn::Join { turn, .. } => Err(Refusal::new(Code::TurnConflict, &turn.to_string())),
             Turn::Start(start) => {
                 self.check_open()?;
                 self.check_poison(ask, digest)?;
-                self.launch(ask, chat, start.turn, digest, work, sink);
+                self.start_turn(ask, chat, start.turn, digest, work, sink);
                 Ok(())
             }
         }
     }
 
-    /// Begins a program with its first turn. It is made when the turn starts, in the same append.
+    /// Starts the first turn of a new program. The program is created in the same append as the
+    /// turn's start.
     fn chat_first(
         &mut self,
         ask: &Ask,
@@ -280,34 +284,40 @@
     ) -> Result<(), Refusal> {
         self.check_open()?;
         self.check_poison(ask, digest)?;
-        self.launch(ask, chat, 1, digest, work, sink);
+        self.start_turn(ask, chat, 1, digest, work, sink);
         Ok(())
     }
 
-    /// Refuses what has crashed endpoints, here or under another shard or VM.
+    /// Refuses content that has crashed endpoints, under this shard or, as far as this VM knows, under
+    /// another shard or VM.
     fn check_poison(&self, ask: &Ask, digest: id::Digest) -> Result<(), Refusal> {
         let content = self.state.content_digest(&ask.program, digest);
-        if self.state.is_poisoned(content) || self.core.poison.knows(content) {
+        if self.state.is_poisoned(content) || self.core.poison.contains(content) {
             return Err(Refusal::new(Code::Poisoned, ""));
         }
         Ok(())
     }
 
-    fn gate<'a>(&self, ask: &'a Ask, chat: &'a Chat, digest: id::Digest) -> decision::Begin<'a> {
+    fn begin_input<'a>(
+        &self,
+        ask: &'a Ask,
+        chat: &'a Chat,
+        digest: id::Digest,
+    ) -> decision::Begin<'a> {
         decision::Begin {
             program: &ask.program,
             caller: &ask.caller,
             turn: chat.turn,
             messages: &chat.request.messages,
             digest,
-            want: chat.request.max_tokens.unwrap_or(RESERVE),
+            want: chat.request.max_tokens.unwrap_or(DEFAULT_RESERVATION),
             attempt: id::Attempt(rand::random()),
             endpoint: None,
             now: self.now(),
         }
     }
 
-    fn launch(
+    fn start_turn(
         &mut self,
         ask: &Ask,
         chat: &Chat,
@@ -317,7 +327,7 @@
         sink: &Sink,
     ) {
         let feed = Feed::default();
-        feed.join(sink.clone());
+        feed.subscribe(sink.clone());
         let cancel = CancellationToken::new();
         let name = Name::Turn(ask.program.clone());
         self.pending.insert(Pending {
@@ -330,7 +340,7 @@
         });
         work.turn = turn;
         if let Some(program) = self.state.program(&ask.program) {
-            turn::remember(&mut work, program, self.last_endpoints.find(&ask.program));
+            turn::add_history(&mut work, program, self.last_endpoints.find(&ask.program));
         }
         let task = turn::Task {
             core: self.core.clone(),
@@ -338,7 +348,7 @@
             caller: ask.caller.clone(),
             budget: budget(&self.core, ask),
             request: chat.request.clone(),
-            want: chat.request.max_tokens.unwrap_or(RESERVE),
+            want: chat.request.max_tokens.unwrap_or(DEFAULT_RESERVATION),
             turn,
             digest,
             work,
@@ -348,10 +358,10 @@
         self.core.work.spawn(task.run());
     }
 
-    /// Makes a program; its budget is that of the selector that speaks for its caller.
+    /// Creates a program with the budget of the selector that applies to its caller.
     fn create(&mut self, ask: &Ask) -> Result<Option<Append>, Refusal> {
         let budget = budget(&self.core, ask);
-        let wish = decision::Create {
+        let create = decision::Create {
             program: &ask.program,
             caller: &ask.caller,
             tokens: budget.tokens,
@@ -359,9 +369,11 @@
             idle: budget.idle,
             now: self.now(),
         };
-        let records: Vec<Record> = decision::create(&self.state, &wish)?.into_iter().collect();
+        let records: Vec<Record> = decision::create(&self.state, &create)?
+            .into_iter()
+            .collect();
         if !records.is_empty() {
-            self.check_kept()?;
+            self.check_writable()?;
         }
         Ok(self.apply(records))
     }
@@ -371,7 +383,7 @@
         let code = Code::ProgramEnded;
         let records = decision::end(&self.state, &ask.program, &ask.caller, code, now)?;
         if !records.is_empty() {
-            self.check_kept()?;
+            self.check_writable()?;
         }
         if let Some(pending) = self.pending.find(&Name::Turn(ask.program.clone())) {
             pending.cancel.cancel();
@@ -379,7 +391,7 @@
         Ok(self.apply(records))
     }
 
-    /// Shows a program once what was decided of it is durable.
+    /// Shows a program to its caller, once `durable` is durable.
     fn show(&self, ask: &Ask, sink: &Sink, durable: Option<Append>) -> Result<(), Refusal> {
         let unknown = || Refusal::new(Code::UnknownProgram, ask.program.as_str());
         let program: Option<&Program> = self.state.program(&ask.program);
@@ -388,16 +400,16 @@
             .ok_or_else(unknown)?;
         let shown = Reply::Shown(message::show(program));
         let Some(durable) = durable else {
-            let _gone = sink.send(shown);
+            let _receiver_gone = sink.send(shown);
             return Ok(());
         };
         let sink = sink.clone();
         self.core.work.spawn(async move {
             let reply = match durable.await {
                 Ok(_) => shown,
-                Err(fault) => Reply::Refused(turn::lost(&fault)),
+                Err(fault) => Reply::Refused(turn::append_refusal(&fault)),
             };
-            let _gone = sink.send(reply);
+            let _receiver_gone = sink.send(reply);
         });
         Ok(())
     }
@@ -406,49 +418,51 @@
     fn inspect(&self, ask: &Ask, sink: &Sink) -> Result<(), Refusal> {
         let program: Option<&Program> = self.state.program(&ask.program);
         let unknown = || Refusal::new(Code::UnknownProgram, ask.program.as_str());
-        let _gone = sink.send(Reply::Shown(message::show(program.ok_or_else(unknown)?)));
+        let _receiver_gone = sink.send(Reply::Shown(message::show(program.ok_or_else(unknown)?)));
         Ok(())
     }
 
-    fn over(&mut self, name: &Name) {
+    fn finish(&mut self, name: &Name) {
         self.pending.remove(name);
-        self.answer_drained();
+        self.notify_if_drained();
     }
 
-    fn drain(&mut self, done: oneshot::Sender<()>) {
+    fn drain(&mut self, sender: oneshot::Sender<()>) {
         self.draining = true;
-        self.drained.push(done);
-        self.answer_drained();
+        self.drain_waiters.push(sender);
+        self.notify_if_drained();
     }
 
-    fn answer_drained(&mut self) {
+    fn notify_if_drained(&mut self) {
         if !self.pending.is_empty() {
             return;
         }
-        for done in std::mem::take(&mut self.drained) {
-            let _gone = done.send(());
+        for sender in std::mem::take(&mut self.drain_waiters) {
+            let _receiver_gone = sender.send(());
         }
     }
 
-    /// Ends every request: whatever another owner does with them, this one can't know.
-    fn lose(&mut self) {
+    /// Refuses every pending request with an unknown outcome, because another owner may continue
+    /// it without this one knowing.
+    fn abandon(&mut self) {
         log::warn!(
             "{} shard={} epoch={}",
             Event::ShardLost,
             self.shard,
             self.state.epoch()
         );
-        self.core.registry.lose(&self.shard, self.state.epoch());
+        self.core.registry.forget(&self.shard, self.state.epoch());
         for pending in self.pending.iter() {
-            let lost = Refusal::new(Code::OwnerLost, "").ran(Ran::Unknown);
-            pending.feed.refuse(lost);
+            let refusal = Refusal::new(Code::OwnerLost, "").ran(Ran::Unknown);
+            pending.feed.refuse(refusal);
             pending.cancel.cancel();
         }
     }
 }
 
-/// Yields the digest of a turn's content: the same turn asked again has the same, streamed or not.
-fn digest(chat: &Chat) -> id::Digest {
+/// Returns the digest of a turn's content. A repeated request for the turn has the same digest,
+/// whether the answer is streamed or not.
+fn turn_digest(chat: &Chat) -> id::Digest {
     let request = &chat.request;
     let content = (
         &request.messages,
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -1,5 +1,6 @@
-//! Carries one turn through its steps: a slot, the durable start, the run, the durable commit,
-//! the last reply. Nobody needs to listen for it to go on.
+//! Carries one turn through its steps: waits for a slot, makes the start durable, runs the turn at
+//! the endpoint, makes the commit durable, and sends the last reply. The turn goes on even if no
+//! caller listens.
 
 use std::sync::Arc;
 
@@ -41,107 +42,107 @@
 use crate::owner::pending::Name;
 use crate::owner::work;
 
-/// Bytes of text a token, as the usual tokenizers have it for English.
-const TOKEN_BYTES: u64 = 4;
-/// Tokens that an answer is expected to have where its limit is higher.
-const EXPECTED: u64 = 256;
+/// Bytes of English text per token with common tokenizers.
+const BYTES_PER_TOKEN: u64 = 4;
+/// Tokens that an answer is expected to have if it has no limit or a higher one.
+const MAX_EXPECTED_TOKENS: u64 = 256;
 
-/// The outcome of a step.
+/// The result of a step.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// One turn under way.
+/// A turn in progress.
 pub struct Task {
     /// The node.
     pub core: Arc<Core>,
     /// The shard's actor.
     pub shard: ActorRef<Message>,
-    /// Who asks.
+    /// The caller that asked for the turn.
     pub caller: id::Caller,
-    /// What the program may use, where it is to be made.
+    /// The program's budget, used if the program has to be created.
     pub budget: Budget,
     /// The new messages and the options.
     pub request: chat::Request,
-    /// Tokens that the answer may have.
+    /// The most tokens that the answer may have.
     pub want: u64,
     /// The turn.
     pub turn: u32,
-    /// The digest of the new messages and options.
+    /// The digest of the new messages and the options.
     pub digest: id::Digest,
-    /// What placement has to know.
+    /// The scheduler's input.
     pub work: Work,
-    /// The replies.
+    /// Sends the replies to the callers.
     pub feed: Feed,
-    /// Set when the program ends or the shard is lost.
+    /// Cancelled when the program ends or the shard is lost.
     pub cancel: CancellationToken,
 }
 
-/// An attempt that may be sent.
+/// An attempt whose start is durable, so that it may be sent.
 struct Attempt {
     id: id::Attempt,
     limit: u64,
     slot: Slot,
 }
 
-/// What an attempt's end means for the turn.
+/// What the end of an incomplete attempt means for the turn.
 struct Failed {
-    /// What it is called towards the caller.
+    /// The refusal that the caller gets if there is no further attempt.
     refusal: Refusal,
-    /// Tokens generated; `None` where that isn't known.
+    /// Tokens generated; `None` if unknown.
     used: Option<u64>,
-    /// Whether the endpoint crashed.
+    /// Whether the endpoint may have crashed.
     crashed: bool,
-    /// Whether any other endpoint would fail it as well.
-    lasting: bool,
+    /// Whether every other endpoint would refuse the request too.
+    permanent: bool,
 }
 
 impl Task {
-    /// Runs the turn to its last reply.
+    /// Runs the turn and sends its last reply.
     pub async fn run(self) {
         let mut ran = Ran::No;
         let outcome = tokio::select! {
-            outcome = self.drive(&mut ran) => outcome,
+            outcome = self.run_attempts(&mut ran) => outcome,
             () = self.cancel.cancelled() => Err(Refusal::new(Code::ProgramEnded, "")),
         };
         match outcome {
             Ok(last) => self.feed.finish(last),
-            // Whatever is said of the last step, what was sent before it may have run.
+            // The refusal only covers the last step; an attempt before it may have run.
             Err(refusal) if refusal.ran == Ran::No => self.feed.refuse(refusal.ran(ran)),
             Err(refusal) => self.feed.refuse(refusal),
         }
         let name = Name::Turn(self.work.program.clone());
-        let _gone = self.shard.cast(Message::Over(name));
+        let _actor_gone = self.shard.cast(Message::Finished(name));
     }
 
-    async fn drive(&self, ran: &mut Ran) -> Result<Reply> {
+    async fn run_attempts(&self, ran: &mut Ran) -> Result<Reply> {
         let mut work = self.work.clone();
         let mut partial = Partial::default();
         let (mut attempt, prompt) = self.begin(&work).await?;
         loop {
-            let before = std::mem::replace(ran, Ran::Unknown);
+            let ran_before = std::mem::replace(ran, Ran::Unknown);
             let end = self.send(&attempt, &prompt, &mut partial).await;
             let failed = match end {
-                End::Whole { finish, usage } => {
+                End::Complete { finish, usage } => {
                     return self.commit(attempt, &partial, finish, usage).await;
                 }
-                other => failed(other),
+                other => classify(other),
             };
             if failed.used == Some(0) {
-                *ran = before;
+                *ran = ran_before;
             }
-            self.note(&mut attempt, &failed);
+            self.record_failure(&mut attempt, &failed);
             if partial.pieces() >= self.want {
-                // All tokens that were asked for have come; only the end marker is missing.
+                // All requested tokens have arrived; only the end marker is missing.
                 let usage = chat::Usage::default();
                 return self
                     .commit(attempt, &partial, "length".to_owned(), usage)
                     .await;
             }
             work.tries += 1;
-            attempt = self.again(&mut work, attempt, failed, &partial).await?;
+            attempt = self.retry(&mut work, attempt, failed, &partial).await?;
         }
     }
 
-    /// Gets a slot and makes the turn's start durable.
+    /// Waits for a slot and makes the turn's start durable. Returns the attempt and its prompt.
     async fn begin(&self, work: &Work) -> Result<(Attempt, Vec<chat::Message>)> {
         let slot = scheduler::acquire(&self.core, work.clone()).await?;
         let id = id::Attempt(rand::random());
@@ -183,7 +184,10 @@
             silence: self.core.settings.limits.silence,
         };
         let feed = &self.feed;
-        runner::run(&self.core.client, job, partial, |piece| feed.delta(piece)).await
+        runner::run(&self.core.client, job, partial, |piece| {
+            feed.send_delta(piece)
+        })
+        .await
     }
 
     async fn commit(
@@ -193,14 +197,14 @@
         finish: String,
         usage: chat::Usage,
     ) -> Result<Reply> {
-        let elapsed = self.core.clock.now().since(attempt.slot.began());
+        let elapsed = self.core.clock.now().since(attempt.slot.assigned_at());
         let used = usage.completion_tokens.max(1);
-        attempt.slot.note(Sample::Done {
+        attempt.slot.set_sample(Sample::Done {
             pace: pace(elapsed, used),
         });
-        self.core.scheduler.succeed();
+        self.core.scheduler.record_success();
         let endpoint = attempt.slot.endpoint.name.clone();
-        // The slot is free for others while the commit becomes durable.
+        // Frees the slot for other calls while the commit becomes durable.
         drop(attempt.slot);
         let answer = chat::Answer {
             message: partial.message(),
@@ -225,21 +229,25 @@
         Ok(Reply::Done { turn, answer })
     }
 
-    /// Tells the scheduler what the failure showed of the endpoint.
-    fn note(&self, attempt: &mut Attempt, failed: &Failed) {
+    /// Tells the scheduler what the failure says about the endpoint.
+    fn record_failure(&self, attempt: &mut Attempt, failed: &Failed) {
         let endpoint = &attempt.slot.endpoint.name;
         let now = self.core.clock.now();
-        let pause = failed.refusal.retry_after.unwrap_or(endpoint_state::PAUSE);
+        let pause = failed
+            .refusal
+            .retry_after
+            .unwrap_or(endpoint_state::DEFAULT_PAUSE);
         if failed.crashed || failed.used == Some(0) {
             self.core.scheduler.pause(endpoint, now, pause);
         }
         if failed.refusal.code == Code::EndpointFailed {
-            attempt.slot.note(Sample::Failed);
+            attempt.slot.set_sample(Sample::Failed);
         }
     }
 
-    /// Decides on a further attempt and makes its start durable.
-    async fn again(
+    /// Decides whether to make a further attempt. If so, waits for a slot and makes the start of the
+    /// attempt durable.
+    async fn retry(
         &self,
         work: &mut Work,
         ended: Attempt,
@@ -248,11 +256,11 @@
     ) -> Result<Attempt> {
         let endpoint = ended.slot.endpoint.name.clone();
         let address = ended.slot.endpoint.address.clone();
-        let old = ended.id;
+        let ended_id = ended.id;
         drop(ended);
-        let crashed = failed.crashed && !runner::lives(&self.core.client, &address).await;
+        let crashed = failed.crashed && !runner::is_alive(&self.core.client, &address).await;
         if crashed && self.blame(&endpoint).await? {
-            self.stop(old, failed.used).await?;
+            self.stop(ended_id, failed.used).await?;
             return Err(Refusal::new(Code::Poisoned, "").ran(Ran::Yes));
         }
         work.avoid.push(endpoint);
@@ -262,7 +270,7 @@
         let after = match self.verdict(work, &failed, partial) {
             Verdict::Again { after } => after,
             Verdict::Final | Verdict::Spent => {
-                self.stop(old, failed.used).await?;
+                self.stop(ended_id, failed.used).await?;
                 return Err(failed.refusal);
             }
         };
@@ -270,16 +278,16 @@
         let now = self.core.clock.now();
         self.core
             .trace
-            .note(now, Event::CallRetried, &work.program, self.turn, &detail);
+            .record(now, Event::CallRetried, &work.program, self.turn, &detail);
         tokio::time::sleep(after.as_duration()).await;
         let slot = match scheduler::acquire(&self.core, work.clone()).await {
             Ok(slot) => slot,
             Err(refusal) => {
-                self.stop(old, failed.used).await?;
+                self.stop(ended_id, failed.used).await?;
                 return Err(refusal);
             }
         };
-        self.restart(old, failed.used, slot, partial).await
+        self.restart(ended_id, failed.used, slot, partial).await
     }
 
     async fn restart(
@@ -317,16 +325,18 @@
     }
 
     fn verdict(&self, work: &Work, failed: &Failed, partial: &Partial) -> Verdict {
-        if failed.lasting || !partial.can_resume() {
+        if failed.permanent || !partial.can_resume() {
             return Verdict::Final;
         }
         let failure = Failure {
-            class: endpoint_state::class(work.class),
+            class: endpoint_state::policy_class(work.class),
             repeat: Repeat::Safe,
             ran: failed.refusal.ran,
             tries: work.tries,
         };
-        self.core.scheduler.retry(&failure, self.core.clock.now())
+        self.core
+            .scheduler
+            .decide_retry(&failure, self.core.clock.now())
     }
 
     async fn blame(&self, endpoint: &id::Endpoint) -> Result<bool> {
@@ -344,15 +354,15 @@
     }
 }
 
-/// Sorts out how an attempt ended.
-fn failed(end: End) -> Failed {
+/// Classifies the end of an attempt that didn't complete.
+fn classify(end: End) -> Failed {
     let (code, detail, used, crashed) = match end {
         End::NotSent(detail) => (Code::EndpointFailed, detail, Some(0), false),
         End::Refused {
             status,
             detail,
             retry_after,
-            lasting,
+            permanent,
         } => {
             let detail = format!("status {status}: {detail}");
             let mut refusal = Refusal::new(Code::EndpointRefused, &detail);
@@ -361,12 +371,12 @@
                 refusal,
                 used: Some(0),
                 crashed: false,
-                lasting,
+                permanent,
             };
         }
         End::Broken(detail) => (Code::EndpointFailed, detail, None, true),
         End::Stalled(detail) => (Code::EndpointFailed, detail, None, false),
-        End::Whole { .. } => (Code::Internal, String::new(), None, false),
+        End::Complete { .. } => (Code::Internal, String::new(), None, false),
     };
     let ran = if used == Some(0) {
         Ran::No
@@ -377,7 +387,7 @@
         refusal: Refusal::new(code, &detail).ran(ran),
         used,
         crashed,
-        lasting: false,
+        permanent: false,
     }
 }
 
@@ -385,27 +395,27 @@
 ///
 /// # Errors
 ///
-/// Yields the refusal, or why the records aren't durable.
+/// Returns the refusal of the decision, or the reason why its records aren't durable.
 pub async fn decide<T>(
     core: &Core,
     shard: &ActorRef<Message>,
     message: impl FnOnce(Answer<T>) -> Message,
 ) -> Result<T> {
     let (sender, receiver) = oneshot::channel();
-    let gone = || Refusal::new(Code::OwnerLost, "");
-    shard.cast(message(sender)).map_err(|_| gone())?;
-    let decided = receiver.await.map_err(|_| gone())??;
+    let owner_lost = || Refusal::new(Code::OwnerLost, "");
+    shard.cast(message(sender)).map_err(|_| owner_lost())?;
+    let decided = receiver.await.map_err(|_| owner_lost())??;
     if let Some(durable) = decided.durable {
-        let asked = core.clock.now();
-        durable.await.map_err(|fault| lost(&fault))?;
-        core.metrics.appended(core.clock.now().since(asked));
+        let appended_at = core.clock.now();
+        durable.await.map_err(|fault| append_refusal(&fault))?;
+        core.metrics.appended(core.clock.now().since(appended_at));
     }
     Ok(decided.value)
 }
 
-/// Renders why records aren't durable.
+/// Converts a failed append to the refusal that the caller gets.
 #[must_use]
-pub fn lost(fault: &Fault) -> Refusal {
+pub fn append_refusal(fault: &Fault) -> Refusal {
     let refusal = |code| Refusal::new(code, &fault.to_string());
     match fault {
         Fault::Lost { ran } => refusal(Code::OwnerLost).ran(*ran),
@@ -416,25 +426,26 @@
     }
 }
 
-/// Builds what placement has to know of a turn, without its history.
+/// Builds the scheduler's input for a turn, without its program's history.
 ///
 /// # Errors
 ///
 /// Refuses an unknown model, and work that no selector allows.
 pub fn work(core: &Core, ask: &Ask, chat: &Chat) -> Result<Work> {
-    let limit = chat.request.max_tokens.unwrap_or(EXPECTED);
-    let prompt = tokens(chat.request.messages.iter());
-    let output = limit.min(EXPECTED);
+    let limit = chat.request.max_tokens.unwrap_or(MAX_EXPECTED_TOKENS);
+    let prompt = estimate_tokens(chat.request.messages.iter());
+    let output = limit.min(MAX_EXPECTED_TOKENS);
     work::new(core, ask, Kind::Runner, &chat.request.model, prompt, output)
 }
 
-/// Adds what a program's history means for placement.
-pub fn remember(work: &mut Work, program: &Program, seat: Option<&id::Endpoint>) {
-    let history = tokens(program.messages());
+/// Adds the program's history to the scheduler's input: the tokens of the history, the tokens
+/// generated so far, and the endpoints that hold cache of the program.
+pub fn add_history(work: &mut Work, program: &Program, last_endpoint: Option<&id::Endpoint>) {
+    let history = estimate_tokens(program.messages());
     work.prompt += history;
     work.spent = program.spent;
-    work.held = match seat {
-        Some(seat) => vec![(seat.clone(), history)],
+    work.held = match last_endpoint {
+        Some(last_endpoint) => vec![(last_endpoint.clone(), history)],
         None => program
             .holders
             .iter()
@@ -443,16 +454,16 @@
     };
 }
 
-/// Estimates the tokens of some messages.
-fn tokens<'a>(messages: impl Iterator<Item = &'a chat::Message>) -> u64 {
+/// Estimates the number of tokens in the messages.
+fn estimate_tokens<'a>(messages: impl Iterator<Item = &'a chat::Message>) -> u64 {
     let bytes = |message: &chat::Message| match &message.content {
         serde_json::Value::String(text) => text.len() as u64,
         other => other.to_string().len() as u64,
     };
-    messages.map(bytes).sum::<u64>() / TOKEN_BYTES
+    messages.map(bytes).sum::<u64>() / BYTES_PER_TOKEN
 }
 
-/// Yields the milliseconds a token of a call.
+/// Returns the milliseconds per token of a call.
 #[must_use]
 #[expect(clippy::cast_precision_loss, reason = "both are far below 2^52")]
 pub fn pace(elapsed: Millis, tokens: u64) -> f64 {
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -1,4 +1,4 @@
-//! What placement has to know of a request, before anything is known of its program.
+//! Builds the scheduler's input for a request, without the history of the request's program.
 
 use settings::config::Kind;
 use wire::ask::Ask;
@@ -9,7 +9,8 @@
 use crate::filters::authenticate;
 use crate::owner::turn::Result;
 
-/// Builds it for a request that has `prompt` tokens and is expected to generate `output`.
+/// Builds the input for a request that has `prompt` tokens and is expected to generate `output`
+/// tokens.
 ///
 /// # Errors
 ///
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -1,5 +1,5 @@
-//! The latest routing and placement decisions, kept so that an operator can ask why a program's
-//! calls went where they did without searching the logs of every VM.
+//! The latest routing and placement decisions. They tell an operator why a program's calls went to an
+//! endpoint, so that nobody has to search the logs of every VM.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,12 +12,13 @@
 use wire::event::Event;
 use wire::id;
 
-/// How many decisions a VM keeps. With details of [`MAX_DETAIL`] bytes they stay under 2 MB of the
-/// 64 MB that control may take; at 12 turns a second and VM (4,500 requests over 380 VMs), with
+/// The most decisions that a VM keeps. With details of [`MAX_DETAIL`] bytes they take less than 2 MB
+/// of the 64 MB allowed for control. At 12 turns per second and VM (4,500 requests over 380 VMs), with
 /// two decisions each, they cover the last three minutes. Older ones are in the log.
-const DEPTH: usize = 4_096;
+const MAX_DECISIONS: usize = 4_096;
 
-/// The longest detail in bytes; a decision among hundreds of endpoints names the cheapest ones.
+/// The longest detail in bytes. Longer details, of decisions among hundreds of endpoints, are
+/// truncated and list only the first candidates.
 pub const MAX_DETAIL: usize = 384;
 
 /// One decision.
@@ -25,13 +26,13 @@
 pub struct Decision {
     /// When it was made, by the clock of the VM that made it.
     pub at: Millis,
-    /// The program concerned.
+    /// The program that the decision is about.
     pub program: id::Program,
     /// The turn, 0 for a call of a service.
     pub turn: u32,
-    /// The event's number and text.
+    /// The number and text of the event.
     pub event: String,
-    /// Candidates, choice and reason.
+    /// The candidates, the choice and its reason.
     pub detail: String,
 }
 
@@ -43,23 +44,30 @@
 
 impl Trace {
     /// Writes a decision to the log and keeps it.
-    pub fn note(&self, now: Millis, event: Event, program: &id::Program, turn: u32, detail: &str) {
+    pub fn record(
+        &self,
+        now: Millis,
+        event: Event,
+        program: &id::Program,
+        turn: u32,
+        detail: &str,
+    ) {
         log::info!("{event} program={program} turn={turn} {detail}");
         let decision = Decision {
             at: now,
             program: program.clone(),
             turn,
             event: event.to_string(),
-            detail: cut(detail).to_owned(),
+            detail: truncate(detail).to_owned(),
         };
         let mut decisions = self.lock();
-        if decisions.len() == DEPTH {
+        if decisions.len() == MAX_DECISIONS {
             decisions.pop_front();
         }
         decisions.push_back(decision);
     }
 
-    /// Lists what is kept of a program, the earliest first.
+    /// Returns the kept decisions about a program, earliest first.
     #[must_use]
     pub fn decisions(&self, program: &id::Program) -> Vec<Decision> {
         let decisions = self.lock();
@@ -77,8 +85,8 @@
     }
 }
 
-/// Cuts a text to [`MAX_DETAIL`] bytes between two characters.
-fn cut(text: &str) -> &str {
+/// Truncates a text to at most [`MAX_DETAIL`] bytes at a character boundary.
+fn truncate(text: &str) -> &str {
     if text.len() <= MAX_DETAIL {
         return text;
     }
--- a/crates/node/src/trace/tests.rs
+++ b/crates/node/src/trace/tests.rs
@@ -7,10 +7,10 @@
 #[test]
 fn the_latest_decisions_are_kept_by_program() {
     let trace = Trace::default();
-    for turn in 0..u32::try_from(DEPTH).unwrap() {
-        trace.note(Millis::ZERO, Event::CallPlaced, &program("a"), turn, "");
+    for turn in 0..u32::try_from(MAX_DECISIONS).unwrap() {
+        trace.record(Millis::ZERO, Event::CallPlaced, &program("a"), turn, "");
     }
-    trace.note(
+    trace.record(
         Millis::ZERO,
         Event::CallPlaced,
         &program("b"),
@@ -19,12 +19,12 @@
     );
     assert_eq!(trace.decisions(&program("b"))[0].detail, "choice=fast");
     let kept = trace.decisions(&program("a"));
-    assert_eq!((kept.len(), kept[0].turn), (DEPTH - 1, 1));
+    assert_eq!((kept.len(), kept[0].turn), (MAX_DECISIONS - 1, 1));
 }
 
 #[test]
-fn a_long_detail_is_cut_between_characters() {
+fn a_long_detail_is_truncated_at_a_character_boundary() {
     let long = "ü".repeat(MAX_DETAIL);
-    assert!(cut(&long).len() <= MAX_DETAIL);
-    assert!(cut(&long).chars().all(|c| c == 'ü'));
+    assert!(truncate(&long).len() <= MAX_DETAIL);
+    assert!(truncate(&long).chars().all(|c| c == 'ü'));
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,7 +1,7 @@
-//! What this VM knows of the rest of the deployment at one moment.
+//! What this VM knows about the deployment at one moment.
 //!
-//! Controllers publish a new [`View`] through a watch channel; the request path only reads it, so
-//! that no request waits for a controller.
+//! Controllers publish a new [`View`] through a watch channel. The request path only reads it, so no
+//! request waits for a controller.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,34 +15,34 @@
 pub struct View {
     /// The highest configuration revision that this VM has.
     pub config: Arc<Config>,
-    /// The VMs, this one among them.
+    /// The VMs, including this one.
     pub peers: Vec<Peer>,
-    /// Who owns which shard; a shard without a line has no owner as far as this VM knows.
+    /// The owners of the shards; a shard that isn't listed has no owner as far as this VM knows.
     pub owners: Vec<Owner>,
     /// The endpoints' load.
     pub loads: Vec<Load>,
     /// Whether the platform answers.
     pub platform: bool,
-    /// Whether this VM is on its way out.
+    /// Whether this VM is stopping.
     pub stopping: bool,
 }
 
 impl View {
-    /// Looks a VM up.
+    /// Returns the VM of this name.
     #[must_use]
     pub fn peer(&self, vm: &id::Vm) -> Option<&Peer> {
         let at = self.peers.binary_search_by(|p| p.vm.cmp(vm)).ok()?;
         Some(&self.peers[at])
     }
 
-    /// Looks the owner of a shard up.
+    /// Returns the owner of a shard.
     #[must_use]
     pub fn owner(&self, shard: &id::Shard) -> Option<&Owner> {
         let at = self.owners.binary_search_by(|o| o.shard.cmp(shard)).ok()?;
         Some(&self.owners[at])
     }
 
-    /// Looks the load of an endpoint up.
+    /// Returns the load of an endpoint.
     #[must_use]
     pub fn load(&self, endpoint: &id::Endpoint) -> Option<&Load> {
         let find = |l: &Load| l.endpoint.cmp(endpoint);
@@ -58,13 +58,13 @@
     pub vm: id::Vm,
     /// Its data centre.
     pub centre: id::Centre,
-    /// Its listener for VMs.
+    /// The address of its listener for other VMs.
     pub address: SocketAddr,
-    /// Its size beside the others.
+    /// Its size relative to the other VMs.
     pub size: u32,
-    /// Whether it is thought to be up.
+    /// Whether this VM considers it up.
     pub up: bool,
-    /// Whether it is on its way out.
+    /// Whether it is stopping.
     pub stopping: bool,
 }
 
@@ -75,27 +75,27 @@
     pub shard: id::Shard,
     /// The VM that owns it.
     pub vm: id::Vm,
-    /// The number of the ownership; a higher one replaces a lower one.
+    /// The epoch of the ownership; a higher one replaces a lower one.
     pub epoch: u64,
 }
 
-/// An endpoint's last load report, or what is known without one.
+/// An endpoint's last load report, or what is known about the endpoint without one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
     /// The endpoint.
     pub endpoint: id::Endpoint,
-    /// Whether it answers its keeper.
+    /// Whether it answers the VM that polls it.
     pub up: bool,
-    /// Whether the platform's list, its own report or a refusal says that it leaves.
+    /// Whether the platform's list, its own report or a refusal says that it is leaving.
     pub leaving: bool,
-    /// Calls that it works on.
+    /// Calls that it runs.
     pub running: u32,
-    /// Calls that wait at it.
+    /// Calls that wait in its own queue.
     pub waiting: u32,
-    /// Tokens a second that it generates for one call, as measured.
+    /// Measured tokens per second that it generates for one call.
     pub speed: f64,
-    /// Prompt tokens that fit in its cache.
+    /// Size of its cache in prompt tokens.
     pub cache: u64,
-    /// When the endpoint made the report, by this VM's clock at receipt less the report's age.
+    /// When the endpoint made the report: this VM's clock at receipt minus the report's age.
     pub at: Millis,
 }
