--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -48,8 +48,8 @@
     pub client: Client,
     /// The callers' listener.
     pub door: Arc<Door>,
-    /// The tasks that serve requests: callers' connections, and every task that an answer or a record
-    /// waits for.
+    /// The tasks that serve requests: callers' connections, and every task that an answer or a
+    /// record waits for.
     pub work: TaskTracker,
     /// Every other task that must end before the node has stopped.
     pub tasks: TaskTracker,
--- a/crates/node/src/dispatch/choose.rs
+++ b/crates/node/src/dispatch/choose.rs
@@ -53,8 +53,8 @@
             candidates.push(candidate);
         }
     }
-    // An endpoint that fails every call is idle and reports the highest speed. It counts with speed 0
-    // so that it doesn't become the lane for urgent calls.
+    // An endpoint that fails every call is idle and reports the highest speed. It counts with speed
+    // 0 so that it doesn't become the lane for urgent calls.
     let lane_speed = |c: &place::Candidate| if c.share < 1.0 { 0.0 } else { c.speed };
     let speeds: Vec<f64> = candidates.iter().map(lane_speed).collect();
     for (candidate, lane) in candidates.iter_mut().zip(place::lanes(&speeds)) {
--- a/crates/node/src/dispatch/endpoint_state/tests.rs
+++ b/crates/node/src/dispatch/endpoint_state/tests.rs
@@ -14,8 +14,8 @@
 }
 
 /// While a prompt is prefilled beside a batch, an endpoint reports a third less speed. Without
-/// smoothing, the batch's other programs would move away from the endpoint that caches their prefix.
-/// The same report is seen again with each change of the view and must count only once.
+/// smoothing, the batch's other programs would move away from the endpoint that caches their
+/// prefix. The same report is seen again with each change of the view and must count only once.
 #[test]
 fn one_slow_report_hardly_changes_the_speed() {
     let mut state = EndpointState::new(id::Endpoint::parse("fast").unwrap(), Millis::ZERO);
--- a/crates/node/src/dispatch/runner.rs
+++ b/crates/node/src/dispatch/runner.rs
@@ -257,8 +257,8 @@
     Some(parsed)
 }
 
-/// Returns the end of a stream whose end marker arrived. A stream without a finish reason was cut off
-/// by the runner and isn't complete.
+/// Returns the end of a stream whose end marker arrived. A stream without a finish reason was cut
+/// off by the runner and isn't complete.
 fn complete(received: Received) -> End {
     let Some(finish) = received.finish else {
         return End::Broken("the end marker came without a finish reason".to_owned());
--- a/crates/node/src/dispatch/scheduler.rs
+++ b/crates/node/src/dispatch/scheduler.rs
@@ -156,8 +156,8 @@
 ///
 /// # Errors
 ///
-/// Returns a refusal, always with `ran: no`, if no endpoint may take the call, the load is too high,
-/// the call has waited for too long, or the VM stops before the call could end.
+/// Returns a refusal, always with `ran: no`, if no endpoint may take the call, the load is too
+/// high, the call has waited for too long, or the VM stops before the call could end.
 pub async fn acquire(core: &Arc<Core>, work: Work) -> Result<Slot> {
     let arrived = core.clock.now();
     let admission = place_or_queue(core, work, arrived)?;
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,8 +1,8 @@
 //! Owns shards: orders the requests of their programs, journals them, has them run at endpoints and
 //! commits their results.
 //!
-//! [`shard`] is the actor that alone decides on a shard's state. [`turn`] and [`call`] are the tasks
-//! that carry one accepted request through its steps; they ask the actor for each decision.
+//! [`shard`] is the actor that alone decides on a shard's state. [`turn`] and [`call`] are the
+//! tasks that carry one accepted request through its steps; they ask the actor for each decision.
 
 pub mod call;
 mod decide;
--- a/crates/node/src/owner/maintenance.rs
+++ b/crates/node/src/owner/maintenance.rs
@@ -18,8 +18,8 @@
 const MAX_RELEASES_PER_TICK: usize = 64;
 /// How long an endpoint may take to confirm an order; less than the second between two ticks.
 const ORDER_TIMEOUT: Millis = Millis::new(800);
-/// How long an ended program is kept, so that its idempotency keys, and the refusal of a request for
-/// its last answer, outlast every retry of a caller.
+/// How long an ended program is kept, so that its idempotency keys, and the refusal of a request
+/// for its last answer, outlast every retry of a caller.
 const RETENTION: Millis = Millis::new(60 * 60 * 1000);
 
 /// Runs the maintenance that is due.
@@ -33,9 +33,9 @@
     }
 }
 
-/// Journals a changed list of the VMs that hold copies. Without this, an owner that opened its shard
-/// as the first VM of its data centre, or whose copy holders have restarted since, would have no VM
-/// to copy a committed turn to in the next outage.
+/// Journals a changed list of the VMs that hold copies. Without this, an owner that opened its
+/// shard as the first VM of its data centre, or whose copy holders have restarted since, would have
+/// no VM to copy a committed turn to in the next outage.
 fn update_copy_holders(owner: &mut Owner) {
     if !owner.log.may_change_holders() {
         return;
@@ -72,7 +72,8 @@
         .retain(|p| state.program(p).is_some_and(|p| p.ended.is_none()));
 }
 
-/// Orders endpoints to release their cache of ended programs, again at each tick until they confirm.
+/// Orders endpoints to release their cache of ended programs, again at each tick until they
+/// confirm.
 fn release_caches(owner: &mut Owner) {
     let view = owner.core.view();
     let held = decision::cache_holders(&owner.state).take(MAX_RELEASES_PER_TICK);
@@ -85,7 +86,8 @@
             .endpoint(endpoint.as_str())
             .map(|e| e.address.clone())
         else {
-            // An endpoint that operators removed from the configuration is gone, and so is its cache.
+            // An endpoint that operators removed from the configuration is gone, and so is its
+            // cache.
             let record = decision::cache_released(&owner.state, &program, &endpoint);
             let _append = owner.apply(record.into_iter().collect());
             continue;
--- a/crates/node/src/owner/message.rs
+++ b/crates/node/src/owner/message.rs
@@ -36,8 +36,8 @@
     Commit(Commit, Answer<u32>),
     /// A turn ends without an answer.
     Stop(id::Program, id::Attempt, Option<u64>, Answer<()>),
-    /// An endpoint crashed while it ran a turn. The answer says whether the content is poisoned, that
-    /// is, refused permanently.
+    /// An endpoint crashed while it ran a turn. The answer says whether the content is poisoned,
+    /// that is, refused permanently.
     Blame(id::Program, id::Digest, id::Endpoint, Answer<bool>),
     /// A call that may run at most once has an endpoint and wants to start.
     Intend(Intend, Answer<()>),
--- a/crates/node/src/owner/pending.rs
+++ b/crates/node/src/owner/pending.rs
@@ -1,6 +1,6 @@
-//! The requests that a shard processes, from their arrival to their last reply. The journal contains
-//! a turn only once it starts; this list also contains turns that wait for an endpoint, so that a
-//! repeated request joins the first one.
+//! The requests that a shard processes, from their arrival to their last reply. The journal
+//! contains a turn only once it starts; this list also contains turns that wait for an endpoint, so
+//! that a repeated request joins the first one.
 
 use tokio_util::sync::CancellationToken;
 use wire::id;
--- a/crates/node/src/owner/registry.rs
+++ b/crates/node/src/owner/registry.rs
@@ -131,8 +131,8 @@
             let _actor_gone = drained.await;
         }
         self.remove(shard, entry.epoch);
-        // `Close` is queued behind the requests that reached the actor before the shard was removed.
-        // An immediate stop would drop them.
+        // `Close` is queued behind the requests that reached the actor before the shard was
+        // removed. An immediate stop would drop them.
         let _ended = entry.actor.cast(Message::Close);
         if let Err(fault) = claim::release(&entry.setup, entry.epoch).await {
             // The shard becomes free anyway, but only when its lease expires.
@@ -203,7 +203,8 @@
         };
         match actor.cast(Message::Ask(ask, sink)) {
             Err(MessagingErr::SendErr(Message::Ask(ask, sink))) => Err(Box::new((ask, sink))),
-            // If the message is lost in another way, its sink is dropped, which the listener notices.
+            // If the message is lost in another way, its sink is dropped, which the listener
+            // notices.
             _ => Ok(()),
         }
     }
@@ -221,8 +222,8 @@
         Some((epoch, answer.await.ok()?))
     }
 
-    /// Tells a shard's actor to order an endpoint to release its cache of those of the programs that
-    /// are gone.
+    /// Tells a shard's actor to order an endpoint to release its cache of those of the programs
+    /// that are gone.
     pub fn sweep(&self, shard: &id::Shard, endpoint: &id::Endpoint, programs: &[id::Program]) {
         if let Some(actor) = self.read_entry(shard, |e| e.actor.clone()) {
             let _actor_gone = actor.cast(Message::Sweep(endpoint.clone(), programs.to_vec()));
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -1,6 +1,6 @@
 //! The actor of one shard, which alone decides on the shard's programs. The actor applies each
-//! decision to its state and hands the records to the journal in one step. The effects of a decision
-//! wait in the requests' own tasks until its records are durable.
+//! decision to its state and hands the records to the journal in one step. The effects of a
+//! decision wait in the requests' own tasks until its records are durable.
 
 use std::sync::Arc;
 
@@ -225,9 +225,9 @@
         Ok(())
     }
 
-    /// Returns the status of the log, or an outage if the VM knows that the platform doesn't answer.
-    /// The log itself learns of an outage only from one of its own appends; if that append contained
-    /// an intent, the call would have to be answered as unknown although it never runs.
+    /// Returns the status of the log, or an outage if the VM knows that the platform doesn't
+    /// answer. The log itself learns of an outage only from one of its own appends; if that append
+    /// contained an intent, the call would have to be answered as unknown although it never runs.
     pub(super) fn status(&self) -> Status {
         match self.log.status() {
             Status::Open if !self.core.view().platform => Status::Outage {
@@ -288,8 +288,8 @@
         Ok(())
     }
 
-    /// Refuses content that has crashed endpoints, under this shard or, as far as this VM knows, under
-    /// another shard or VM.
+    /// Refuses content that has crashed endpoints, under this shard or, as far as this VM knows,
+    /// under another shard or VM.
     fn check_poison(&self, ask: &Ask, digest: id::Digest) -> Result<(), Refusal> {
         let content = self.state.content_digest(&ask.program, digest);
         if self.state.is_poisoned(content) || self.core.poison.contains(content) {
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Decides whether to make a further attempt. If so, waits for a slot and makes the start of the
-    /// attempt durable.
+    /// Decides whether to make a further attempt. If so, waits for a slot and makes the start of
+    /// the attempt durable.
     async fn retry(
         &self,
         work: &mut Work,
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -1,5 +1,5 @@
-//! The latest routing and placement decisions. They tell an operator why a program's calls went to an
-//! endpoint, so that nobody has to search the logs of every VM.
+//! The latest routing and placement decisions. They tell an operator why a program's calls went to
+//! an endpoint, so that nobody has to search the logs of every VM.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,9 +12,9 @@
 use wire::event::Event;
 use wire::id;
 
-/// The most decisions that a VM keeps. With details of [`MAX_DETAIL`] bytes they take less than 2 MB
-/// of the 64 MB allowed for control. At 12 turns per second and VM (4,500 requests over 380 VMs), with
-/// two decisions each, they cover the last three minutes. Older ones are in the log.
+/// The most decisions that a VM keeps. With details of [`MAX_DETAIL`] bytes they take less than 2
+/// MB of the 64 MB allowed for control. At 12 turns per second and VM (4,500 requests over 380
+/// VMs), with two decisions each, they cover the last three minutes. Older ones are in the log.
 const MAX_DECISIONS: usize = 4_096;
 
 /// The longest detail in bytes. Longer details, of decisions among hundreds of endpoints, are
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,7 +1,7 @@
 //! What this VM knows about the deployment at one moment.
 //!
-//! Controllers publish a new [`View`] through a watch channel. The request path only reads it, so no
-//! request waits for a controller.
+//! Controllers publish a new [`View`] through a watch channel. The request path only reads it, so
+//! no request waits for a controller.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
