--- a/crates/node/src/owner/feed.rs
+++ b/crates/node/src/owner/feed.rs
@@ -43,7 +43,7 @@
     }
 
     /// Sends a piece of the answer to every listener.
-    pub fn send_delta(&self, delta: Value) {
+    pub fn push(&self, delta: Value) {
         let mut state = self.lock();
         state
             .sinks
--- a/crates/node/src/owner/feed/tests.rs
+++ b/crates/node/src/owner/feed/tests.rs
@@ -7,10 +7,10 @@
 #[test]
 fn a_late_listener_gets_every_reply_once() {
     let feed = Feed::default();
-    feed.send_delta(json!("a"));
+    feed.push(json!("a"));
     let (sink, mut replies) = mpsc::unbounded_channel();
     feed.subscribe(sink);
-    feed.send_delta(json!("b"));
+    feed.push(json!("b"));
     feed.refuse(Refusal::new(Code::Poisoned, ""));
     feed.refuse(Refusal::new(Code::Internal, ""));
     assert_eq!(replies.try_recv(), Ok(Reply::Delta(json!("a"))));
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -184,10 +184,7 @@
             silence: self.core.settings.limits.silence,
         };
         let feed = &self.feed;
-        runner::run(&self.core.client, job, partial, |piece| {
-            feed.send_delta(piece)
-        })
-        .await
+        runner::run(&self.core.client, job, partial, |piece| feed.push(piece)).await
     }
 
     async fn commit(
