--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -54,7 +54,7 @@
         (
             "calls_waiting",
             "calls that wait for an endpoint's slot",
-            core.desk.waiting() as u64,
+            core.scheduler.waiting() as u64,
         ),
         (
             "shards_owned",
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -227,7 +227,7 @@
 fn local_decisions(core: &Core, program: &id::Program) -> Decisions {
     Decisions {
         vm: core.settings.vm.name.clone(),
-        decisions: core.trace.of(program),
+        decisions: core.trace.decisions(program),
     }
 }
 
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -1,15 +1,16 @@
-//! What placement has to know of a request, before anything is known of its program.
+//! Builds the scheduler's input for a request, without the history of the request's program.
 
 use settings::config::Kind;
 use wire::ask::Ask;
 
 use crate::core::Core;
-use crate::dispatch::desk::Work;
-use crate::dispatch::standing::Content;
+use crate::dispatch::endpoint_state::Content;
+use crate::dispatch::scheduler::Work;
 use crate::filters::authenticate;
 use crate::owner::turn::Result;
 
-/// Builds it for a request that has `prompt` tokens and is expected to generate `output`.
+/// Builds the input for a request that has `prompt` tokens and is expected to generate `output`
+/// tokens.
 ///
 /// # Errors
 ///
