--- a/crates/chestnutyoke/src/cli.rs
+++ b/crates/chestnutyoke/src/cli.rs
@@ -10,13 +10,13 @@
 use clap::Command;
 use clap::value_parser;
 
+use crate::commands::change;
+use crate::commands::check;
+use crate::commands::show;
+use crate::commands::trace;
 use crate::embedded;
 use crate::logging;
 use crate::serve;
-use crate::verbs::change;
-use crate::verbs::check;
-use crate::verbs::show;
-use crate::verbs::trace;
 
 pub mod operate;
 
@@ -113,7 +113,7 @@
     let late = Arg::new("late").long("late").action(ArgAction::SetTrue);
     let json = Arg::new("json").long("json").action(ArgAction::SetTrue);
     Command::new("trace")
-        .about("Tells the story of a request or program from the logs of many VMs")
+        .about("Tells the timeline of a request or program from the logs of many VMs")
         .arg(late.help("Instead: where programs that ended late or failed spent their time"))
         .arg(json.help("Writes JSON"))
         .arg(
@@ -145,22 +145,22 @@
         return Ok(());
     };
     match verb {
-        "try" => try_verb(matches),
-        "serve" => serve_verb(matches),
-        "check" => check_verb(matches),
-        "front" => role_verb(Role::Front, matches),
-        "store" => role_verb(Role::Store, matches),
-        "trace" => trace_verb(matches),
-        _ => runtime()?.block_on(operate_verb(verb, matches)),
+        "try" => run_try(matches),
+        "serve" => run_serve(matches),
+        "check" => run_check(matches),
+        "front" => run_role(Role::Front, matches),
+        "store" => run_role(Role::Store, matches),
+        "trace" => run_trace(matches),
+        _ => runtime()?.block_on(run_operate(verb, matches)),
     }
 }
 
-async fn operate_verb(verb: &str, matches: &ArgMatches) -> Result<()> {
+async fn run_operate(verb: &str, matches: &ArgMatches) -> Result<()> {
     let target = operate::target(matches)?;
     match operate::parse(verb, matches)? {
-        operate::Verb::Change(edit) => change::run(&target, &edit).await?,
-        operate::Verb::Show(subject) => show::run(&target, &subject).await?,
-        operate::Verb::End(program) => show::end(&target, &program).await?,
+        operate::Action::Change(edit) => change::run(&target, &edit).await?,
+        operate::Action::Show(subject) => show::run(&target, &subject).await?,
+        operate::Action::End(program) => show::end(&target, &program).await?,
     }
     Ok(())
 }
@@ -171,7 +171,7 @@
         .build()?)
 }
 
-fn try_verb(matches: &ArgMatches) -> Result<()> {
+fn run_try(matches: &ArgMatches) -> Result<()> {
     let port = *matches.get_one("port").ok_or("--port is missing")?;
     let admin = *matches
         .get_one("admin-port")
@@ -187,7 +187,7 @@
 }
 
 /// Runs a role on one thread: its VM has a part of one core, and threads would only take turns.
-fn role_verb(role: Role, matches: &ArgMatches) -> Result<()> {
+fn run_role(role: Role, matches: &ArgMatches) -> Result<()> {
     let port = *matches
         .get_one("metrics-port")
         .ok_or("--metrics-port is missing")?;
@@ -203,36 +203,36 @@
     Ok(())
 }
 
-fn trace_verb(matches: &ArgMatches) -> Result<()> {
+fn run_trace(matches: &ArgMatches) -> Result<()> {
     let id: Option<&String> = matches.get_one("id");
     let logs = matches.get_many("logs").unwrap_or_default();
     let mut logs: Vec<PathBuf> = logs.cloned().collect();
-    let question = if matches.get_flag("late") {
+    let query = if matches.get_flag("late") {
         logs.splice(0..0, id.map(PathBuf::from));
-        trace::Question::Late
+        trace::Query::Late
     } else {
-        trace::Question::Story(id.ok_or("an id is missing")?.clone())
+        trace::Query::Timeline(id.ok_or("an id is missing")?.clone())
     };
-    let form = if matches.get_flag("json") {
-        operate::Form::Json
+    let format = if matches.get_flag("json") {
+        operate::Format::Json
     } else {
-        operate::Form::Table
+        operate::Format::Table
     };
-    trace::run(&question, &logs, form)
+    trace::run(&query, &logs, format)
 }
 
-fn serve_verb(matches: &ArgMatches) -> Result<()> {
+fn run_serve(matches: &ArgMatches) -> Result<()> {
     let path: &PathBuf = matches.get_one("settings").ok_or("--settings is missing")?;
-    let form = if matches.get_flag("json") {
-        logging::Form::Json
+    let format = if matches.get_flag("json") {
+        logging::Format::Json
     } else {
-        logging::Form::Text
+        logging::Format::Text
     };
     let settings = check::load(path)?;
-    runtime()?.block_on(serve::run(settings, form))
+    runtime()?.block_on(serve::run(settings, format))
 }
 
-fn check_verb(matches: &ArgMatches) -> Result<()> {
+fn run_check(matches: &ArgMatches) -> Result<()> {
     let path: &PathBuf = matches.get_one("settings").ok_or("--settings is missing")?;
     let settings = check::load(path)?;
     if matches.get_flag("print") {
--- a/crates/chestnutyoke/src/cli/operate.rs
+++ b/crates/chestnutyoke/src/cli/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' verbs: parsed into an edit of the configuration or a wish to see something.
+//! The operators' commands: parsed into an edit of the configuration or a wish to see something.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 use wire::id;
 
 use super::Result;
-use crate::verbs::apply;
-use crate::verbs::show::View;
+use crate::commands::apply;
+use crate::commands::show::View;
 
 /// The admin listener of a VM on this machine that uses the documented ports.
 const ADMIN: &str = "127.0.0.1:8082";
@@ -31,14 +31,14 @@
     /// Its admin listener.
     pub admin: SocketAddr,
     /// Whether to show JSON in place of tables.
-    pub form: Form,
+    pub format: Format,
     /// The configuration's revision that a change is made to; `None` for the present one.
     pub expected: Option<u64>,
 }
 
 /// How an answer is shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// Tables for people.
     Table,
     /// JSON for scripts.
@@ -47,7 +47,7 @@
 
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verb {
+pub enum Action {
     /// A change of the configuration.
     Change(Edit),
     /// To see something.
@@ -261,15 +261,15 @@
 /// Fails where the address is missing.
 pub fn target(matches: &ArgMatches) -> Result<Target> {
     let leaf = matches.subcommand().map_or(matches, |(_, leaf)| leaf);
-    let form = if leaf.get_flag("json") {
-        Form::Json
+    let format = if leaf.get_flag("json") {
+        Format::Json
     } else {
-        Form::Table
+        Format::Table
     };
     let admin = *leaf.get_one("admin").ok_or("--admin is missing")?;
     Ok(Target {
         admin,
-        form,
+        format,
         expected: leaf.get_one("expect").copied(),
     })
 }
@@ -279,35 +279,37 @@
 /// # Errors
 ///
 /// Fails where a name, a label or a file isn't valid.
-pub fn parse(verb: &str, matches: &ArgMatches) -> Result<Verb> {
+pub fn parse(verb: &str, matches: &ArgMatches) -> Result<Action> {
     match (verb, matches.subcommand()) {
         ("label", Some(("set", leaf))) => label_set(leaf),
         ("label", Some(("remove", leaf))) => label_remove(leaf),
-        ("label", _) => Ok(Verb::Show(View::Labels)),
-        ("selector", Some(("set", leaf))) => Ok(Verb::Change(Edit::Selector(selector(leaf)?))),
-        ("selector", Some(("remove", leaf))) => Ok(Verb::Change(Edit::RemoveSelector(
+        ("label", _) => Ok(Action::Show(View::Labels)),
+        ("selector", Some(("set", leaf))) => Ok(Action::Change(Edit::Selector(selector(leaf)?))),
+        ("selector", Some(("remove", leaf))) => Ok(Action::Change(Edit::RemoveSelector(
             id::Selector::parse(text(leaf, "name")?)?,
         ))),
-        ("selector", _) => Ok(Verb::Show(View::Selectors)),
-        ("vm", Some(("lost", leaf))) => Ok(Verb::Change(Edit::Lost(id::Centre::parse(text(
+        ("selector", _) => Ok(Action::Show(View::Selectors)),
+        ("vm", Some(("lost", leaf))) => Ok(Action::Change(Edit::Lost(id::Centre::parse(text(
             leaf, "centre",
         )?)?))),
-        ("vm", Some(("found", leaf))) => Ok(Verb::Change(Edit::Found(id::Centre::parse(text(
+        ("vm", Some(("found", leaf))) => Ok(Action::Change(Edit::Found(id::Centre::parse(text(
             leaf, "centre",
         )?)?))),
-        ("vm", _) => Ok(Verb::Show(View::Vms)),
-        ("program", Some(("end", leaf))) => Ok(Verb::End(id::Program::parse(text(leaf, "name")?)?)),
-        ("program", Some((_, leaf))) => Ok(Verb::Show(View::Program(id::Program::parse(text(
+        ("vm", _) => Ok(Action::Show(View::Vms)),
+        ("program", Some(("end", leaf))) => {
+            Ok(Action::End(id::Program::parse(text(leaf, "name")?)?))
+        }
+        ("program", Some((_, leaf))) => Ok(Action::Show(View::Program(id::Program::parse(text(
             leaf, "name",
         )?)?))),
         ("apply", _) => apply_file(matches),
-        ("rollout", _) => Ok(Verb::Show(View::Rollout(
+        ("rollout", _) => Ok(Action::Show(View::Rollout(
             matches.get_one("revision").copied(),
         ))),
-        ("explain", _) => Ok(Verb::Show(View::Explain(id::Program::parse(text(
+        ("explain", _) => Ok(Action::Show(View::Explain(id::Program::parse(text(
             matches, "name",
         )?)?))),
-        _ => Ok(Verb::Show(View::Status)),
+        _ => Ok(Action::Show(View::Status)),
     }
 }
 
@@ -335,7 +337,7 @@
     Ok(pair.ok_or_else(|| format!("`{label}` isn't NAME=VALUE"))?)
 }
 
-fn label_set(matches: &ArgMatches) -> Result<Verb> {
+fn label_set(matches: &ArgMatches) -> Result<Action> {
     let subject = subject(matches)?;
     let mut edits = Vec::new();
     for label in texts(matches, "labels") {
@@ -347,17 +349,17 @@
             value,
         });
     }
-    Ok(Verb::Change(Edit::Several(edits)))
+    Ok(Action::Change(Edit::Several(edits)))
 }
 
-fn label_remove(matches: &ArgMatches) -> Result<Verb> {
+fn label_remove(matches: &ArgMatches) -> Result<Action> {
     let subject = subject(matches)?;
     let edit = |name: &str| Edit::Label {
         subject: subject.clone(),
         name: name.to_owned(),
         value: None,
     };
-    Ok(Verb::Change(Edit::Several(
+    Ok(Action::Change(Edit::Several(
         texts(matches, "labels").into_iter().map(edit).collect(),
     )))
 }
@@ -396,11 +398,11 @@
     })
 }
 
-fn apply_file(matches: &ArgMatches) -> Result<Verb> {
+fn apply_file(matches: &ArgMatches) -> Result<Action> {
     let path: &PathBuf = matches.get_one("file").ok_or("--file is missing")?;
     let text = fs::read_to_string(path).map_err(|fault| format!("{}: {fault}", path.display()))?;
     let edit = apply::parse(&text).map_err(|fault| format!("{}: {fault}", path.display()))?;
-    Ok(Verb::Change(edit))
+    Ok(Action::Change(edit))
 }
 
 #[cfg(test)]
--- a/crates/chestnutyoke/src/cli/operate/tests.rs
+++ b/crates/chestnutyoke/src/cli/operate/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn parsed(line: &str) -> Result<Verb> {
+fn parsed(line: &str) -> Result<Action> {
     let command = Command::new("t").subcommands(commands());
     let words = std::iter::once("t").chain(line.split(' '));
     let matches = command.try_get_matches_from(words)?;
@@ -19,13 +19,13 @@
         value: Some("overdue".to_owned()),
     };
     let verb = parsed("label set caller tug-7 fees=overdue --json").unwrap();
-    assert_eq!(verb, Verb::Change(Edit::Several(vec![edit])));
+    assert_eq!(verb, Action::Change(Edit::Several(vec![edit])));
 }
 
 #[test]
 fn a_selector_takes_its_options() {
     let line = "selector set cutoff --caller duty=cutoff --class urgent --rank 9 --idle 1h";
-    let Verb::Change(Edit::Selector(selector)) = parsed(line).unwrap() else {
+    let Action::Change(Edit::Selector(selector)) = parsed(line).unwrap() else {
         panic!("not a selector");
     };
     assert_eq!((selector.class, selector.rank), (Class::Urgent, 9));
--- a/crates/chestnutyoke/src/verbs.rs
+++ b/crates/chestnutyoke/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the command line can do, a module for each group of verbs.
+//! What the command line can do, a module for each group of commands.
 
 pub mod apply;
 pub mod change;
--- a/crates/chestnutyoke/src/verbs/change.rs
+++ b/crates/chestnutyoke/src/commands/change.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::cli::operate::Form;
+use crate::cli::operate::Format;
 use crate::cli::operate::Target;
 use crate::client;
 
@@ -17,9 +17,9 @@
 pub async fn run(target: &Target, edit: &Edit) -> client::Result<()> {
     let body = json!({ "edit": edit, "expected": target.expected });
     let answer = client::call(target.admin, Method::POST, "/operate/change", Some(&body)).await?;
-    match target.form {
-        Form::Json => println!("{answer}"),
-        Form::Table => println!("{}", summary(&answer)),
+    match target.format {
+        Format::Json => println!("{answer}"),
+        Format::Table => println!("{}", summary(&answer)),
     }
     Ok(())
 }
--- a/crates/chestnutyoke/src/verbs/show.rs
+++ b/crates/chestnutyoke/src/commands/show.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use wire::id;
 
-use crate::cli::operate::Form;
+use crate::cli::operate::Format;
 use crate::cli::operate::Target;
 use crate::client;
 use crate::table::Table;
@@ -35,9 +35,9 @@
 /// Fails where the VM can't be reached or refuses the question.
 pub async fn run(target: &Target, view: &View) -> client::Result<()> {
     let answer = client::call(target.admin, Method::GET, &path(view), None).await?;
-    match target.form {
-        Form::Json => println!("{answer}"),
-        Form::Table => print!("{}", render(view, &answer)),
+    match target.format {
+        Format::Json => println!("{answer}"),
+        Format::Table => print!("{}", render(view, &answer)),
     }
     Ok(())
 }
@@ -50,9 +50,9 @@
 pub async fn end(target: &Target, program: &id::Program) -> client::Result<()> {
     let path = format!("/operate/programs/{program}");
     let answer = client::call(target.admin, Method::DELETE, &path, None).await?;
-    match target.form {
-        Form::Json => println!("{answer}"),
-        Form::Table => print!("{}", fields(&answer)),
+    match target.format {
+        Format::Json => println!("{answer}"),
+        Format::Table => print!("{}", fields(&answer)),
     }
     Ok(())
 }
--- a/crates/chestnutyoke/src/verbs/trace.rs
+++ b/crates/chestnutyoke/src/commands/trace.rs
@@ -7,20 +7,20 @@
 use std::path::Path;
 use std::path::PathBuf;
 
+use trace::breakdown;
 use trace::line;
 use trace::line::Line;
-use trace::spent;
-use trace::story;
+use trace::timeline;
 use wire::event::Event;
 
 use crate::cli;
-use crate::cli::operate::Form;
+use crate::cli::operate::Format;
 
 /// What is asked of the logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum Query {
     /// The story of a request or program.
-    Story(String),
+    Timeline(String),
     /// Where the time of programs that ended late or failed went.
     Late,
 }
@@ -30,25 +30,25 @@
 /// # Errors
 ///
 /// Fails where a log can't be read, or no line concerns the id.
-pub fn run(question: &Question, logs: &[PathBuf], form: Form) -> cli::Result<()> {
+pub fn run(query: &Query, logs: &[PathBuf], format: Format) -> cli::Result<()> {
     let lines = read_all(logs)?;
-    match question {
-        Question::Story(id) => {
-            let story = story::of(id, &lines);
-            if story.lines.is_empty() {
+    match query {
+        Query::Timeline(id) => {
+            let timeline = timeline::build(id, &lines);
+            if timeline.lines.is_empty() {
                 let read = lines.len();
                 return Err(format!("none of {read} lines names {id}: is a log missing?").into());
             }
-            match form {
-                Form::Json => println!("{}", serde_json::to_string(&story)?),
-                Form::Table => print!("{story}"),
+            match format {
+                Format::Json => println!("{}", serde_json::to_string(&timeline)?),
+                Format::Table => print!("{timeline}"),
             }
         }
-        Question::Late => {
-            let seconds = spent::sum(&lines);
-            match form {
-                Form::Json => println!("{}", serde_json::to_string(&seconds)?),
-                Form::Table => print!("{}", spent::render(&seconds)),
+        Query::Late => {
+            let seconds = breakdown::sum(&lines);
+            match format {
+                Format::Json => println!("{}", serde_json::to_string(&seconds)?),
+                Format::Table => print!("{}", breakdown::render(&seconds)),
             }
         }
     }
--- a/crates/chestnutyoke/src/embedded.rs
+++ b/crates/chestnutyoke/src/embedded.rs
@@ -24,8 +24,8 @@
 
 use crate::cli::Result;
 use crate::client;
+use crate::commands::apply;
 use crate::logging;
-use crate::verbs::apply;
 
 /// The settings of the node.
 const VM: &str = include_str!("../defaults/vm.toml");
@@ -48,7 +48,7 @@
 ///
 /// Fails where a port is taken.
 pub async fn run(port: u16, admin: u16) -> Result<()> {
-    let _logger = logging::start(logging::Form::Text)?;
+    let _logger = logging::start(logging::Format::Text)?;
     let deployment = start(port, admin).await?;
     let mut out = std::io::stdout();
     writeln!(out, "{}", deployment.welcome())?;
--- a/crates/chestnutyoke/src/lib.rs
+++ b/crates/chestnutyoke/src/lib.rs
@@ -3,11 +3,11 @@
 
 pub mod cli;
 pub mod client;
+pub mod commands;
 pub mod embedded;
 pub mod logging;
 pub mod serve;
 pub mod table;
-pub mod verbs;
 
 pub use node;
 pub use settings;
--- a/crates/chestnutyoke/src/logging.rs
+++ b/crates/chestnutyoke/src/logging.rs
@@ -14,7 +14,7 @@
 
 /// How a line of the log is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// For people.
     Text,
     /// A JSON object a line, for programs.
@@ -37,10 +37,10 @@
 /// # Errors
 ///
 /// Fails where `RUST_LOG` isn't a log specification or a logger is set already.
-pub fn start(form: Form) -> Result<LoggerHandle> {
-    let format = match form {
-        Form::Text => text,
-        Form::Json => json,
+pub fn start(format: Format) -> Result<LoggerHandle> {
+    let format = match format {
+        Format::Text => text,
+        Format::Json => json,
     };
     let logger = Logger::try_with_env_or_str(LEVEL)?
         .log_to_stderr()
--- a/crates/chestnutyoke/src/serve.rs
+++ b/crates/chestnutyoke/src/serve.rs
@@ -18,8 +18,8 @@
 /// # Errors
 ///
 /// Fails where the log can't be set up or the node doesn't start.
-pub async fn run(settings: Settings, form: logging::Form) -> Result<()> {
-    let _logger = logging::start(form)?;
+pub async fn run(settings: Settings, format: logging::Format) -> Result<()> {
+    let _logger = logging::start(format)?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let handle = start::open(settings, Clock::System).await?;
--- a/crates/trace/src/spent.rs
+++ b/crates/trace/src/breakdown.rs
@@ -15,7 +15,7 @@
 
 /// What a span of time went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum Sink {
+pub enum Phase {
     /// From a refusal until the program came again.
     Refused,
     /// From a broken stream or a caller that left until the program came again.
@@ -28,7 +28,7 @@
     Between,
 }
 
-impl Sink {
+impl Phase {
     const ALL: [Self; 5] = [
         Self::Refused,
         Self::Broken,
@@ -47,8 +47,8 @@
     pub late: u64,
     /// Programs whose last request wasn't answered.
     pub failed: u64,
-    /// Milliseconds by sink, in their order.
-    pub spent_ms: Vec<(Sink, u64)>,
+    /// Milliseconds by phase, in their order.
+    pub spent_ms: Vec<(Phase, u64)>,
 }
 
 /// Sums up the programs that ended late or failed, by second.
@@ -61,22 +61,22 @@
     sorted.sort_by(|a, b| (a.field("program"), &a.at).cmp(&(b.field("program"), &b.at)));
     let mut seconds: Vec<Second> = Vec::new();
     for program in sorted.chunk_by(|a, b| a.field("program") == b.field("program")) {
-        let fate = fate(program);
+        let outcome = outcome(program);
         let Some(last) = program.last() else {
             continue;
         };
-        if fate == Fate::InTime {
+        if outcome == Outcome::InTime {
             continue;
         }
         let second = entry(&mut seconds, last.day_ms / 1000);
-        match fate {
-            Fate::Late => second.late += 1,
-            Fate::Failed | Fate::InTime => second.failed += 1,
+        match outcome {
+            Outcome::Late => second.late += 1,
+            Outcome::Failed | Outcome::InTime => second.failed += 1,
         }
         for pair in program.windows(2) {
             let span = pair[1].day_ms.saturating_sub(pair[0].day_ms);
-            let sink = sink(pair[0], pair[1]);
-            let at = Sink::ALL.iter().position(|known| *known == sink);
+            let phase = phase(pair[0], pair[1]);
+            let at = Phase::ALL.iter().position(|known| *known == phase);
             second.spent_ms[at.unwrap_or_default()].1 += span;
         }
     }
@@ -90,7 +90,7 @@
             second,
             late: 0,
             failed: 0,
-            spent_ms: Sink::ALL.iter().map(|sink| (*sink, 0)).collect(),
+            spent_ms: Phase::ALL.iter().map(|phase| (*phase, 0)).collect(),
         };
         seconds.insert(at, new);
         at
@@ -99,61 +99,65 @@
 }
 
 /// Statuses below 500 that ask to come again: the system's state was the reason.
-const PASSING: [u16; 2] = [408, 429];
+const RETRYABLE_STATUSES: [u16; 2] = [408, 429];
 
 /// How a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Outcome {
     InTime,
     Late,
     Failed,
 }
 
-fn fate(program: &[&Line]) -> Fate {
+fn outcome(program: &[&Line]) -> Outcome {
     let answered = program
         .iter()
         .rfind(|line| line.event == Event::RequestAnswered.number());
     let last = program.last();
     let refused = last.is_some_and(|line| line.event == Event::RequestRefused.number());
-    if refused && last.is_some_and(|line| !is_callers(line.field("code"))) {
-        return Fate::Failed;
+    if refused && last.is_some_and(|line| !is_caller_fault(line.field("code"))) {
+        return Outcome::Failed;
     }
     let Some(answered) = answered else {
-        return if refused { Fate::InTime } else { Fate::Failed };
+        return if refused {
+            Outcome::InTime
+        } else {
+            Outcome::Failed
+        };
     };
     let left = answered.number("finish_ms");
     match (left, answered.number("ms")) {
         // A program that tells no time to be finished by has zero there.
-        (Some(left), Some(took)) if left > 0 && took > left => Fate::Late,
-        _ => Fate::InTime,
+        (Some(left), Some(took)) if left > 0 && took > left => Outcome::Late,
+        _ => Outcome::InTime,
     }
 }
 
 /// Tells whether a result code refuses what was asked (no such turn, the tokens are spent), whatever
 /// state the system is in.
-fn is_callers(code: &str) -> bool {
+fn is_caller_fault(code: &str) -> bool {
     let number = code.strip_prefix("CY").and_then(|text| text.parse().ok());
     let known = Code::ALL.iter().find(|code| Some(code.number()) == number);
     known.is_some_and(|code| {
-        (400..500).contains(&code.status()) && !PASSING.contains(&code.status())
+        (400..500).contains(&code.status()) && !RETRYABLE_STATUSES.contains(&code.status())
     })
 }
 
-fn sink(from: &Line, to: &Line) -> Sink {
+fn phase(from: &Line, to: &Line) -> Phase {
     let is = |event: Event| from.event == event.number();
     if is(Event::RequestRefused) {
-        return Sink::Refused;
+        return Phase::Refused;
     }
     if is(Event::StreamBroken) || is(Event::CallerGone) {
-        return Sink::Broken;
+        return Phase::Broken;
     }
     if is(Event::RequestAnswered) {
-        return Sink::Between;
+        return Phase::Between;
     }
     if from.field("request") == to.field("request") {
-        return Sink::Runner;
+        return Phase::Runner;
     }
-    Sink::ProcessEnded
+    Phase::ProcessEnded
 }
 
 /// Renders the table that [`sum`] yields.
@@ -163,8 +167,8 @@
     impl fmt::Display for Table<'_> {
         fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             write!(f, "{:>8} {:>5} {:>6}", "second", "late", "failed")?;
-            for sink in Sink::ALL {
-                write!(f, " {:>15}", format!("{sink:?} ms"))?;
+            for phase in Phase::ALL {
+                write!(f, " {:>15}", format!("{phase:?} ms"))?;
             }
             writeln!(f)?;
             for second in self.0 {
--- a/crates/trace/src/spent/tests.rs
+++ b/crates/trace/src/breakdown/tests.rs
@@ -1,4 +1,4 @@
-use super::Sink;
+use super::Phase;
 use super::render;
 use super::sum;
 use crate::tests::lines;
@@ -20,13 +20,16 @@
     let seconds = sum(&all);
     assert_eq!(seconds.len(), 1);
     assert_eq!((seconds[0].late, seconds[0].failed), (1, 1));
-    let spent = |sink: Sink| {
-        let found = seconds[0].spent_ms.iter().find(|(known, _)| *known == sink);
+    let spent = |phase: Phase| {
+        let found = seconds[0]
+            .spent_ms
+            .iter()
+            .find(|(known, _)| *known == phase);
         found.map(|(_, ms)| *ms)
     };
-    assert_eq!(spent(Sink::Refused), Some(2_000));
-    assert_eq!(spent(Sink::Runner), Some(400 + 1_100));
-    assert_eq!(spent(Sink::ProcessEnded), Some(0));
+    assert_eq!(spent(Phase::Refused), Some(2_000));
+    assert_eq!(spent(Phase::Runner), Some(400 + 1_100));
+    assert_eq!(spent(Phase::ProcessEnded), Some(0));
     assert!(render(&seconds).contains("Refused ms"));
 }
 
@@ -39,7 +42,7 @@
 w at=2026-05-17T00:00:03.900 event=E1103 request=a2 program=p ms=400 finish_ms=100",
     );
     let seconds = sum(&all);
-    assert_eq!(seconds[0].spent_ms[2], (Sink::ProcessEnded, 2_500));
+    assert_eq!(seconds[0].spent_ms[2], (Phase::ProcessEnded, 2_500));
 }
 
 /// A program that tells no time to be finished by has `finish_ms=0` in its lines. Its answer, however
--- a/crates/trace/src/hole.rs
+++ b/crates/trace/src/gap.rs
@@ -13,7 +13,7 @@
 
 /// A place where lines are missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub enum Hole {
+pub enum Gap {
     /// A process started, and the one before it never told its end.
     Ended {
         /// The VM.
@@ -23,7 +23,7 @@
         /// When it started again.
         start: String,
         /// What the process before had told of its end.
-        told: Told,
+        told: Notice,
     },
     /// The log's queue was full.
     Dropped {
@@ -38,25 +38,25 @@
 
 /// What a process whose end isn't in the log told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Told {
+pub enum Notice {
     /// Nothing: it was killed, or its VM lost its power.
     Nothing,
     /// That it stops (E1002), and then no end.
     Stopping,
 }
 
-/// Finds the holes in the logs of all VMs, by VM and then by time.
+/// Finds the gaps in the logs of all VMs, by VM and then by time.
 #[must_use]
-pub fn find(lines: &[Line]) -> Vec<Hole> {
+pub fn find(lines: &[Line]) -> Vec<Gap> {
     let mut sorted: Vec<&Line> = lines.iter().collect();
     sorted.sort_by(|a, b| (&a.vm, &a.at).cmp(&(&b.vm, &b.at)));
     let vms = sorted.chunk_by(|a, b| a.vm == b.vm);
     vms.flat_map(of_vm).collect()
 }
 
-fn of_vm(lines: &[&Line]) -> Vec<Hole> {
-    let mut holes = Vec::new();
-    let mut told = Told::Nothing;
+fn of_vm(lines: &[&Line]) -> Vec<Gap> {
+    let mut gaps = Vec::new();
+    let mut told = Notice::Nothing;
     // The head of a log may be cut: what came before its first line isn't known to be missing.
     let mut ended = true;
     let mut last = "";
@@ -64,20 +64,20 @@
         let is = |event: Event| line.event == event.number();
         if is(Event::NodeStarted) {
             if !ended {
-                holes.push(Hole::Ended {
+                gaps.push(Gap::Ended {
                     vm: line.vm.clone(),
                     last: last.to_owned(),
                     start: line.at.clone(),
                     told,
                 });
             }
-            told = Told::Nothing;
+            told = Notice::Nothing;
         }
         if is(Event::NodeStopping) {
-            told = Told::Stopping;
+            told = Notice::Stopping;
         }
         if is(Event::LinesDropped) {
-            holes.push(Hole::Dropped {
+            gaps.push(Gap::Dropped {
                 vm: line.vm.clone(),
                 at: line.at.clone(),
                 lines: line.number("lines").unwrap_or_default(),
@@ -86,33 +86,33 @@
         ended = is(Event::NodeStopped);
         last = &line.at;
     }
-    holes
+    gaps
 }
 
-/// Yields the holes that a story from `begin` to `end` may have lost lines in: a process of any VM
+/// Yields the gaps that a story from `begin` to `end` may have lost lines in: a process of any VM
 /// that ended meanwhile, and lines that one of `vms` dropped, which is told with the next line that
 /// passes.
 #[must_use]
-pub fn within(holes: &[Hole], begin: &str, end: &str, vms: &[&str]) -> Vec<Hole> {
-    let mut found: Vec<Hole> = Vec::new();
-    // The VM of the last count after the story's end: holes go by VM.
+pub fn within(gaps: &[Gap], begin: &str, end: &str, vms: &[&str]) -> Vec<Gap> {
+    let mut found: Vec<Gap> = Vec::new();
+    // The VM of the last count after the story's end: gaps go by VM.
     let mut counted = "";
-    for hole in holes {
-        let touches = match hole {
-            Hole::Ended { last, start, .. } => last.as_str() <= end && start.as_str() >= begin,
-            Hole::Dropped { vm, at, .. } if at.as_str() > end => {
+    for gap in gaps {
+        let touches = match gap {
+            Gap::Ended { last, start, .. } => last.as_str() <= end && start.as_str() >= begin,
+            Gap::Dropped { vm, at, .. } if at.as_str() > end => {
                 std::mem::replace(&mut counted, vm) != vm && vms.contains(&vm.as_str())
             }
-            Hole::Dropped { vm, at, .. } => at.as_str() >= begin && vms.contains(&vm.as_str()),
+            Gap::Dropped { vm, at, .. } => at.as_str() >= begin && vms.contains(&vm.as_str()),
         };
         if touches {
-            found.push(hole.clone());
+            found.push(gap.clone());
         }
     }
     found
 }
 
-impl fmt::Display for Hole {
+impl fmt::Display for Gap {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Ended {
@@ -122,8 +122,8 @@
                 told,
             } => {
                 let told = match told {
-                    Told::Nothing => "without a word",
-                    Told::Stopping => "while it stopped, or its last line is missing",
+                    Notice::Nothing => "without a word",
+                    Notice::Stopping => "while it stopped, or its last line is missing",
                 };
                 write!(
                     f,
--- a/crates/trace/src/hole/tests.rs
+++ b/crates/trace/src/gap/tests.rs
@@ -1,5 +1,5 @@
-use super::Hole;
-use super::Told;
+use super::Gap;
+use super::Notice;
 use super::find;
 use super::within;
 use crate::line::Line;
@@ -24,15 +24,15 @@
 v at=2026-05-17T07:00:08.000 event=E1002
 v at=2026-05-17T07:00:09.000 event=E1001 vm=v",
     );
-    let ended = |last: &str, start: &str, told| Hole::Ended {
+    let ended = |last: &str, start: &str, told| Gap::Ended {
         vm: "v".to_owned(),
         last: format!("2026-05-17T07:00:0{last}.000"),
         start: format!("2026-05-17T07:00:0{start}.000"),
         told,
     };
     let wanted = [
-        ended("2", "4", Told::Nothing),
-        ended("8", "9", Told::Stopping),
+        ended("2", "4", Notice::Nothing),
+        ended("8", "9", Notice::Stopping),
     ];
     assert_eq!(find(&all), wanted);
 }
@@ -47,9 +47,9 @@
 w at=2026-05-17T07:00:02.000 event=E1003
 v at=2026-05-17T07:00:03.000 event=E1001 vm=v",
     );
-    let holes = find(&all);
-    assert_eq!(holes.len(), 1, "{holes:?}");
-    assert!(holes[0].to_string().contains("the process on v ended"));
+    let gaps = find(&all);
+    assert_eq!(gaps.len(), 1, "{gaps:?}");
+    assert!(gaps[0].to_string().contains("the process on v ended"));
 }
 
 /// Lines found no room while a request ran. The count comes with the next line that passes, after
@@ -65,7 +65,7 @@
     );
     let at = "2026-05-17T07:00:02.000";
     let told = within(&find(&all), at, at, &["v"]);
-    let wanted = Hole::Dropped {
+    let wanted = Gap::Dropped {
         vm: "v".to_owned(),
         at: "2026-05-17T07:00:04.000".to_owned(),
         lines: 7,
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -4,16 +4,16 @@
 //! logs of several VMs, out of order, and a process that was killed leaves its last line torn.
 //!
 //! - [`line`] reads one line, whatever stands around it;
-//! - [`hole`] finds where a log lacks lines;
+//! - [`gap`] finds where a log lacks lines;
 //! - [`state`] finds what VMs noted of their own state;
 //! - [`story`] picks and orders the lines of one id and names the cause;
 //! - [`spent`] sums up where programs that ended late, or didn't end, spent their time.
 
-pub mod hole;
+pub mod breakdown;
+pub mod gap;
 pub mod line;
-pub mod spent;
 pub mod state;
-pub mod story;
+pub mod timeline;
 
 #[cfg(test)]
 mod tests;
--- a/crates/trace/src/line.rs
+++ b/crates/trace/src/line.rs
@@ -53,7 +53,7 @@
 /// whole line.
 #[must_use]
 pub fn parse(text: &str, log: &str) -> Option<Line> {
-    let begins: Vec<usize> = text.match_indices(OPENING).map(|(at, _)| at).collect();
+    let begins: Vec<usize> = text.match_indices(TIME_PREFIX).map(|(at, _)| at).collect();
     let mut begins = begins.into_iter().filter(|at| is_dated(&text[*at..]));
     let first = begins.next()?;
     let vm = text[..first].split_whitespace().next_back().unwrap_or(log);
@@ -75,20 +75,20 @@
 }
 
 /// What a line begins with; its time follows.
-const OPENING: &str = "at=";
+const TIME_PREFIX: &str = "at=";
 /// The form of the date in a line's time, with a zero for each digit.
-const DATE: &str = "0000-00-00T";
+const DATE_PATTERN: &str = "0000-00-00T";
 
 /// Tells whether a text that begins as a line does goes on with a date.
 fn is_dated(text: &str) -> bool {
     let date = text
         .as_bytes()
-        .get(OPENING.len()..OPENING.len() + DATE.len());
+        .get(TIME_PREFIX.len()..TIME_PREFIX.len() + DATE_PATTERN.len());
     let fits = |(known, found): (u8, &u8)| match known {
         b'0' => found.is_ascii_digit(),
         _ => known == *found,
     };
-    date.is_some_and(|date| DATE.bytes().zip(date).all(fits))
+    date.is_some_and(|date| DATE_PATTERN.bytes().zip(date).all(fits))
 }
 
 fn take(fields: &mut Vec<(String, String)>, name: &str) -> Option<String> {
@@ -106,7 +106,7 @@
             quoted.split_once('"')?
         } else {
             let (value, left) = after.split_once(' ').unwrap_or((after, ""));
-            let mut begins = value.match_indices(OPENING);
+            let mut begins = value.match_indices(TIME_PREFIX);
             if begins.any(|(at, _)| is_dated(&value[at..])) {
                 return None;
             }
--- a/crates/trace/src/state.rs
+++ b/crates/trace/src/state.rs
@@ -7,7 +7,7 @@
 use crate::line::Line;
 
 /// The pairs of events that tell of a VM's own state.
-const STATES: [[Event; 2]; 3] = [
+const STATE_EVENTS: [[Event; 2]; 3] = [
     [Event::NodeStarted, Event::NodeStopping],
     [Event::OutageBegan, Event::OutageEnded],
     [Event::MembersLost, Event::MembersRegained],
@@ -24,7 +24,7 @@
     /// Picks and orders the lines.
     #[must_use]
     pub fn new(all: &'a [Line]) -> Self {
-        let tells = |line: &&Line| STATES.iter().any(|pair| is_of(line, *pair));
+        let tells = |line: &&Line| STATE_EVENTS.iter().any(|pair| is_of(line, *pair));
         let mut lines: Vec<&Line> = all.iter().filter(tells).collect();
         lines.sort_by(|a, b| (&a.vm, &a.at).cmp(&(&b.vm, &b.at)));
         Self { lines }
@@ -33,11 +33,11 @@
     /// Finds the last line about each part of its own state that a line's VM wrote until then; the
     /// parts of an outage are its subjects.
     #[must_use]
-    pub fn until(&self, line: &Line) -> Vec<Line> {
+    pub fn latest(&self, line: &Line) -> Vec<Line> {
         let of_vm = self.of_vm(&line.vm);
         let before = &of_vm[..of_vm.partition_point(|other| other.at <= line.at)];
         let mut latest = Vec::new();
-        for pair in STATES {
+        for pair in STATE_EVENTS {
             let mut told = before.to_vec();
             told.retain(|other| is_of(other, pair));
             // Stable, so that the lines of one subject stay in the order of their times.
--- a/crates/trace/src/state/tests.rs
+++ b/crates/trace/src/state/tests.rs
@@ -29,7 +29,7 @@
             told.max_by(|a, b| a.at.cmp(&b.at)).cloned()
         };
         let expected: Vec<Line> = pairs.iter().filter_map(latest).collect();
-        assert_eq!(index.until(line), expected, "{line}");
+        assert_eq!(index.latest(line), expected, "{line}");
         let started = |other: &Line| other.event == Event::NodeStarted.number();
         let of_vm = all.iter().filter(|other| other.vm == line.vm);
         let expected = of_vm
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/timeline.rs
@@ -5,18 +5,18 @@
 use serde::Serialize;
 use wire::event::Event;
 
-use crate::hole;
-use crate::hole::Hole;
+use crate::gap;
+use crate::gap::Gap;
 use crate::line::Line;
 use crate::state::Index;
 
 /// How long after a refusal its VM or another one may notice the same: two looks at the VMs with a
 /// disk.
-const NOTICED_MS: u64 = 1_500;
+const SAME_TROUBLE_WINDOW_MS: u64 = 1_500;
 
 /// How long after a broken request another VM may notice that its runner is gone: three heartbeats that
 /// are missed, and the way of the news.
-const MISSED_MS: u64 = 5_000;
+const RUNNER_LOSS_WINDOW_MS: u64 = 5_000;
 
 /// What became of a request, as far as the logs tell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -63,13 +63,14 @@
 
 /// The lines of one id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// The lines, in order.
     pub lines: Vec<Line>,
     /// What became of each request, in the order in which the requests came.
     pub ends: Vec<End>,
     /// Where lines may be missing in it.
-    pub holes: Vec<Hole>,
+    #[serde(rename = "holes")]
+    pub gaps: Vec<Gap>,
 }
 
 /// What became of one request.
@@ -86,7 +87,7 @@
     /// What another VM noted of that runner first from then on.
     pub elsewhere: Option<Line>,
     /// What else that runner did while it had the request, by the logs of all VMs.
-    pub beside: Option<Beside>,
+    pub beside: Option<Concurrent>,
     /// What its VM last noted of its own state before that, where it wasn't answered: a refusal says
     /// what is missing, these lines since when.
     pub state: Vec<Line>,
@@ -94,13 +95,13 @@
     /// names.
     pub after: Option<Line>,
     /// Who else reached too few VMs with a disk at that time, where its own VM did.
-    pub alike: Option<Alike>,
+    pub alike: Option<Affected>,
 }
 
 /// How other requests at a runner ended: with all of them unanswered it stood still or was out of
 /// reach, with few it lost an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Beside {
+pub struct Concurrent {
     /// Those that it answered.
     pub answered: usize,
     /// Those that it didn't.
@@ -110,7 +111,7 @@
 /// Which VMs had the same trouble at the same time: where few did, their own VM is cut off, where all
 /// did, the VMs with a disk are away.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Alike {
+pub struct Affected {
     /// How many other VMs the logs tell of that look for VMs with a disk.
     pub others: usize,
     /// Those of them that had it.
@@ -118,11 +119,11 @@
 }
 
 /// The field that names VMs with a disk that don't answer.
-const SILENT: &str = "silent";
+const SILENT_FIELD: &str = "silent";
 /// What the reason of a try begins with that its runner turned away: it did answer.
-const TURNED_AWAY: &str = "not run";
+const NOT_RUN_PREFIX: &str = "not run";
 /// The events that tell how a runner is to be used.
-const RUNNERS: [Event; 6] = [
+const RUNNER_EVENTS: [Event; 6] = [
     Event::EndpointEjected,
     Event::EndpointRestored,
     Event::EndpointLeaving,
@@ -133,7 +134,7 @@
 
 /// Tells the story of a request or of all requests of a program.
 #[must_use]
-pub fn of(id: &str, lines: &[Line]) -> Story {
+pub fn build(id: &str, lines: &[Line]) -> Timeline {
     let concerns = |line: &&Line| line.field("request") == id || line.field("program") == id;
     let mut told: Vec<Line> = lines.iter().filter(concerns).cloned().collect();
     told.sort_by(|a, b| a.at.cmp(&b.at));
@@ -143,19 +144,19 @@
         .iter()
         .map(|(request, of_request)| end(request, of_request, lines, &states));
     let ends = ends.collect();
-    Story {
+    Timeline {
         ends,
-        holes: holes(&told, lines),
+        gaps: gaps(&told, lines),
         lines: told,
     }
 }
 
-fn holes(told: &[Line], all: &[Line]) -> Vec<Hole> {
+fn gaps(told: &[Line], all: &[Line]) -> Vec<Gap> {
     let (Some(first), Some(last)) = (told.first(), told.last()) else {
         return Vec::new();
     };
     let vms: Vec<&str> = told.iter().map(|line| line.vm.as_str()).collect();
-    hole::within(&hole::find(all), &first.at, &last.at, &vms)
+    gap::within(&gap::find(all), &first.at, &last.at, &vms)
 }
 
 /// Groups lines by their requests, in the order of the requests' first lines.
@@ -201,32 +202,32 @@
     if matches!(end.cause, Cause::Late { .. }) {
         return end;
     }
-    end.state = states.until(last);
-    if let Some(lost) = end.state.iter().find(|line| lacks_members(line)) {
+    end.state = states.latest(last);
+    if let Some(lost) = end.state.iter().find(|line| is_members_lost(line)) {
         end.alike = Some(alike(last, all));
-        if lost.field(SILENT).is_empty() {
+        if lost.field(SILENT_FIELD).is_empty() {
             end.after = named_after(last, all);
         }
     }
     end
 }
 
-fn lacks_members(line: &Line) -> bool {
+fn is_members_lost(line: &Line) -> bool {
     line.event == Event::MembersLost.number()
 }
 
 /// Finds the line just after that names the VMs with a disk that its VM didn't reach.
 fn named_after(last: &Line, all: &[Line]) -> Option<Line> {
     let names = |line: &&Line| {
-        let soon = line.at >= last.at && line.day_ms <= last.day_ms + NOTICED_MS;
-        lacks_members(line) && line.vm == last.vm && soon && !line.field(SILENT).is_empty()
+        let soon = line.at >= last.at && line.day_ms <= last.day_ms + SAME_TROUBLE_WINDOW_MS;
+        is_members_lost(line) && line.vm == last.vm && soon && !line.field(SILENT_FIELD).is_empty()
     };
     let found = all.iter().filter(names);
     found.min_by(|a, b| a.at.cmp(&b.at)).cloned()
 }
 
 /// Counts how others ended at a runner from the time that it got the request until the request's end.
-fn beside(runner: &str, of_request: &[&Line], all: &[Line]) -> Option<Beside> {
+fn beside(runner: &str, of_request: &[&Line], all: &[Line]) -> Option<Concurrent> {
     let placed =
         |line: &&&Line| line.event == Event::CallPlaced.number() && line.field("runner") == runner;
     let begin = of_request.iter().rfind(placed)?;
@@ -235,7 +236,7 @@
         let within = line.at >= begin.at && line.at <= last.at;
         within && line.field("runner") == runner && line.field("request") != last.field("request")
     });
-    let mut beside = Beside {
+    let mut beside = Concurrent {
         answered: 0,
         failed: 0,
     };
@@ -245,7 +246,7 @@
         }
         let failed = [Event::CallRetried, Event::StreamBroken];
         let failed = failed.iter().any(|event| event.number() == line.event);
-        if failed && !line.field("why").starts_with(TURNED_AWAY) {
+        if failed && !line.field("why").starts_with(NOT_RUN_PREFIX) {
             beside.failed += 1;
         }
     }
@@ -255,8 +256,10 @@
 /// Finds the first line about a runner that another VM wrote from then on.
 fn elsewhere(runner: &str, last: &Line, all: &[Line]) -> Option<Line> {
     let tells = |line: &&Line| {
-        let about = RUNNERS.iter().any(|event| event.number() == line.event);
-        let soon = line.at >= last.at && line.day_ms <= last.day_ms + MISSED_MS;
+        let about = RUNNER_EVENTS
+            .iter()
+            .any(|event| event.number() == line.event);
+        let soon = line.at >= last.at && line.day_ms <= last.day_ms + RUNNER_LOSS_WINDOW_MS;
         about && soon && line.field("runner") == runner && line.vm != last.vm
     };
     let told = all.iter().filter(tells);
@@ -266,7 +269,9 @@
 /// Finds the last line about a runner that a VM wrote until then.
 fn reach(runner: &str, last: &Line, all: &[Line]) -> Option<Line> {
     let tells = |line: &&Line| {
-        let about = RUNNERS.iter().any(|event| event.number() == line.event);
+        let about = RUNNER_EVENTS
+            .iter()
+            .any(|event| event.number() == line.event);
         about && line.field("runner") == runner && line.vm == last.vm && line.at <= last.at
     };
     let told = all.iter().filter(tells);
@@ -274,9 +279,9 @@
 }
 
 /// Names the other VMs that reached too few VMs with a disk then, or noticed it just after.
-fn alike(last: &Line, all: &[Line]) -> Alike {
+fn alike(last: &Line, all: &[Line]) -> Affected {
     let told = all.iter().filter(|line| {
-        let about = lacks_members(line) || line.event == Event::MembersRegained.number();
+        let about = is_members_lost(line) || line.event == Event::MembersRegained.number();
         about && line.vm != last.vm
     });
     let mut told: Vec<&Line> = told.collect();
@@ -285,13 +290,13 @@
     let had = |of_vm: &&&[&Line]| {
         let before = of_vm.partition_point(|line| line.at <= last.at);
         let (before, after) = of_vm.split_at(before);
-        let soon = |line: &&&Line| line.day_ms <= last.day_ms + NOTICED_MS;
+        let soon = |line: &&&Line| line.day_ms <= last.day_ms + SAME_TROUBLE_WINDOW_MS;
         let mut after = after.iter().take_while(soon);
-        before.last().is_some_and(|line| lacks_members(line))
-            || after.any(|line| lacks_members(line))
+        before.last().is_some_and(|line| is_members_lost(line))
+            || after.any(|line| is_members_lost(line))
     };
     let same = vms.iter().filter(had);
-    Alike {
+    Affected {
         others: vms.len(),
         vms: same.map(|of_vm| of_vm[0].vm.clone()).collect(),
     }
@@ -386,7 +391,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(f, "{line}")?;
@@ -394,8 +399,8 @@
         for end in &self.ends {
             write!(f, "{end}")?;
         }
-        for hole in &self.holes {
-            writeln!(f, "lines may be missing: {hole}")?;
+        for gap in &self.gaps {
+            writeln!(f, "lines may be missing: {gap}")?;
         }
         Ok(())
     }
@@ -416,7 +421,7 @@
             writeln!(f, "  another VM of that runner just after: {elsewhere}")?;
         }
         if let Some(beside) = &self.beside {
-            let Beside { answered, failed } = beside;
+            let Concurrent { answered, failed } = beside;
             writeln!(
                 f,
                 "  its runner meanwhile: {answered} other requests answered, {failed} not"
--- a/crates/trace/src/story/tests.rs
+++ b/crates/trace/src/timeline/tests.rs
@@ -1,5 +1,5 @@
 use super::Cause;
-use super::of;
+use super::build;
 use crate::line::Line;
 use crate::tests::lines;
 
@@ -15,15 +15,19 @@
 front-b-3 at=2026-05-17T07:00:01.826 event=E1102 text=\"request refused\" request=r2 program=p1 code=CY4107 why=\"too few VMs with a disk answer\"
 front-b-1 at=2026-05-17T07:00:01.000 event=E1103 text=\"request answered\" request=x1 program=p2 status=200",
     );
-    let story = of("p1", &all);
-    assert_eq!(story.lines.len(), 5);
-    assert_eq!(story.lines[0].field("request"), "r1", "in order of time");
-    let causes: Vec<&str> = story.ends.iter().map(|end| end.request.as_str()).collect();
+    let timeline = build("p1", &all);
+    assert_eq!(timeline.lines.len(), 5);
+    assert_eq!(timeline.lines[0].field("request"), "r1", "in order of time");
+    let causes: Vec<&str> = timeline
+        .ends
+        .iter()
+        .map(|end| end.request.as_str())
+        .collect();
     assert_eq!(causes, ["r1", "r2", "r3"]);
-    let text = story.to_string();
+    let text = timeline.to_string();
     assert!(text.contains("request r2: refused, CY4107: too few VMs with a disk answer"));
     assert!(text.contains("request r3: answered with status 200"));
-    assert_eq!(of("r2", &all).lines.len(), 1, "a request's own story");
+    assert_eq!(build("r2", &all).lines.len(), 1, "a request's own timeline");
 }
 
 /// A turn is refused for want of VMs with a disk. The refusal doesn't say since when; what its own VM
@@ -37,12 +41,12 @@
 v at=2026-05-17T07:00:02.000 event=E1102 request=r1 code=CY4107 why=few
 v at=2026-05-17T07:00:03.000 event=E3109 answered=3 members=3",
     );
-    let story = of("r1", &all);
-    let state = &story.ends[0].state;
+    let timeline = build("r1", &all);
+    let state = &timeline.ends[0].state;
     let events: Vec<u16> = state.iter().map(|line| line.event).collect();
     assert_eq!(events, [1001, 3108]);
     assert_eq!(state[1].field("answered"), "1");
-    assert!(story.to_string().contains("its VM before that"));
+    assert!(timeline.to_string().contains("its VM before that"));
 }
 
 /// A process is killed in the middle of a stream: its log holds no end of the request, but the start
@@ -52,10 +56,10 @@
     let placed = "front-a-1 at=2026-05-17T07:00:01.469 event=E1201 request=r1 program=p1";
     let started = "front-a-1 at=2026-05-17T07:00:04.000 event=E1001 vm=front-a-1";
     let elsewhere = "front-a-2 at=2026-05-17T07:00:04.000 event=E1001 vm=front-a-2";
-    let ended = of("r1", &lines(&format!("{placed}\n{started}")));
+    let ended = build("r1", &lines(&format!("{placed}\n{started}")));
     let vm = "front-a-1".to_owned();
     assert_eq!(ended.ends[0].cause, Cause::ProcessEnded { vm: vm.clone() });
-    let missing = of("r1", &lines(&format!("{placed}\n{elsewhere}")));
+    let missing = build("r1", &lines(&format!("{placed}\n{elsewhere}")));
     assert_eq!(missing.ends[0].cause, Cause::EndMissing { vm });
 }
 
@@ -65,11 +69,11 @@
     let placed = "v at=2026-05-17T07:00:01.469 event=E1201 request=r1";
     let gone = "v at=2026-05-17T07:00:04.469 event=E1209 request=r1 events=2";
     let broken = "v at=2026-05-17T07:00:05.469 event=E1208 request=r1 why=\"the time is over\"";
-    let story = of("r1", &lines(&format!("{placed}\n{gone}")));
-    assert_eq!(story.ends[0].cause, Cause::CallerGone);
-    let story = of("r1", &lines(&format!("{placed}\n{broken}")));
+    let timeline = build("r1", &lines(&format!("{placed}\n{gone}")));
+    assert_eq!(timeline.ends[0].cause, Cause::CallerGone);
+    let timeline = build("r1", &lines(&format!("{placed}\n{broken}")));
     let why = "the time is over".to_owned();
-    assert_eq!(story.ends[0].cause, Cause::Broken { why });
+    assert_eq!(timeline.ends[0].cause, Cause::Broken { why });
 }
 
 /// A turn is answered whole, but later than its program could wait. The story says so, and whether
@@ -82,18 +86,18 @@
 v at=2026-05-17T07:00:02.600 event=E1103 request=r1 runner=i-2 status=200 ms=1600 finish_ms=500
 v at=2026-05-17T07:00:03.000 event=E1103 request=r2 runner=i-2 status=200 ms=1600 finish_ms=0",
     );
-    let story = of("r1", &all);
+    let timeline = build("r1", &all);
     let wanted = Cause::Late {
         ms: 1_600,
         left_ms: 500,
         placed_ms: 12,
     };
-    assert_eq!(story.ends[0].cause, wanted);
-    let text = story.to_string();
+    assert_eq!(timeline.ends[0].cause, wanted);
+    let text = timeline.to_string();
     assert!(text.contains("1588 from then on (at runner i-2)"), "{text}");
     assert!(text.contains("its runner before that: 2026-05-17T07:00:00.500 v E1204"));
     let status = "200".to_owned();
-    assert_eq!(of("r2", &all).ends[0].cause, Cause::Answered { status });
+    assert_eq!(build("r2", &all).ends[0].cause, Cause::Answered { status });
 }
 
 /// Two VMs refuse turns for want of VMs with a disk, a third doesn't. Whether one VM is cut off or
@@ -109,11 +113,11 @@
 w at=2026-05-17T07:00:01.400 event=E3109 answered=3 members=3
 x at=2026-05-17T07:00:09.000 event=E3108 answered=1 members=3",
     );
-    let story = of("r1", &all);
+    let timeline = build("r1", &all);
     let told = "told the same then: 1 of 3 other VMs: w\n";
-    assert!(story.to_string().contains(told), "{story}");
+    assert!(timeline.to_string().contains(told), "{timeline}");
     let alone: Vec<Line> = all.into_iter().filter(|line| line.vm == "v").collect();
-    let text = of("r1", &alone).to_string();
+    let text = build("r1", &alone).to_string();
     assert!(
         text.contains("told the same then: 0 of 0 other VMs\n"),
         "{text}"
@@ -132,7 +136,7 @@
 front at=2026-05-17T07:00:03.000 event=E1208 request=r1 program=p1 why=\"the turn couldn't be kept\"
 disk at=2026-05-17T07:00:09.000 event=E1001 vm=disk",
     );
-    let text = of("p1", &all).to_string();
+    let text = build("p1", &all).to_string();
     assert!(text.contains("(at runner i-1)"), "{text}");
     let told = "lines may be missing: the process on disk ended without a word after 2026-05-17T07:00:00.000; a new one started at 2026-05-17T07:00:09.000";
     assert!(text.contains(told), "{text}");
@@ -149,8 +153,8 @@
 v at=2026-05-17T07:00:01.000 event=E2103 subject=Config failures=3
 v at=2026-05-17T07:00:02.000 event=E1102 request=r1 code=CY2204 why=none",
     );
-    let story = of("r1", &all);
-    let state = story.ends[0].state.iter();
+    let timeline = build("r1", &all);
+    let state = timeline.ends[0].state.iter();
     let told: Vec<(u16, &str)> = state
         .map(|line| (line.event, line.field("subject")))
         .collect();
@@ -167,7 +171,7 @@
          a at=2026-05-17T07:00:03.000 event=E1210 request=r1 what=Answer ms=2000\n\
          a at=2026-05-17T07:00:03.000 event=E1210 request=r2 what=Settlement ms=900\n",
     );
-    let ends: Vec<Cause> = of("p", &log)
+    let ends: Vec<Cause> = build("p", &log)
         .ends
         .into_iter()
         .map(|end| end.cause)
@@ -175,7 +179,7 @@
     let vm = "a".to_owned();
     let status = "200".to_owned();
     assert_eq!(ends[1], Cause::Answered { status });
-    let cut = of("r1", &log).ends.remove(0).cause;
+    let cut = build("r1", &log).ends.remove(0).cause;
     assert_eq!(cut, Cause::ProcessEnded { vm });
 }
 
@@ -188,12 +192,12 @@
     let answered =
         "v at=2026-05-17T07:00:05.000 event=E1103 request=r1 status=200 ms=5000 finish_ms=0";
     let left = "v at=2026-05-17T07:00:05.000 event=E1209 request=r1 ran_on=true";
-    let story = of("r1", &lines(&format!("{refused}\n{left}")));
+    let timeline = build("r1", &lines(&format!("{refused}\n{left}")));
     let code = "CY3104".to_owned();
     let why = "no answer in time".to_owned();
-    assert_eq!(story.ends[0].cause, Cause::Refused { code, why });
-    let story = of("r1", &lines(&format!("{answered}\n{left}")));
-    assert_eq!(story.ends[0].cause, Cause::CallerGone);
+    assert_eq!(timeline.ends[0].cause, Cause::Refused { code, why });
+    let timeline = build("r1", &lines(&format!("{answered}\n{left}")));
+    assert_eq!(timeline.ends[0].cause, Cause::CallerGone);
 }
 
 /// A runner gives one call no answer. Whether it stood still or lost that answer alone tells on-call
@@ -211,7 +215,7 @@
 v at=2026-05-17T07:00:05.000 event=E1203 request=r1 runner=i-1 why=\"no answer in time\"
 v at=2026-05-17T07:00:05.000 event=E1102 request=r1 code=CY3104 why=\"no answer in time\"",
     );
-    let text = of("r1", &all).to_string();
+    let text = build("r1", &all).to_string();
     let told = "its runner meanwhile: 2 other requests answered, 1 not\n";
     assert!(text.contains(told), "{text}");
 }
@@ -226,7 +230,7 @@
 v at=2026-05-17T07:00:01.200 event=E3108 answered=1 members=3 silent=s-1,s-2
 v at=2026-05-17T07:00:09.000 event=E3108 answered=1 members=3 silent=s-3,s-2",
     );
-    let text = of("r1", &all).to_string();
+    let text = build("r1", &all).to_string();
     assert!(text.contains("its VM before that"), "{text}");
     let told =
         "its VM just after: 2026-05-17T07:00:01.200 v E3108 answered=1 members=3 silent=s-1,s-2\n";
@@ -251,9 +255,9 @@
 v at=2026-05-17T07:00:05.010 event=E1102 request=r2 code=CY3101 why=closed
 w at=2026-05-17T07:00:11.000 event=E5005 runner=i-3",
     );
-    let text = of("r1", &all).to_string();
+    let text = build("r1", &all).to_string();
     let told = "another VM of that runner just after: 2026-05-17T07:00:03.000 w E5005 runner=i-1\n";
     assert!(text.contains(told), "{text}");
-    let text = of("r2", &all).to_string();
+    let text = build("r2", &all).to_string();
     assert!(!text.contains("another VM of that runner"), "{text}");
 }
