--- a/crates/chestnutyoke/src/bin/chestnutyoke-standin.rs
+++ b/crates/chestnutyoke/src/bin/chestnutyoke-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' command line: one stand-in a process.
+//! The command line of the stand-ins; each process runs one stand-in.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// Why a stand-in doesn't start.
 #[derive(Debug, Display, Error, From)]
 enum Fault {
-    /// The network refuses.
+    /// The listener can't be opened.
     #[display("can't listen: {_0}")]
     Listen(std::io::Error),
     /// The log can't be set up.
@@ -99,7 +99,7 @@
     }
 }
 
-/// Yields an option's value; every option that is asked for has a default.
+/// Returns the value of an option, which must have a default.
 fn value<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
     let found = matches.get_one::<T>(name).cloned();
     found.unwrap_or_else(|| unreachable!("--{name} has a default"))
@@ -107,36 +107,36 @@
 
 fn command() -> Command {
     Command::new("chestnutyoke-standin")
-        .about("Stand-ins for the systems outside, with switches for their faults")
+        .about("Stand-ins for external systems, with configurable faults")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
-            listening("platform", "A key-value service and the list of VMs")
-                .arg(number::<u32>(
+            listening_command("platform", "A key-value service and the list of VMs")
+                .arg(number_arg::<u32>(
                     "writes",
                     "300",
-                    "Writes a second that it takes",
+                    "Writes per second that it accepts",
                 ))
-                .arg(number::<u32>(
+                .arg(number_arg::<u32>(
                     "reads",
                     "2000",
-                    "Reads a second that it takes",
+                    "Reads per second that it accepts",
                 ))
-                .arg(number::<u64>(
+                .arg(number_arg::<u64>(
                     "lag-ms",
                     "0",
-                    "Lag of the list in milliseconds",
+                    "Delay of the list of VMs in milliseconds",
                 )),
         )
         .subcommand(runner_command())
         .subcommand(
-            listening("service", "A plain service that counts its runs")
-                .arg(number::<u64>(
+            listening_command("service", "A service that counts how often each call runs")
+                .arg(number_arg::<u64>(
                     "delay-ms",
                     "0",
-                    "How long a call runs in milliseconds",
+                    "Duration of a call in milliseconds",
                 ))
-                .arg(number::<u32>("slots", "16", "Calls at once")),
+                .arg(number_arg::<u32>("slots", "16", "Concurrent calls")),
         )
 }
 
@@ -144,52 +144,56 @@
     let model = Arg::new("model")
         .long("model")
         .action(ArgAction::Append)
-        .help("A model that it serves; without one it serves any");
-    listening("runner", "A model runner")
+        .help("A model that it serves; without this option it serves any model");
+    listening_command("runner", "A model runner")
         .arg(model)
-        .arg(number::<u32>("slots", "8", "Calls in a batch"))
-        .arg(number::<f64>(
+        .arg(number_arg::<u32>(
+            "slots",
+            "8",
+            "Concurrent calls in a batch",
+        ))
+        .arg(number_arg::<f64>(
             "tokens-per-second",
             "200",
-            "Speed of a call alone",
+            "Decoding speed of a single call, in tokens per second",
         ))
-        .arg(number::<f64>(
+        .arg(number_arg::<f64>(
             "prefill-per-second",
             "20000",
-            "Prompt tokens a second",
+            "Prefill speed, in prompt tokens per second",
         ))
-        .arg(number::<f64>(
+        .arg(number_arg::<f64>(
             "crowding",
             "0.05",
-            "Slowdown by each further call",
+            "Slowdown by each further concurrent call, as a fraction",
         ))
-        .arg(number::<u64>(
+        .arg(number_arg::<u64>(
             "cache-tokens",
             "200000",
-            "Prompt tokens cached",
+            "Size of the prompt cache in tokens",
         ))
-        .arg(number::<u64>(
+        .arg(number_arg::<u64>(
             "lag-ms",
             "0",
-            "Age of reports in milliseconds",
+            "Age of load reports in milliseconds",
         ))
-        .arg(number::<u64>(
+        .arg(number_arg::<u64>(
             "answer-tokens",
             "16",
-            "Tokens of an answer by default",
+            "Default length of an answer in tokens",
         ))
 }
 
-fn listening(name: &'static str, about: &'static str) -> Command {
+fn listening_command(name: &'static str, about: &'static str) -> Command {
     let listen = Arg::new("listen")
         .long("listen")
         .default_value("127.0.0.1:0")
         .value_parser(value_parser!(SocketAddr))
-        .help("IP number and port; port 0 takes a free one");
+        .help("IP address and port; port 0 picks a free port");
     Command::new(name).about(about).arg(listen)
 }
 
-fn number<T>(name: &'static str, default: &'static str, help: &'static str) -> Arg
+fn number_arg<T>(name: &'static str, default: &'static str, help: &'static str) -> Arg
 where
     T: std::str::FromStr + Clone + Send + Sync + 'static,
     T::Err: std::error::Error + Send + Sync + 'static,
--- a/crates/chestnutyoke/src/cli.rs
+++ b/crates/chestnutyoke/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it takes, and which verb serves it.
+//! The command line: its arguments, and the subcommands that it dispatches to.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -20,10 +20,10 @@
 
 pub mod operate;
 
-/// The outcome of a verb; the fault is shown to the person who called it.
+/// The result of a subcommand; the error is printed for the person who ran it.
 pub type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
 
-/// Parses the command line and runs the verb.
+/// Parses the command line and runs the subcommand.
 #[must_use]
 pub fn run() -> ExitCode {
     match dispatch(&command().get_matches()) {
@@ -46,11 +46,11 @@
         .subcommand(check_command())
         .subcommand(role_command(
             "front",
-            "Takes clients' requests, routes them and calls the runners",
+            "Accepts requests of clients, routes them and calls the runners",
         ))
         .subcommand(role_command(
             "store",
-            "Keeps turns and tokens spent on this VM's disk",
+            "Stores turns and spent tokens on this VM's disk",
         ))
         .subcommand(trace_command())
         .subcommands(operate::commands())
@@ -69,12 +69,12 @@
         .arg(port(
             "port",
             "8080",
-            "Where callers connect; 0 takes a free port",
+            "Port for callers; 0 picks a free port",
         ))
         .arg(port(
             "admin-port",
             "8082",
-            "Where operators connect; 0 takes a free port",
+            "Port for operators; 0 picks a free port",
         ))
 }
 
@@ -89,14 +89,14 @@
 fn check_command() -> Command {
     let print = Arg::new("print").long("print").action(ArgAction::SetTrue);
     Command::new("check")
-        .about("Lists every fault of a settings file")
+        .about("Lists all errors in a settings file")
         .arg(settings_arg())
-        .arg(print.help("Shows the effective settings with their defaults"))
+        .arg(print.help("Prints the effective settings, including defaults"))
 }
 
 fn role_command(name: &'static str, about: &'static str) -> Command {
     let settings = format!(
-        "The settings file is named by {}.",
+        "The environment variable {} names the settings file.",
         adapter::settings::VARIABLE
     );
     Command::new(name).about(about).after_help(settings).arg(
@@ -105,7 +105,7 @@
             .value_name("PORT")
             .default_value("9400")
             .value_parser(value_parser!(u16))
-            .help("Where counters and latency histograms are served, on the VM's IP number"),
+            .help("Port for counters and latency histograms, on the VM's IP address"),
     )
 }
 
@@ -113,21 +113,21 @@
     let late = Arg::new("late").long("late").action(ArgAction::SetTrue);
     let json = Arg::new("json").long("json").action(ArgAction::SetTrue);
     Command::new("trace")
-        .about("Tells the timeline of a request or program from the logs of many VMs")
-        .arg(late.help("Instead: where programs that ended late or failed spent their time"))
+        .about("Prints the timeline of a request or program from the logs of many VMs")
+        .arg(late.help("Prints instead where programs that ended late or failed spent their time"))
         .arg(json.help("Writes JSON"))
         .arg(
             Arg::new("id")
                 .value_name("ID")
                 .required_unless_present("late")
-                .help("A request's or a program's id; with --late, a log"),
+                .help("The id of a request or program; with --late, a log file"),
         )
         .arg(
             Arg::new("logs")
                 .value_name("FILE")
                 .num_args(0..)
                 .value_parser(value_parser!(PathBuf))
-                .help("Logs, each named after its VM; standard input where there are none"),
+                .help("Log files, each named after its VM; standard input if there are none"),
         )
 }
 
@@ -141,25 +141,25 @@
 }
 
 fn dispatch(matches: &ArgMatches) -> Result<()> {
-    let Some((verb, matches)) = matches.subcommand() else {
+    let Some((name, matches)) = matches.subcommand() else {
         return Ok(());
     };
-    match verb {
+    match name {
         "try" => run_try(matches),
         "serve" => run_serve(matches),
         "check" => run_check(matches),
         "front" => run_role(Role::Front, matches),
         "store" => run_role(Role::Store, matches),
         "trace" => run_trace(matches),
-        _ => runtime()?.block_on(run_operate(verb, matches)),
+        _ => runtime()?.block_on(run_operate(name, matches)),
     }
 }
 
-async fn run_operate(verb: &str, matches: &ArgMatches) -> Result<()> {
+async fn run_operate(name: &str, matches: &ArgMatches) -> Result<()> {
     let target = operate::target(matches)?;
-    match operate::parse(verb, matches)? {
+    match operate::parse(name, matches)? {
         operate::Action::Change(edit) => change::run(&target, &edit).await?,
-        operate::Action::Show(subject) => show::run(&target, &subject).await?,
+        operate::Action::Show(view) => show::run(&target, &view).await?,
         operate::Action::End(program) => show::end(&target, &program).await?,
     }
     Ok(())
@@ -179,14 +179,14 @@
     runtime()?.block_on(embedded::run(port, admin))
 }
 
-/// What a process on a small VM does.
+/// The role of a process on a small VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Front,
     Store,
 }
 
-/// Runs a role on one thread: its VM has a part of one core, and threads would only take turns.
+/// Runs a role on one thread: its VM has a fraction of one core, so threads wouldn't run in parallel.
 fn run_role(role: Role, matches: &ArgMatches) -> Result<()> {
     let port = *matches
         .get_one("metrics-port")
--- a/crates/chestnutyoke/src/cli/operate.rs
+++ b/crates/chestnutyoke/src/cli/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' commands: parsed into an edit of the configuration or a wish to see something.
+//! The operators' subcommands, parsed into configuration edits, views and other actions.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -23,20 +23,20 @@
 use crate::commands::show::View;
 
 /// The admin listener of a VM on this machine that uses the documented ports.
-const ADMIN: &str = "127.0.0.1:8082";
+const DEFAULT_ADMIN: &str = "127.0.0.1:8082";
 
-/// The VM to ask, and how to show its answer.
+/// The VM that a subcommand calls, and how to print its answer.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its admin listener.
+    /// The VM's admin listener.
     pub admin: SocketAddr,
-    /// Whether to show JSON in place of tables.
+    /// How to print the answer.
     pub format: Format,
-    /// The configuration's revision that a change is made to; `None` for the present one.
+    /// The revision of the configuration that a change is based on; `None` for the current one.
     pub expected: Option<u64>,
 }
 
-/// How an answer is shown.
+/// The output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Tables for people.
@@ -45,35 +45,35 @@
     Json,
 }
 
-/// What an operator wants.
+/// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A change of the configuration.
+    /// Changes the configuration.
     Change(Edit),
-    /// To see something.
+    /// Shows a view.
     Show(View),
-    /// To end a program.
+    /// Ends a program.
     End(id::Program),
 }
 
-/// Yields the operators' commands.
+/// Returns the operators' subcommands.
 #[must_use]
 pub fn commands() -> Vec<Command> {
     vec![
-        common(label_command()),
-        common(selector_command()),
-        common(vm_command()),
-        common(program_command()),
-        common(apply_command()),
-        common(
+        with_common_args(label_command()),
+        with_common_args(selector_command()),
+        with_common_args(vm_command()),
+        with_common_args(program_command()),
+        with_common_args(apply_command()),
+        with_common_args(
             Command::new("status").about("Shows VMs, shards and endpoints as this VM sees them"),
         ),
-        common(rollout_command()),
-        common(explain_command()),
+        with_common_args(rollout_command()),
+        with_common_args(explain_command()),
     ]
 }
 
-fn common(command: Command) -> Command {
+fn with_common_args(command: Command) -> Command {
     let admin = Arg::new("admin")
         .long("admin")
         .value_name("ADDRESS")
@@ -89,15 +89,15 @@
     command
         .arg(
             admin
-                .default_value(ADMIN)
+                .default_value(DEFAULT_ADMIN)
                 .value_parser(value_parser!(SocketAddr))
                 .help("The admin listener of any VM"),
         )
-        .arg(json.help("Shows JSON for scripts"))
+        .arg(json.help("Prints JSON for scripts"))
         .arg(
             expect
                 .value_parser(value_parser!(u64))
-                .help("Makes a change only to this revision of the configuration"),
+                .help("Changes the configuration only if it is at this revision"),
         )
 }
 
@@ -107,7 +107,7 @@
         .required(true);
     let name = Arg::new("name").required(true);
     Command::new("label")
-        .about("Labels of callers, programs and endpoints")
+        .about("Manages labels of callers, programs and endpoints")
         .subcommand_required(true)
         .subcommand(Command::new("list").about("Lists all labels"))
         .subcommand(
@@ -136,9 +136,9 @@
 
 fn selector_command() -> Command {
     Command::new("selector")
-        .about("Which labelled work may use which endpoints, and how")
+        .about("Manages which callers and programs may use which endpoints, and how")
         .subcommand_required(true)
-        .subcommand(Command::new("list").about("Lists the selectors in the order of their ranks"))
+        .subcommand(Command::new("list").about("Lists the selectors by rank"))
         .subcommand(selector_set())
         .subcommand(
             Command::new("remove")
@@ -148,47 +148,53 @@
 }
 
 fn selector_set() -> Command {
-    let many = |name: &'static str, value: &'static str, help: &'static str| {
+    let repeated = |name: &'static str, value: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
             .value_name(value)
             .action(ArgAction::Append)
             .help(help)
     };
-    let one = |name: &'static str, value: &'static str, help: &'static str| {
+    let single = |name: &'static str, value: &'static str, help: &'static str| {
         Arg::new(name).long(name).value_name(value).help(help)
     };
     Command::new("set")
-        .about("Adds a selector or replaces the one of that name")
+        .about("Adds a selector, or replaces the one with that name")
         .arg(Arg::new("name").required(true))
-        .arg(many(
+        .arg(repeated(
             "caller",
             "NAME=VALUE",
             "A label that the caller must have",
         ))
-        .arg(many(
+        .arg(repeated(
             "program",
             "NAME=VALUE",
             "A label that the program must have",
         ))
-        .arg(many(
+        .arg(repeated(
             "endpoint",
             "NAME=VALUE",
             "A label that an endpoint must have",
         ))
-        .arg(many(
+        .arg(repeated(
             "serves",
             "NAME",
-            "A model or service; all without this option",
+            "A model or service that it covers; without this option, all",
         ))
-        .arg(one("rank", "N", "Higher goes first").value_parser(value_parser!(i32)))
-        .arg(one("class", "CLASS", "How soon it is heard").value_parser(["urgent", "routine"]))
-        .arg(one("tokens", "N", "Tokens of a program").value_parser(value_parser!(u64)))
-        .arg(one("turns", "N", "Turns of a program").value_parser(value_parser!(u32)))
-        .arg(one(
+        .arg(
+            single("rank", "N", "Selectors with a higher rank apply first")
+                .value_parser(value_parser!(i32)),
+        )
+        .arg(
+            single("class", "CLASS", "The priority class of the work")
+                .value_parser(["urgent", "routine"]),
+        )
+        .arg(single("tokens", "N", "Token budget of a program").value_parser(value_parser!(u64)))
+        .arg(single("turns", "N", "Turn budget of a program").value_parser(value_parser!(u32)))
+        .arg(single(
             "idle",
             "SPAN",
-            "The longest pause between turns, as 1h",
+            "The longest pause between turns, for example 1h",
         ))
         .arg(
             Arg::new("deny")
@@ -201,21 +207,25 @@
 fn vm_command() -> Command {
     let centre = Arg::new("centre").required(true);
     Command::new("vm")
-        .about("VMs and data centres")
+        .about("Manages VMs and data centres")
         .subcommand_required(true)
         .subcommand(Command::new("list").about("Lists the VMs"))
         .subcommand(
             Command::new("lost")
-                .about("Declares a data centre lost, so that others take its programs over")
+                .about("Declares a data centre lost, so that others take over its programs")
                 .arg(centre.clone()),
         )
-        .subcommand(Command::new("found").about("Takes that back").arg(centre))
+        .subcommand(
+            Command::new("found")
+                .about("Revokes the declaration that a data centre is lost")
+                .arg(centre),
+        )
 }
 
 fn program_command() -> Command {
     let name = Arg::new("name").required(true);
     Command::new("program")
-        .about("Programs")
+        .about("Manages programs")
         .subcommand_required(true)
         .subcommand(
             Command::new("show")
@@ -224,7 +234,7 @@
         )
         .subcommand(
             Command::new("end")
-                .about("Ends a program for good, whoever its caller is")
+                .about("Ends a program permanently, whoever its caller is")
                 .arg(name),
         )
 }
@@ -250,70 +260,70 @@
 
 fn explain_command() -> Command {
     Command::new("explain")
-        .about("Shows why each call of a program went where it did")
+        .about("Shows why each call of a program was placed where it was")
         .arg(Arg::new("name").required(true))
 }
 
-/// Parses whom to ask.
+/// Parses which VM to call and how to print its answer.
 ///
 /// # Errors
 ///
-/// Fails where the address is missing.
+/// Fails if the address is missing.
 pub fn target(matches: &ArgMatches) -> Result<Target> {
-    let leaf = matches.subcommand().map_or(matches, |(_, leaf)| leaf);
-    let format = if leaf.get_flag("json") {
+    let sub = matches.subcommand().map_or(matches, |(_, sub)| sub);
+    let format = if sub.get_flag("json") {
         Format::Json
     } else {
         Format::Table
     };
-    let admin = *leaf.get_one("admin").ok_or("--admin is missing")?;
+    let admin = *sub.get_one("admin").ok_or("--admin is missing")?;
     Ok(Target {
         admin,
         format,
-        expected: leaf.get_one("expect").copied(),
+        expected: sub.get_one("expect").copied(),
     })
 }
 
-/// Parses what is wanted.
+/// Parses a subcommand into an action.
 ///
 /// # Errors
 ///
-/// Fails where a name, a label or a file isn't valid.
-pub fn parse(verb: &str, matches: &ArgMatches) -> Result<Action> {
-    match (verb, matches.subcommand()) {
-        ("label", Some(("set", leaf))) => label_set(leaf),
-        ("label", Some(("remove", leaf))) => label_remove(leaf),
+/// Fails if a name, a label or a file isn't valid.
+pub fn parse(command: &str, matches: &ArgMatches) -> Result<Action> {
+    match (command, matches.subcommand()) {
+        ("label", Some(("set", sub))) => label_set(sub),
+        ("label", Some(("remove", sub))) => label_remove(sub),
         ("label", _) => Ok(Action::Show(View::Labels)),
-        ("selector", Some(("set", leaf))) => Ok(Action::Change(Edit::Selector(selector(leaf)?))),
-        ("selector", Some(("remove", leaf))) => Ok(Action::Change(Edit::RemoveSelector(
-            id::Selector::parse(text(leaf, "name")?)?,
+        ("selector", Some(("set", sub))) => Ok(Action::Change(Edit::Selector(selector(sub)?))),
+        ("selector", Some(("remove", sub))) => Ok(Action::Change(Edit::RemoveSelector(
+            id::Selector::parse(required_text(sub, "name")?)?,
         ))),
         ("selector", _) => Ok(Action::Show(View::Selectors)),
-        ("vm", Some(("lost", leaf))) => Ok(Action::Change(Edit::Lost(id::Centre::parse(text(
-            leaf, "centre",
-        )?)?))),
-        ("vm", Some(("found", leaf))) => Ok(Action::Change(Edit::Found(id::Centre::parse(text(
-            leaf, "centre",
-        )?)?))),
+        ("vm", Some(("lost", sub))) => Ok(Action::Change(Edit::Lost(id::Centre::parse(
+            required_text(sub, "centre")?,
+        )?))),
+        ("vm", Some(("found", sub))) => Ok(Action::Change(Edit::Found(id::Centre::parse(
+            required_text(sub, "centre")?,
+        )?))),
         ("vm", _) => Ok(Action::Show(View::Vms)),
-        ("program", Some(("end", leaf))) => {
-            Ok(Action::End(id::Program::parse(text(leaf, "name")?)?))
-        }
-        ("program", Some((_, leaf))) => Ok(Action::Show(View::Program(id::Program::parse(text(
-            leaf, "name",
-        )?)?))),
+        ("program", Some(("end", sub))) => Ok(Action::End(id::Program::parse(required_text(
+            sub, "name",
+        )?)?)),
+        ("program", Some((_, sub))) => Ok(Action::Show(View::Program(id::Program::parse(
+            required_text(sub, "name")?,
+        )?))),
         ("apply", _) => apply_file(matches),
         ("rollout", _) => Ok(Action::Show(View::Rollout(
             matches.get_one("revision").copied(),
         ))),
-        ("explain", _) => Ok(Action::Show(View::Explain(id::Program::parse(text(
-            matches, "name",
-        )?)?))),
+        ("explain", _) => Ok(Action::Show(View::Explain(id::Program::parse(
+            required_text(matches, "name")?,
+        )?))),
         _ => Ok(Action::Show(View::Status)),
     }
 }
 
-fn text<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a str> {
+fn required_text<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a str> {
     let value: Option<&String> = matches.get_one(name);
     Ok(value.ok_or_else(|| format!("{name} is missing"))?)
 }
@@ -324,15 +334,15 @@
 }
 
 fn subject(matches: &ArgMatches) -> Result<Subject> {
-    let name = text(matches, "name")?;
-    match text(matches, "kind")? {
+    let name = required_text(matches, "name")?;
+    match required_text(matches, "kind")? {
         "caller" => Ok(Subject::Caller(id::Caller::parse(name)?)),
         "program" => Ok(Subject::Program(id::Program::parse(name)?)),
         _ => Ok(Subject::Endpoint(id::Endpoint::parse(name)?)),
     }
 }
 
-fn pair(label: &str) -> Result<(&str, &str)> {
+fn parse_pair(label: &str) -> Result<(&str, &str)> {
     let pair = label.split_once('=').filter(|(name, _)| !name.is_empty());
     Ok(pair.ok_or_else(|| format!("`{label}` isn't NAME=VALUE"))?)
 }
@@ -341,7 +351,7 @@
     let subject = subject(matches)?;
     let mut edits = Vec::new();
     for label in texts(matches, "labels") {
-        let (name, value) = pair(label)?;
+        let (name, value) = parse_pair(label)?;
         let (name, value) = (name.to_owned(), Some(value.to_owned()));
         edits.push(Edit::Label {
             subject: subject.clone(),
@@ -365,35 +375,33 @@
 }
 
 fn selector(matches: &ArgMatches) -> Result<Selector> {
-    let set =
-        |name: &str| -> Result<label::Set> { texts(matches, name).into_iter().map(pair).collect() };
-    let words = |name: &str| {
+    let labels = |name: &str| -> Result<label::Set> {
+        texts(matches, name).into_iter().map(parse_pair).collect()
+    };
+    let names = |name: &str| {
         texts(matches, name)
             .into_iter()
             .map(str::to_owned)
             .collect()
     };
-    let standard = Budget::default();
+    let default = Budget::default();
     let idle: Option<&String> = matches.get_one("idle");
     Ok(Selector {
-        name: id::Selector::parse(text(matches, "name")?)?,
+        name: id::Selector::parse(required_text(matches, "name")?)?,
         rank: matches.get_one("rank").copied().unwrap_or_default(),
-        caller: set("caller")?,
-        program: set("program")?,
-        endpoint: set("endpoint")?,
-        serves: words("serves"),
+        caller: labels("caller")?,
+        program: labels("program")?,
+        endpoint: labels("endpoint")?,
+        serves: names("serves"),
         allow: !matches.get_flag("deny"),
         class: match matches.get_one::<String>("class").map(String::as_str) {
             Some("urgent") => Class::Urgent,
             _ => Class::Routine,
         },
         budget: Budget {
-            tokens: matches
-                .get_one("tokens")
-                .copied()
-                .unwrap_or(standard.tokens),
-            turns: matches.get_one("turns").copied().unwrap_or(standard.turns),
-            idle: idle.map_or(Ok(standard.idle), |text| unit::Span::parse(text))?,
+            tokens: matches.get_one("tokens").copied().unwrap_or(default.tokens),
+            turns: matches.get_one("turns").copied().unwrap_or(default.turns),
+            idle: idle.map_or(Ok(default.idle), |text| unit::Span::parse(text))?,
         },
     })
 }
--- a/crates/chestnutyoke/src/cli/operate/tests.rs
+++ b/crates/chestnutyoke/src/cli/operate/tests.rs
@@ -6,24 +6,24 @@
     let command = Command::new("t").subcommands(commands());
     let words = std::iter::once("t").chain(line.split(' '));
     let matches = command.try_get_matches_from(words)?;
-    let (verb, matches) = matches.subcommand().ok_or("no verb")?;
+    let (name, matches) = matches.subcommand().ok_or("no subcommand")?;
     target(matches)?;
-    parse(verb, matches)
+    parse(name, matches)
 }
 
 #[test]
-fn a_label_becomes_an_edit() {
+fn a_label_is_parsed_into_an_edit() {
     let edit = Edit::Label {
         subject: Subject::Caller(id::Caller::parse("tug-7").unwrap()),
         name: "fees".to_owned(),
         value: Some("overdue".to_owned()),
     };
-    let verb = parsed("label set caller tug-7 fees=overdue --json").unwrap();
-    assert_eq!(verb, Action::Change(Edit::Several(vec![edit])));
+    let action = parsed("label set caller tug-7 fees=overdue --json").unwrap();
+    assert_eq!(action, Action::Change(Edit::Several(vec![edit])));
 }
 
 #[test]
-fn a_selector_takes_its_options() {
+fn a_selector_is_parsed_with_its_options() {
     let line = "selector set cutoff --caller duty=cutoff --class urgent --rank 9 --idle 1h";
     let Action::Change(Edit::Selector(selector)) = parsed(line).unwrap() else {
         panic!("not a selector");
--- a/crates/chestnutyoke/src/client.rs
+++ b/crates/chestnutyoke/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client of a VM's admin listener.
+//! The HTTP client that operators' subcommands use for a VM's admin listener.
 
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-/// Why a call of the admin listener failed.
+/// Why a call to the admin listener failed.
 #[derive(Debug, Display, Error, From)]
 pub enum Fault {
-    /// The listener can't be reached or broke off.
+    /// The listener can't be reached, or the connection broke off.
     #[display("no answer from {address}: {cause}")]
     #[from(ignore)]
     Connection {
@@ -35,37 +35,37 @@
     Json(serde_json::Error),
 }
 
-/// The outcome of a call.
+/// The result of a call.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// Calls the admin listener and yields the JSON that it answers.
+/// Calls the admin listener and returns its JSON answer.
 ///
 /// # Errors
 ///
-/// Fails where the listener can't be reached or refuses the call.
+/// Fails if the listener can't be reached or refuses the call.
 pub async fn call(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Option<&Value>,
 ) -> Result<Value> {
-    let lost = |cause: String| Fault::Connection { address, cause };
+    let connection_fault = |cause: String| Fault::Connection { address, cause };
     let bytes = body.map_or_else(Bytes::new, |value| Bytes::from(value.to_string()));
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
         .header("content-type", "application/json")
         .body(Full::new(bytes))
-        .map_err(|fault| lost(fault.to_string()))?;
+        .map_err(|fault| connection_fault(fault.to_string()))?;
     let client = Client::builder(TokioExecutor::new()).build_http();
     let response = client
         .request(request)
         .await
-        .map_err(|fault| lost(fault.to_string()))?;
+        .map_err(|fault| connection_fault(fault.to_string()))?;
     let status = response.status();
     let collected = response.into_body().collect().await;
     let answer = collected
-        .map_err(|fault| lost(fault.to_string()))?
+        .map_err(|fault| connection_fault(fault.to_string()))?
         .to_bytes();
     if status.is_success() {
         return Ok(serde_json::from_slice(&answer)?);
@@ -73,7 +73,7 @@
     Err(Fault::Refused(refusal(&answer)))
 }
 
-/// Renders a refusal's code and message, or the body as it is.
+/// Renders the code and message of a refusal, or the whole body if it has none.
 fn refusal(body: &[u8]) -> String {
     let parsed: Value = serde_json::from_slice(body).unwrap_or_default();
     let error = &parsed["error"];
--- a/crates/chestnutyoke/src/commands.rs
+++ b/crates/chestnutyoke/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the command line can do, a module for each group of commands.
+//! The subcommands of the command line, a module for each group.
 
 pub mod apply;
 pub mod change;
--- a/crates/chestnutyoke/src/commands/apply.rs
+++ b/crates/chestnutyoke/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: callers, endpoints and selectors from a file, as one change.
+//! `apply`: adds callers, endpoints and selectors from a file in one change.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -9,11 +9,11 @@
 use settings::label;
 use wire::id;
 
-/// Why a file isn't taken.
+/// Why a file was rejected.
 #[derive(Debug, Display, Error, From)]
 pub struct Fault(toml::de::Error);
 
-/// The outcome of reading a file.
+/// The result of parsing a file.
 pub type Result<T> = std::result::Result<T, Fault>;
 
 #[derive(Deserialize)]
@@ -27,7 +27,7 @@
     selectors: Vec<config::Selector>,
 }
 
-/// A caller with the token as the operator hands it out; only its digest leaves this process.
+/// A caller with its plain token; only the token's digest leaves this process.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Caller {
@@ -37,11 +37,11 @@
     labels: label::Set,
 }
 
-/// Parses a file into the one edit that adds all of it.
+/// Parses a file into a single edit that adds everything in it.
 ///
 /// # Errors
 ///
-/// Fails with the line and the reason where the text isn't such a file.
+/// Fails with the line and the reason if the text isn't such a file.
 pub fn parse(text: &str) -> Result<Edit> {
     let file: File = toml::from_str(text)?;
     let callers = file.callers.into_iter().map(|caller| {
--- a/crates/chestnutyoke/src/commands/change.rs
+++ b/crates/chestnutyoke/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! Sends a change of the configuration and tells what became of it.
+//! Sends a configuration change and prints its result.
 
 use hyper::Method;
 use node::controllers::config::edit::Edit;
@@ -9,11 +9,11 @@
 use crate::cli::operate::Target;
 use crate::client;
 
-/// Sends an edit to a VM and shows the revision and where it is in force.
+/// Sends an edit to a VM, and prints the new revision and on how many VMs it is in force.
 ///
 /// # Errors
 ///
-/// Fails where the VM can't be reached, refuses the change or can't tell what became of it.
+/// Fails if the VM can't be reached, refuses the change or doesn't know the outcome of the change.
 pub async fn run(target: &Target, edit: &Edit) -> client::Result<()> {
     let body = json!({ "edit": edit, "expected": target.expected });
     let answer = client::call(target.admin, Method::POST, "/operate/change", Some(&body)).await?;
@@ -27,7 +27,7 @@
 fn summary(answer: &Value) -> String {
     let count = |list: &str| answer["rollout"][list].as_array().map_or(0, Vec::len);
     format!(
-        "revision {}: in force on {} VMs, not yet on {}, {} not heard",
+        "revision {}: in force on {} VMs, not yet on {}, {} not responding",
         answer["revision"],
         count("reached"),
         count("behind"),
--- a/crates/chestnutyoke/src/commands/check.rs
+++ b/crates/chestnutyoke/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: every fault of a settings file in one go.
+//! `check`: reports all errors in a settings file at once.
 
 use std::fs;
 use std::path::Path;
@@ -9,21 +9,21 @@
 use settings::vm::Settings;
 use wire::code::Code;
 
-/// Why a settings file isn't taken: every fault, a line each.
+/// Why a settings file was rejected: all its errors, one per line.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("CY{}: {}:\n{report}", Code::BadSettings.number(), Code::BadSettings.text())]
 pub struct Fault {
     report: String,
 }
 
-/// The outcome of reading a settings file.
+/// The result of reading a settings file.
 pub type Result<T> = std::result::Result<T, Fault>;
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the file, or with the reason why it can't be read.
+/// Fails with all errors of the file, or with the reason why it can't be read.
 pub fn load(path: &Path) -> Result<Settings> {
     let name = path.display();
     let text = fs::read_to_string(path).map_err(|fault| Fault {
@@ -40,11 +40,11 @@
     })
 }
 
-/// Renders the effective settings with their defaults, as a file that can be used.
+/// Renders the effective settings, including defaults, as a valid settings file.
 ///
 /// # Errors
 ///
-/// Fails where the settings can't be written as TOML.
+/// Fails if the settings can't be written as TOML.
 pub fn print(settings: &Settings) -> Result<String> {
     toml::to_string(settings).map_err(|fault| Fault {
         report: fault.to_string(),
--- a/crates/chestnutyoke/src/embedded.rs
+++ b/crates/chestnutyoke/src/embedded.rs
@@ -1,4 +1,4 @@
-//! `try`: one node and its stand-ins as tasks of one process on loopback, for newcomers.
+//! `try`: one node and its stand-ins as tasks of one process on loopback, to try the system out.
 
 use std::io::Write;
 use std::net::Ipv4Addr;
@@ -27,16 +27,17 @@
 use crate::commands::apply;
 use crate::logging;
 
-/// The settings of the node.
-const VM: &str = include_str!("../defaults/vm.toml");
-/// The configuration to begin with.
+/// The settings of the node, as TOML.
+const SETTINGS: &str = include_str!("../defaults/vm.toml");
+/// The initial configuration, as TOML.
 const CONFIG: &str = include_str!("../defaults/config.toml");
-/// Tokens a second of the slow runner; a quarter of the fast one's, as back ends differ widely.
-const SLOW: f64 = 50.0;
-/// How long the stand-in service works on a call.
-const WORK: Duration = Duration::from_millis(20);
+/// Tokens per second of the slow runner: a quarter of the fast one's, because real backends differ
+/// widely.
+const SLOW_RUNNER_SPEED: f64 = 50.0;
+/// How long a call of the stand-in service takes.
+const SERVICE_DELAY: Duration = Duration::from_millis(20);
 
-/// The embedded deployment.
+/// A running embedded deployment.
 pub struct Deployment {
     node: Handle,
     servers: Vec<Server>,
@@ -46,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// Fails where a port is taken.
+/// Fails if a port is in use.
 pub async fn run(port: u16, admin: u16) -> Result<()> {
     let _logger = logging::start(logging::Format::Text)?;
     let deployment = start(port, admin).await?;
@@ -58,28 +59,36 @@
     Ok(())
 }
 
-/// Starts the embedded deployment; a port of 0 takes a free one.
+/// Starts the embedded deployment; port 0 picks a free port.
 ///
 /// # Errors
 ///
-/// Fails where a port is taken.
+/// Fails if a port is in use.
 pub async fn start(port: u16, admin: u16) -> Result<Deployment> {
-    let store = platform::serve(free().await?, platform::Settings::default(), Clock::System)?;
+    let store = platform::serve(
+        bind_free_port().await?,
+        platform::Settings::default(),
+        Clock::System,
+    )?;
     let mut settings = settings(&store)?;
     settings.listen.callers.set_port(port);
     settings.listen.admin.set_port(admin);
     let node = start::start(settings, Clock::System).await?;
-    let fast = runner::serve(free().await?, runner::Settings::default(), Clock::System)?;
+    let fast = runner::serve(
+        bind_free_port().await?,
+        runner::Settings::default(),
+        Clock::System,
+    )?;
     let slow = runner::Settings {
-        tokens_per_second: SLOW,
+        tokens_per_second: SLOW_RUNNER_SPEED,
         ..runner::Settings::default()
     };
-    let slow = runner::serve(free().await?, slow, Clock::System)?;
-    let work = service::Settings {
-        delay: WORK.into(),
+    let slow = runner::serve(bind_free_port().await?, slow, Clock::System)?;
+    let service = service::Settings {
+        delay: SERVICE_DELAY.into(),
         ..service::Settings::default()
     };
-    let service = service::serve(free().await?, work)?;
+    let service = service::serve(bind_free_port().await?, service)?;
     let edit = configuration(&[("fast", &fast), ("slow", &slow), ("shore", &service)])?;
     let change = json!({ "edit": edit });
     client::call(node.admin(), Method::POST, "/operate/change", Some(&change)).await?;
@@ -90,19 +99,19 @@
 }
 
 impl Deployment {
-    /// Yields the callers' listener.
+    /// Returns the address of the callers' listener.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.node.callers()
     }
 
-    /// Yields the operators' listener.
+    /// Returns the address of the operators' listener.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
         self.node.admin()
     }
 
-    /// Yields what a newcomer can do next.
+    /// Returns a text with commands that a new user can run next.
     #[must_use]
     pub fn welcome(&self) -> String {
         let (callers, admin) = (self.callers(), self.admin());
@@ -119,7 +128,7 @@
         )
     }
 
-    /// Stops the node, then its stand-ins.
+    /// Stops the node and then its stand-ins.
     pub async fn stop(self) {
         self.node.shutdown().await;
         for server in self.servers {
@@ -128,36 +137,36 @@
     }
 }
 
-async fn free() -> std::io::Result<TcpListener> {
+async fn bind_free_port() -> std::io::Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await
 }
 
 fn settings(store: &Server) -> Result<Settings> {
-    let mut settings = check::parse(VM).map_err(|faults| format!("{faults:?}"))?;
+    let mut settings = check::parse(SETTINGS).map_err(|faults| format!("{faults:?}"))?;
     settings.platform.addresses = vec![store.address()];
     Ok(settings)
 }
 
-/// Fills the stand-ins' addresses into the configuration.
+/// Parses the configuration and sets the stand-ins' addresses in it.
 fn configuration(servers: &[(&str, &Server)]) -> Result<Edit> {
     let Edit::Several(mut edits) = apply::parse(CONFIG)? else {
         return Err("the configuration isn't a list of edits".into());
     };
     for edit in &mut edits {
         if let Edit::Endpoint(endpoint) = edit {
-            fill(endpoint, servers)?;
+            set_address(endpoint, servers)?;
         }
     }
     Ok(Edit::Several(edits))
 }
 
-fn fill(endpoint: &mut Endpoint, servers: &[(&str, &Server)]) -> Result<()> {
+fn set_address(endpoint: &mut Endpoint, servers: &[(&str, &Server)]) -> Result<()> {
     let server = servers
         .iter()
         .find(|(name, _)| *name == endpoint.name.as_str());
     let (_, server) = server.ok_or_else(|| format!("no stand-in for {}", endpoint.name))?;
     endpoint.address = server.address().to_string();
-    // The stand-in runners check fencing numbers, the service takes no orders.
+    // The stand-in runners check fencing tokens; the service doesn't take fenced orders.
     endpoint.fences = endpoint.kind == Kind::Runner;
     Ok(())
 }
--- a/crates/chestnutyoke/src/lib.rs
+++ b/crates/chestnutyoke/src/lib.rs
@@ -1,5 +1,5 @@
-//! A scheduler for agent programs. This crate is the library's front and its command line; the
-//! daemon in `main.rs` is a thin layer over it.
+//! A scheduler for agent programs. This crate contains the command line and re-exports the library
+//! crates; `main.rs` is a thin layer over it.
 
 pub mod cli;
 pub mod client;
--- a/crates/chestnutyoke/src/logging.rs
+++ b/crates/chestnutyoke/src/logging.rs
@@ -1,4 +1,4 @@
-//! Sets the log up: numbered events on standard error, for people or as a JSON object a line.
+//! Sets up the log: numbered events on standard error, as text or as one JSON object per line.
 
 use std::io::Write;
 
@@ -12,43 +12,47 @@
 use flexi_logger::WriteMode;
 use log::Record;
 
-/// How a line of the log is written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// A JSON object a line, for programs.
+    /// One JSON object per line, for programs.
     Json,
 }
 
 /// Why the log couldn't be set up.
 #[derive(Debug, Display, Error, From)]
-#[display("can't set the log up: {_0}")]
+#[display("can't set up the log: {_0}")]
 pub struct Fault(FlexiLoggerError);
 
-/// The outcome of setting the log up.
+/// The result of setting up the log.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// The level where the environment's `RUST_LOG` names none.
-const LEVEL: &str = "info";
+/// The log level if the environment variable `RUST_LOG` isn't set.
+const DEFAULT_LEVEL: &str = "info";
 
 /// Starts the log; it is flushed when the handle is dropped.
 ///
 /// # Errors
 ///
-/// Fails where `RUST_LOG` isn't a log specification or a logger is set already.
+/// Fails if `RUST_LOG` isn't a valid log specification, or a logger is already set.
 pub fn start(format: Format) -> Result<LoggerHandle> {
     let format = match format {
-        Format::Text => text,
-        Format::Json => json,
+        Format::Text => write_text,
+        Format::Json => write_json,
     };
-    let logger = Logger::try_with_env_or_str(LEVEL)?
+    let logger = Logger::try_with_env_or_str(DEFAULT_LEVEL)?
         .log_to_stderr()
         .format(format);
     Ok(logger.write_mode(WriteMode::BufferAndFlush).start()?)
 }
 
-fn text(out: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
+fn write_text(
+    out: &mut dyn Write,
+    now: &mut DeferredNow,
+    record: &Record<'_>,
+) -> std::io::Result<()> {
     write!(
         out,
         "{} {:5} {} {}",
@@ -59,7 +63,11 @@
     )
 }
 
-fn json(out: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
+fn write_json(
+    out: &mut dyn Write,
+    now: &mut DeferredNow,
+    record: &Record<'_>,
+) -> std::io::Result<()> {
     let line = serde_json::json!({
         "at": now.format("%Y-%m-%dT%H:%M:%S%.3f%:z").to_string(),
         "level": record.level().as_str(),
--- a/crates/chestnutyoke/src/main.rs
+++ b/crates/chestnutyoke/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon and the operators' tool.
+//! The binary: daemon and operators' command line.
 
 use std::process::ExitCode;
 
--- a/crates/chestnutyoke/src/serve.rs
+++ b/crates/chestnutyoke/src/serve.rs
@@ -1,4 +1,4 @@
-//! The daemon: one node, from its settings to a signal that ends it.
+//! The daemon: runs one node until a signal ends it.
 
 use std::future;
 use std::io::Write;
@@ -13,24 +13,24 @@
 use crate::cli::Result;
 use crate::logging;
 
-/// Runs a node until SIGTERM or SIGINT, then shuts it down without cutting a request off.
+/// Runs a node until SIGTERM or SIGINT, then shuts it down without cutting off a request.
 ///
 /// # Errors
 ///
-/// Fails where the log can't be set up or the node doesn't start.
+/// Fails if the log can't be set up or the node doesn't start.
 pub async fn run(settings: Settings, format: logging::Format) -> Result<()> {
     let _logger = logging::start(format)?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let handle = start::open(settings, Clock::System).await?;
-    // A node that starts takes callers already, and may wait for its platform for any time.
-    let served = async {
+    // A starting node already accepts callers, and may wait for its platform indefinitely.
+    let serving = async {
         handle.settle().await;
         announce(&handle)?;
         future::pending::<Result<()>>().await
     };
     let outcome = tokio::select! {
-        failed = served => failed,
+        failed = serving => failed,
         _signal = terminate.recv() => Ok(()),
         _signal = interrupt.recv() => Ok(()),
     };
@@ -38,7 +38,7 @@
     outcome
 }
 
-/// Tells the listeners to whoever started the process with port 0.
+/// Prints the addresses of the listeners, for whoever started the process with port 0.
 fn announce(handle: &Handle) -> Result<()> {
     let mut out = std::io::stdout();
     writeln!(
--- a/crates/chestnutyoke/src/table.rs
+++ b/crates/chestnutyoke/src/table.rs
@@ -1,21 +1,21 @@
-//! Tables for people; scripts take `--json`.
+//! Text tables for people; scripts use `--json`.
 
-/// Rows under a head, each cell a text.
+/// A header and rows of text cells.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Makes a table with its head.
+    /// Creates a table with a header, which is printed in upper case.
     #[must_use]
-    pub fn new(head: &[&str]) -> Self {
-        let head = head.iter().map(|cell| cell.to_uppercase()).collect();
-        Self { rows: vec![head] }
+    pub fn new(header: &[&str]) -> Self {
+        let header = header.iter().map(|cell| cell.to_uppercase()).collect();
+        Self { rows: vec![header] }
     }
 
     /// Adds a row.
-    pub fn row<I: IntoIterator<Item = String>>(&mut self, cells: I) {
+    pub fn add_row<I: IntoIterator<Item = String>>(&mut self, cells: I) {
         self.rows.push(cells.into_iter().collect());
     }
 
@@ -26,7 +26,7 @@
         let widths: Vec<usize> = (0..columns).map(|column| self.width(column)).collect();
         let mut out = String::new();
         for row in &self.rows {
-            out.push_str(line(row, &widths).trim_end());
+            out.push_str(render_row(row, &widths).trim_end());
             out.push('\n');
         }
         out
@@ -38,7 +38,7 @@
     }
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn render_row(row: &[String], widths: &[usize]) -> String {
     let cells = row.iter().zip(widths);
     let padded: Vec<String> = cells
         .map(|(cell, width)| format!("{cell:width$}"))
--- a/crates/chestnutyoke/tests/trace.rs
+++ b/crates/chestnutyoke/tests/trace.rs
@@ -50,9 +50,10 @@
         "r1",
         &[("front-a-1.log", &format!("{PLACED}{torn}"))],
     );
-    assert!(told.err.contains("1 lines are torn"), "{}", told.err);
+    assert!(told.err.contains("1 lines are truncated"), "{}", told.err);
     assert!(!told.out.contains("CY4"), "{}", told.out);
-    let wanted = "request r1: its end is missing: is the log of front-a-1 whole? (at runner i-1)";
+    let wanted =
+        "request r1: its end is missing: is the log of front-a-1 complete? (at runner i-1)";
     assert!(told.out.contains(wanted), "{}", told.out);
 }
 
@@ -64,9 +65,10 @@
     let torn = &REFUSED[..REFUSED.find("107").unwrap()];
     let log = format!("{first}{PLACED}{torn}{STARTED}");
     let told = trace("start", "r1", &[("front-a-1.log", &log)]);
-    let wanted = "request r1: the process on front-a-1 ended before it did";
+    let wanted = "request r1: the process on front-a-1 ended before the request did";
     assert!(told.out.contains(wanted), "{}", told.out);
-    let wanted = "the process on front-a-1 ended without a word after 2026-05-17T07:00:01.000";
+    let wanted =
+        "the process on front-a-1 ended without logging its end after 2026-05-17T07:00:01.000";
     assert!(told.out.contains(wanted), "{}", told.out);
 }
 
@@ -125,7 +127,7 @@
     let other = STARTED.replace("front-a-1", "store-b-1");
     let log = format!("{STARTED}{PLACED}{other}");
     let told = trace("joined", "r1", &[("all.log", &log)]);
-    let wanted = "lines of several VMs that don't bear their names: front-a-1, store-b-1";
+    let wanted = "lines of several VMs that don't contain the VM's name: front-a-1, store-b-1";
     assert!(told.err.contains(wanted), "{}", told.err);
     let named: Vec<String> = log
         .lines()
--- a/crates/trace/src/breakdown.rs
+++ b/crates/trace/src/breakdown.rs
@@ -1,9 +1,10 @@
-//! Where programs that ended late, or didn't end, spent their time.
+//! Sums up where programs that ended late, or failed, spent their time.
 //!
-//! A program is late where the time that it had left when its last answered turn came was shorter
-//! than that turn; one that tells no time is never late. One whose last request wasn't answered is
-//! counted as failed, unless it was refused for what it asked. Time counts for a cause from a try's
-//! end until the program's next line: while it comes back after a refusal, say.
+//! A program is late if its last answered turn took longer than the time that the program had left
+//! when the turn arrived; a program that states no time limit is never late. A program whose last
+//! request wasn't answered counts as failed, unless that request was refused because of what it
+//! asked for. The time between two lines of a program counts for the phase that the first line
+//! begins: after a refusal, for example, until the program sends its next request.
 
 use std::fmt;
 
@@ -13,18 +14,19 @@
 
 use crate::line::Line;
 
-/// What a span of time went to.
+/// What a program spent a span of time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Phase {
-    /// From a refusal until the program came again.
+    /// From a refusal until the program's next line.
     Refused,
-    /// From a broken stream or a caller that left until the program came again.
+    /// From a broken stream, or a caller that left, until the program's next line.
     Broken,
-    /// From a process's end until the program came again.
+    /// From the last line of a request that has no end until the program's next request: a process
+    /// ended.
     ProcessEnded,
-    /// From a call's placing until its end: waiting, reading and generating at the runner.
+    /// From the placing of a call until its end: waiting, prefill and decoding at the runner.
     Runner,
-    /// Between an answer and the next request: pauses, and what isn't logged.
+    /// Between an answer and the next line: pauses, and whatever isn't logged.
     Between,
 }
 
@@ -38,20 +40,20 @@
     ];
 }
 
-/// Where the time of one second's programs went; a program belongs to the second in which it ended.
+/// Time spent by the programs that ended in one second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Second {
     /// The second of the day.
     pub second: u64,
-    /// Programs that ended late then.
+    /// Programs that ended late in this second.
     pub late: u64,
-    /// Programs whose last request wasn't answered.
+    /// Programs that failed in this second.
     pub failed: u64,
-    /// Milliseconds by phase, in their order.
+    /// Milliseconds by phase, in the order of [`Phase`].
     pub spent_ms: Vec<(Phase, u64)>,
 }
 
-/// Sums up the programs that ended late or failed, by second.
+/// Sums up the time of the programs that ended late or failed, by second.
 #[must_use]
 pub fn sum(lines: &[Line]) -> Vec<Second> {
     let mut sorted: Vec<&Line> = lines
@@ -98,7 +100,7 @@
     &mut seconds[at]
 }
 
-/// Statuses below 500 that ask to come again: the system's state was the reason.
+/// Statuses below 500 that ask the caller to retry: the reason was the state of the system.
 const RETRYABLE_STATUSES: [u16; 2] = [408, 429];
 
 /// How a program ended.
@@ -127,14 +129,14 @@
     };
     let left = answered.number("finish_ms");
     match (left, answered.number("ms")) {
-        // A program that tells no time to be finished by has zero there.
+        // Zero means that the program states no time limit.
         (Some(left), Some(took)) if left > 0 && took > left => Outcome::Late,
         _ => Outcome::InTime,
     }
 }
 
-/// Tells whether a result code refuses what was asked (no such turn, the tokens are spent), whatever
-/// state the system is in.
+/// Returns whether a result code refuses what was asked for (no such turn, the tokens are spent),
+/// independent of the state of the system.
 fn is_caller_fault(code: &str) -> bool {
     let number = code.strip_prefix("CY").and_then(|text| text.parse().ok());
     let known = Code::ALL.iter().find(|code| Some(code.number()) == number);
@@ -160,7 +162,7 @@
     Phase::ProcessEnded
 }
 
-/// Renders the table that [`sum`] yields.
+/// Renders the result of [`sum`] as a table.
 #[must_use]
 pub fn render(seconds: &[Second]) -> String {
     struct Table<'a>(&'a [Second]);
--- a/crates/trace/src/breakdown/tests.rs
+++ b/crates/trace/src/breakdown/tests.rs
@@ -3,10 +3,10 @@
 use super::sum;
 use crate::tests::lines;
 
-/// One program waits two seconds after refusals and ends late, one fails, one is in time and one has
-/// spent its tokens; only the first two are told, with where their time went.
+/// One program waits two seconds after a refusal and ends late, one fails, one is in time, one has
+/// spent its tokens and one has a forged id. Only the first two count, each with its time by phase.
 #[test]
-fn late_and_failed_programs_tell_where_their_time_went() {
+fn time_of_late_and_failed_programs_is_summed_by_phase() {
     let all = lines(
         "v at=2026-05-17T00:00:01.000 event=E1102 request=a1 program=late code=CY4107
 v at=2026-05-17T00:00:03.000 event=E1201 request=a2 program=late
@@ -33,9 +33,9 @@
     assert!(render(&seconds).contains("Refused ms"));
 }
 
-/// A process ends in the middle of a turn; the program's next try is another request.
+/// A process ends in the middle of a turn, and the program retries with a new request.
 #[test]
-fn time_after_a_process_has_ended_is_told() {
+fn time_after_the_end_of_a_process_is_counted() {
     let all = lines(
         "v at=2026-05-17T00:00:01.000 event=E1201 request=a1 program=p
 w at=2026-05-17T00:00:03.500 event=E1201 request=a2 program=p
@@ -45,10 +45,10 @@
     assert_eq!(seconds[0].spent_ms[2], (Phase::ProcessEnded, 2_500));
 }
 
-/// A program that tells no time to be finished by has `finish_ms=0` in its lines. Its answer, however
-/// long it took, isn't late.
+/// A program that states no time limit has `finish_ms=0` in its lines. Its answer is never late,
+/// however long it took.
 #[test]
-fn a_program_that_tells_no_time_is_never_late() {
+fn a_program_without_a_time_limit_is_never_late() {
     let all = lines(
         "v at=2026-05-17T00:00:01.000 event=E1201 request=a1 program=p
 v at=2026-05-17T00:00:09.000 event=E1103 request=a1 program=p status=200 ms=8000 finish_ms=0",
--- a/crates/trace/src/gap.rs
+++ b/crates/trace/src/gap.rs
@@ -1,8 +1,8 @@
-//! What logs don't hold: a process that ended without a word, and lines that were dropped.
+//! Gaps in logs: a process that ended without logging its end, and lines that were dropped.
 //!
-//! A story reads as if it were whole also where a VM's log lacks the lines that matter. Such a place
-//! is told by what comes after it: a start (E1001) with no end (E1003) since the start before, or the
-//! count of the lines that found no room (E1005).
+//! A timeline looks complete even where a VM's log lacks the lines that matter. A later line reveals
+//! such a gap: a start (E1001) without an end (E1003) since the previous start, or the count of the
+//! lines that were dropped because the log's queue was full (E1005).
 
 use std::fmt;
 
@@ -14,50 +14,50 @@
 /// A place where lines are missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Gap {
-    /// A process started, and the one before it never told its end.
+    /// A process started, and the previous one never logged its end.
     Ended {
         /// The VM.
         vm: String,
-        /// When its log last told something before.
+        /// The time of the last line before the start.
         last: String,
-        /// When it started again.
+        /// The time of the start.
         start: String,
-        /// What the process before had told of its end.
+        /// What the previous process had logged about its end.
         told: Notice,
     },
-    /// The log's queue was full.
+    /// Lines were dropped because the log's queue was full.
     Dropped {
         /// The VM.
         vm: String,
-        /// When that was told, which is after it.
+        /// The time of the line with the count, which is later than the dropped lines.
         at: String,
-        /// How many lines.
+        /// The number of dropped lines.
         lines: u64,
     },
 }
 
-/// What a process whose end isn't in the log told of it.
+/// What a process whose end isn't in the log had logged about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Notice {
-    /// Nothing: it was killed, or its VM lost its power.
+    /// Nothing: it was killed, or its VM lost power.
     Nothing,
-    /// That it stops (E1002), and then no end.
+    /// That it was stopping (E1002), but no end after that.
     Stopping,
 }
 
-/// Finds the gaps in the logs of all VMs, by VM and then by time.
+/// Finds the gaps in the logs of all VMs, ordered by VM and then by time.
 #[must_use]
 pub fn find(lines: &[Line]) -> Vec<Gap> {
     let mut sorted: Vec<&Line> = lines.iter().collect();
     sorted.sort_by(|a, b| (&a.vm, &a.at).cmp(&(&b.vm, &b.at)));
     let vms = sorted.chunk_by(|a, b| a.vm == b.vm);
-    vms.flat_map(of_vm).collect()
+    vms.flat_map(find_in_vm).collect()
 }
 
-fn of_vm(lines: &[&Line]) -> Vec<Gap> {
+fn find_in_vm(lines: &[&Line]) -> Vec<Gap> {
     let mut gaps = Vec::new();
     let mut told = Notice::Nothing;
-    // The head of a log may be cut: what came before its first line isn't known to be missing.
+    // The beginning of a log may be cut off, so its first line doesn't reveal a missing end.
     let mut ended = true;
     let mut last = "";
     for line in lines {
@@ -89,23 +89,25 @@
     gaps
 }
 
-/// Yields the gaps that a story from `begin` to `end` may have lost lines in: a process of any VM
-/// that ended meanwhile, and lines that one of `vms` dropped, which is told with the next line that
-/// passes.
+/// Returns the gaps in which a timeline from `begin` to `end` may have lost lines.
+///
+/// These are processes of any VM that ended in that time, and lines that one of `vms` dropped. The
+/// count of dropped lines is logged with the next line that passes, so the first count after `end`
+/// belongs to it too.
 #[must_use]
 pub fn within(gaps: &[Gap], begin: &str, end: &str, vms: &[&str]) -> Vec<Gap> {
     let mut found: Vec<Gap> = Vec::new();
-    // The VM of the last count after the story's end: gaps go by VM.
-    let mut counted = "";
+    // The VM of the last count after `end`, to take only the first of each VM: gaps are ordered by VM.
+    let mut counted_vm = "";
     for gap in gaps {
-        let touches = match gap {
+        let overlaps = match gap {
             Gap::Ended { last, start, .. } => last.as_str() <= end && start.as_str() >= begin,
             Gap::Dropped { vm, at, .. } if at.as_str() > end => {
-                std::mem::replace(&mut counted, vm) != vm && vms.contains(&vm.as_str())
+                std::mem::replace(&mut counted_vm, vm) != vm && vms.contains(&vm.as_str())
             }
             Gap::Dropped { vm, at, .. } => at.as_str() >= begin && vms.contains(&vm.as_str()),
         };
-        if touches {
+        if overlaps {
             found.push(gap.clone());
         }
     }
@@ -122,8 +124,8 @@
                 told,
             } => {
                 let told = match told {
-                    Notice::Nothing => "without a word",
-                    Notice::Stopping => "while it stopped, or its last line is missing",
+                    Notice::Nothing => "without logging its end",
+                    Notice::Stopping => "while it was stopping, or its last line is missing",
                 };
                 write!(
                     f,
--- a/crates/trace/src/gap/tests.rs
+++ b/crates/trace/src/gap/tests.rs
@@ -7,13 +7,15 @@
 
 fn lines(text: &str) -> Vec<Line> {
     let parsed = text.lines().map(|line| parse(line, "log"));
-    parsed.map(|line| line.expect("it is whole")).collect()
+    parsed
+        .map(|line| line.expect("the line is complete"))
+        .collect()
 }
 
-/// A process is killed and a new one starts; a second one stops in order; a third is killed while it
-/// stops. Only the first and the third are told, each with when its log broke off.
+/// One process is killed and a new one starts, the second shuts down cleanly, and the third is killed
+/// while it stops. Only the first and the third are gaps, each with the time of its last line.
 #[test]
-fn a_start_without_an_end_before_it_is_told() {
+fn a_start_without_a_preceding_end_is_a_gap() {
     let all = lines(
         "v at=2026-05-17T07:00:01.000 event=E1001 vm=v
 v at=2026-05-17T07:00:02.000 event=E1201 request=r1
@@ -30,15 +32,15 @@
         start: format!("2026-05-17T07:00:0{start}.000"),
         told,
     };
-    let wanted = [
+    let expected = [
         ended("2", "4", Notice::Nothing),
         ended("8", "9", Notice::Stopping),
     ];
-    assert_eq!(find(&all), wanted);
+    assert_eq!(find(&all), expected);
 }
 
-/// The logs of two VMs are joined without regard to time, and each begins in the middle. A line of
-/// one VM between two of the other hides nothing, and a cut head isn't a lost process.
+/// The logs of two VMs are concatenated out of order, and each lacks its beginning. A line of one VM
+/// between two lines of the other hides no gap, and a missing beginning isn't a lost process.
 #[test]
 fn logs_of_several_vms_are_kept_apart() {
     let all = lines(
@@ -52,10 +54,11 @@
     assert!(gaps[0].to_string().contains("the process on v ended"));
 }
 
-/// Lines found no room while a request ran. The count comes with the next line that passes, after
-/// the request's last one; a second count, later, has nothing to do with it, nor has another VM's.
+/// Lines were dropped while a request ran. Their count is logged with the next line that passes, after
+/// the request's last line. A second, later count doesn't concern the request, nor does the count of
+/// another VM.
 #[test]
-fn dropped_lines_are_told_with_the_first_count_after_a_story() {
+fn the_first_count_of_dropped_lines_after_a_timeline_belongs_to_it() {
     let all = lines(
         "v at=2026-05-17T07:00:01.000 event=E1005 lines=1
 v at=2026-05-17T07:00:02.000 event=E1201 request=r1
@@ -64,11 +67,11 @@
 v at=2026-05-17T07:00:05.000 event=E1005 lines=3",
     );
     let at = "2026-05-17T07:00:02.000";
-    let told = within(&find(&all), at, at, &["v"]);
-    let wanted = Gap::Dropped {
+    let found = within(&find(&all), at, at, &["v"]);
+    let expected = Gap::Dropped {
         vm: "v".to_owned(),
         at: "2026-05-17T07:00:04.000".to_owned(),
         lines: 7,
     };
-    assert_eq!(told, [wanted]);
+    assert_eq!(found, [expected]);
 }
--- a/crates/trace/src/line.rs
+++ b/crates/trace/src/line.rs
@@ -1,33 +1,33 @@
-//! One line of a log.
+//! Parses one line of a log.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A line that names an event.
+/// A log line with an event number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Line {
-    /// When it was written, as it stands there; orders lines of VMs whose clocks agree.
+    /// The time of writing, as text from the line; orders the lines of VMs whose clocks agree.
     pub at: String,
-    /// The same in milliseconds of its day.
+    /// The same time in milliseconds since midnight.
     pub day_ms: u64,
-    /// The VM: the word before the time, as collectors put it there, else the log's name.
+    /// The VM: the word that a collector put before the time, or else the log's name.
     pub vm: String,
     /// The event's number.
     pub event: u16,
-    /// The other fields, in their order.
+    /// The other fields, in the order of the line.
     pub fields: Vec<(String, String)>,
 }
 
 impl Line {
-    /// Yields a field's value, or nothing for one that is missing.
+    /// Returns the value of a field, or an empty text if it is missing.
     #[must_use]
     pub fn field(&self, name: &str) -> &str {
         let found = self.fields.iter().find(|(known, _)| known == name);
         found.map_or("", |(_, value)| value)
     }
 
-    /// Yields a field's number.
+    /// Returns the value of a field as a number, or `None` if it is missing or not a number.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.field(name).parse().ok()
@@ -37,20 +37,20 @@
 impl fmt::Display for Line {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {} E{}", self.at, self.vm, self.event)?;
-        let told = self.fields.iter().filter(|(_, value)| !value.is_empty());
-        for (name, value) in told {
+        let present = self.fields.iter().filter(|(_, value)| !value.is_empty());
+        for (name, value) in present {
             write!(f, " {name}={value}")?;
         }
         Ok(())
     }
 }
 
-/// Reads a line of the log called `log`; `None` for one that is torn or names no event.
+/// Parses a line of the log called `log`; returns `None` if it is truncated or has no event number.
 ///
-/// A process that is killed leaves its last line torn and without an end, and the first line of the
-/// next process stands right behind it: its start, without which the kill would pass unnoticed. So
-/// the last whole line that begins in the text is read. A time inside a field's quotes begins no
-/// whole line.
+/// A killed process leaves its last line truncated and without a line end, so the first line of the
+/// next process follows on the same text line. That first line is the start event, without which the
+/// kill would go unnoticed. So the last complete line that begins in the text is parsed. A time
+/// inside a quoted field value doesn't begin a complete line.
 #[must_use]
 pub fn parse(text: &str, log: &str) -> Option<Line> {
     let begins: Vec<usize> = text.match_indices(TIME_PREFIX).map(|(at, _)| at).collect();
@@ -74,12 +74,12 @@
     })
 }
 
-/// What a line begins with; its time follows.
+/// What a line begins with, followed by its time.
 const TIME_PREFIX: &str = "at=";
-/// The form of the date in a line's time, with a zero for each digit.
+/// The format of the date in a line's time, with a zero for each digit.
 const DATE_PATTERN: &str = "0000-00-00T";
 
-/// Tells whether a text that begins as a line does goes on with a date.
+/// Returns whether the text has a date after its first `at=`.
 fn is_dated(text: &str) -> bool {
     let date = text
         .as_bytes()
@@ -96,8 +96,8 @@
     Some(fields.remove(at).1)
 }
 
-/// Splits `name=value name="value with spaces"`; `None` where a quote isn't closed or another line
-/// begins within a value.
+/// Splits `name=value name="value with spaces"`; returns `None` if a quote isn't closed or another
+/// line begins within an unquoted value.
 fn split(text: &str) -> Option<Vec<(String, String)>> {
     let mut fields = Vec::new();
     let mut rest = text.trim();
@@ -118,7 +118,7 @@
     Some(fields)
 }
 
-/// Yields the milliseconds since midnight of `2026-12-03T05:02:55.123`.
+/// Returns the milliseconds since midnight of a time like `2026-12-03T05:02:55.123`.
 fn day_ms(at: &str) -> Option<u64> {
     let (_, time) = at.split_once('T')?;
     let time = time.trim_end_matches('Z');
--- a/crates/trace/src/state/tests.rs
+++ b/crates/trace/src/state/tests.rs
@@ -4,7 +4,7 @@
 use crate::line::Line;
 use crate::tests::lines;
 
-/// Logs of several VMs, joined without regard to time, with lines at the same time.
+/// Builds concatenated logs of several VMs, out of order, with several lines at the same time.
 fn logs() -> Vec<Line> {
     let events = [1001, 1002, 2102, 2103, 3108, 3109, 1201];
     let line = |at: usize| {
@@ -18,21 +18,22 @@
 }
 
 #[test]
-fn the_index_finds_what_a_search_of_all_lines_does() {
+fn the_index_agrees_with_a_search_of_all_lines() {
     let all = logs();
     let index = Index::new(&all);
     for line in &all {
         let pairs = [[1001, 1002], [2102, 2103], [3108, 3109]];
         let latest = |pair: &[u16; 2]| {
-            let of_vm = all.iter().filter(|other| other.vm == line.vm);
-            let told = of_vm.filter(|other| other.at <= line.at && pair.contains(&other.event));
-            told.max_by(|a, b| a.at.cmp(&b.at)).cloned()
+            let vm_lines = all.iter().filter(|other| other.vm == line.vm);
+            let matching =
+                vm_lines.filter(|other| other.at <= line.at && pair.contains(&other.event));
+            matching.max_by(|a, b| a.at.cmp(&b.at)).cloned()
         };
         let expected: Vec<Line> = pairs.iter().filter_map(latest).collect();
         assert_eq!(index.latest(line), expected, "{line}");
         let started = |other: &Line| other.event == Event::NodeStarted.number();
-        let of_vm = all.iter().filter(|other| other.vm == line.vm);
-        let expected = of_vm
+        let vm_lines = all.iter().filter(|other| other.vm == line.vm);
+        let expected = vm_lines
             .clone()
             .any(|other| other.at >= line.at && started(other));
         assert_eq!(index.starts_after(line), expected, "{line}");
--- a/crates/trace/src/timeline.rs
+++ b/crates/trace/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The story of one request or program, and its cause.
+//! The timeline of one request or program, and the cause of each request's end.
 
 use std::fmt;
 
@@ -10,119 +10,120 @@
 use crate::line::Line;
 use crate::state::Index;
 
-/// How long after a refusal its VM or another one may notice the same: two looks at the VMs with a
-/// disk.
+/// How long after a refusal its own VM or another VM may log the same loss of VMs with a disk: two
+/// health checks of the VMs with a disk.
 const SAME_TROUBLE_WINDOW_MS: u64 = 1_500;
 
-/// How long after a broken request another VM may notice that its runner is gone: three heartbeats that
-/// are missed, and the way of the news.
+/// How long after a broken request another VM may log that its runner is gone: three missed
+/// heartbeats, and the time until the VM learns of them.
 const RUNNER_LOSS_WINDOW_MS: u64 = 5_000;
 
-/// What became of a request, as far as the logs tell.
+/// How a request ended, as far as the logs show.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Cause {
     /// It was answered.
     Answered {
-        /// The status that its runner gave.
+        /// The HTTP status of its runner's answer.
         status: String,
     },
-    /// It was answered, later than its program had time for.
+    /// It was answered, but later than its program could wait.
     Late {
-        /// Milliseconds from its arrival to its end.
+        /// Milliseconds from its arrival to the end of its answer.
         ms: u64,
-        /// Milliseconds that its program had left when it came.
+        /// Milliseconds that its program had left when it arrived.
         left_ms: u64,
-        /// Milliseconds of these until it was sent to the runner that answered it.
+        /// Milliseconds from its arrival until it was sent to the runner that answered it.
         placed_ms: u64,
     },
     /// The system refused it.
     Refused {
         /// The result code.
         code: String,
-        /// The reason, with the values concerned.
+        /// The reason, with the values that led to it.
         why: String,
     },
-    /// Its stream broke off.
+    /// Its stream broke off before the end.
     Broken {
         /// The reason.
         why: String,
     },
     /// Its caller left before the end.
     CallerGone,
-    /// Its VM's process ended before it did.
+    /// The process of its VM ended before the request did.
     ProcessEnded {
         /// The VM.
         vm: String,
     },
-    /// The logs hold no end of it: a line or a whole log is missing.
+    /// The logs don't show its end: a line or a whole log is missing.
     EndMissing {
-        /// The VM that had it last.
+        /// The VM that logged its last line.
         vm: String,
     },
 }
 
-/// The lines of one id.
+/// The log lines of one request or program, with how each request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Timeline {
-    /// The lines, in order.
+    /// The lines, ordered by time.
     pub lines: Vec<Line>,
-    /// What became of each request, in the order in which the requests came.
+    /// How each request ended, in the order of the requests' first lines.
     pub ends: Vec<End>,
-    /// Where lines may be missing in it.
+    /// The gaps in which lines of this timeline may be missing.
     #[serde(rename = "holes")]
     pub gaps: Vec<Gap>,
 }
 
-/// What became of one request.
+/// How one request ended, with the log lines that help to explain it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct End {
-    /// Its id.
+    /// The request's id.
     pub request: String,
     /// Why it ended.
     pub cause: Cause,
-    /// The runner that had it last; empty where none had it.
+    /// The last runner that it was sent to; empty if there was none.
     pub runner: String,
-    /// What its VM last noted of that runner until then, where it wasn't answered in time.
+    /// The last line that its VM wrote about that runner up to the end, unless the request was
+    /// answered in time.
     pub reach: Option<Line>,
-    /// What another VM noted of that runner first from then on.
+    /// The first line that another VM wrote about that runner soon after the end.
     pub elsewhere: Option<Line>,
-    /// What else that runner did while it had the request, by the logs of all VMs.
+    /// How that runner's other requests ended while it had this one, from the logs of all VMs.
     pub beside: Option<Concurrent>,
-    /// What its VM last noted of its own state before that, where it wasn't answered: a refusal says
-    /// what is missing, these lines since when.
+    /// The latest lines that its VM wrote about its own state before the end, if the request wasn't
+    /// answered: a refusal says what is missing, and these lines say since when.
     pub state: Vec<Line>,
-    /// What its VM noted of the silent ones just after, where a turn had found them before it knew their
-    /// names.
+    /// The line soon after the end in which its VM names the VMs with a disk that don't answer, if a
+    /// turn had noticed the loss before the VM knew their names.
     pub after: Option<Line>,
-    /// Who else reached too few VMs with a disk at that time, where its own VM did.
+    /// Which other VMs reached too few VMs with a disk at that time, if its own VM did.
     pub alike: Option<Affected>,
 }
 
-/// How other requests at a runner ended: with all of them unanswered it stood still or was out of
-/// reach, with few it lost an answer.
+/// How other requests at a runner ended. If all of them failed, the runner hung or was unreachable;
+/// if only a few did, it lost single answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Concurrent {
-    /// Those that it answered.
+    /// Requests that it answered.
     pub answered: usize,
-    /// Those that it didn't.
+    /// Requests that it didn't answer.
     pub failed: usize,
 }
 
-/// Which VMs had the same trouble at the same time: where few did, their own VM is cut off, where all
-/// did, the VMs with a disk are away.
+/// Which VMs had the same trouble at the same time. If few had it, the request's own VM is cut off;
+/// if all had it, the VMs with a disk are down.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Affected {
-    /// How many other VMs the logs tell of that look for VMs with a disk.
+    /// The number of other VMs that logged anything about reaching VMs with a disk.
     pub others: usize,
-    /// Those of them that had it.
+    /// Those of them that had the same trouble.
     pub vms: Vec<String>,
 }
 
-/// The field that names VMs with a disk that don't answer.
+/// The log field that names the VMs with a disk that don't answer.
 const SILENT_FIELD: &str = "silent";
-/// What the reason of a try begins with that its runner turned away: it did answer.
+/// The beginning of the reason of an attempt that its runner turned away; such a runner did answer.
 const NOT_RUN_PREFIX: &str = "not run";
-/// The events that tell how a runner is to be used.
+/// The events about whether a runner can be used.
 const RUNNER_EVENTS: [Event; 6] = [
     Event::EndpointEjected,
     Event::EndpointRestored,
@@ -132,54 +133,54 @@
     Event::EndpointReachable,
 ];
 
-/// Tells the story of a request or of all requests of a program.
+/// Builds the timeline of a request, or of all requests of a program.
 #[must_use]
 pub fn build(id: &str, lines: &[Line]) -> Timeline {
     let concerns = |line: &&Line| line.field("request") == id || line.field("program") == id;
-    let mut told: Vec<Line> = lines.iter().filter(concerns).cloned().collect();
-    told.sort_by(|a, b| a.at.cmp(&b.at));
+    let mut own_lines: Vec<Line> = lines.iter().filter(concerns).cloned().collect();
+    own_lines.sort_by(|a, b| a.at.cmp(&b.at));
     let states = Index::new(lines);
-    let ends = by_request(&told);
+    let ends = by_request(&own_lines);
     let ends = ends
         .iter()
-        .map(|(request, of_request)| end(request, of_request, lines, &states));
+        .map(|(request, request_lines)| end(request, request_lines, lines, &states));
     let ends = ends.collect();
     Timeline {
         ends,
-        gaps: gaps(&told, lines),
-        lines: told,
+        gaps: gaps_within(&own_lines, lines),
+        lines: own_lines,
     }
 }
 
-fn gaps(told: &[Line], all: &[Line]) -> Vec<Gap> {
-    let (Some(first), Some(last)) = (told.first(), told.last()) else {
+fn gaps_within(own_lines: &[Line], all: &[Line]) -> Vec<Gap> {
+    let (Some(first), Some(last)) = (own_lines.first(), own_lines.last()) else {
         return Vec::new();
     };
-    let vms: Vec<&str> = told.iter().map(|line| line.vm.as_str()).collect();
+    let vms: Vec<&str> = own_lines.iter().map(|line| line.vm.as_str()).collect();
     gap::within(&gap::find(all), &first.at, &last.at, &vms)
 }
 
-/// Groups lines by their requests, in the order of the requests' first lines.
-fn by_request(told: &[Line]) -> Vec<(&str, Vec<&Line>)> {
-    let numbered = told.iter().enumerate();
-    let mut of_requests: Vec<(&str, usize)> = numbered
+/// Groups lines by request, in the order of the requests' first lines.
+fn by_request(own_lines: &[Line]) -> Vec<(&str, Vec<&Line>)> {
+    let numbered = own_lines.iter().enumerate();
+    let mut by_id: Vec<(&str, usize)> = numbered
         .map(|(at, line)| (line.field("request"), at))
         .filter(|(request, _)| !request.is_empty())
         .collect();
-    of_requests.sort_unstable();
-    let mut groups: Vec<&[(&str, usize)]> = of_requests.chunk_by(|a, b| a.0 == b.0).collect();
+    by_id.sort_unstable();
+    let mut groups: Vec<&[(&str, usize)]> = by_id.chunk_by(|a, b| a.0 == b.0).collect();
     groups.sort_by_key(|group| group[0].1);
-    let lines = |group: &&[(&str, usize)]| group.iter().map(|(_, at)| &told[*at]).collect();
+    let lines = |group: &&[(&str, usize)]| group.iter().map(|(_, at)| &own_lines[*at]).collect();
     groups
         .iter()
         .map(|group| (group[0].0, lines(group)))
         .collect()
 }
 
-fn end(request: &str, of_request: &[&Line], all: &[Line], states: &Index<'_>) -> End {
-    let cause = cause(of_request, states);
-    let named = of_request.iter().rev().map(|line| line.field("runner"));
-    let runner = named.into_iter().find(|runner| !runner.is_empty());
+fn end(request: &str, request_lines: &[&Line], all: &[Line], states: &Index<'_>) -> End {
+    let cause = cause(request_lines, states);
+    let runners = request_lines.iter().rev().map(|line| line.field("runner"));
+    let runner = runners.into_iter().find(|runner| !runner.is_empty());
     let runner = runner.unwrap_or_default().to_owned();
     let mut end = End {
         request: request.to_owned(),
@@ -192,21 +193,21 @@
         after: None,
         alike: None,
     };
-    let last = match (&end.cause, of_request.last()) {
+    let last = match (&end.cause, request_lines.last()) {
         (Cause::Answered { .. }, _) | (_, None) => return end,
         (_, Some(last)) => last,
     };
-    end.reach = reach(&end.runner, last, all);
-    end.elsewhere = elsewhere(&end.runner, last, all);
-    end.beside = beside(&end.runner, of_request, all);
+    end.reach = last_runner_line(&end.runner, last, all);
+    end.elsewhere = runner_line_elsewhere(&end.runner, last, all);
+    end.beside = count_concurrent(&end.runner, request_lines, all);
     if matches!(end.cause, Cause::Late { .. }) {
         return end;
     }
     end.state = states.latest(last);
-    if let Some(lost) = end.state.iter().find(|line| is_members_lost(line)) {
-        end.alike = Some(alike(last, all));
-        if lost.field(SILENT_FIELD).is_empty() {
-            end.after = named_after(last, all);
+    if let Some(members_lost) = end.state.iter().find(|line| is_members_lost(line)) {
+        end.alike = Some(find_affected(last, all));
+        if members_lost.field(SILENT_FIELD).is_empty() {
+            end.after = silent_named_after(last, all);
         }
     }
     end
@@ -216,105 +217,116 @@
     line.event == Event::MembersLost.number()
 }
 
-/// Finds the line just after that names the VMs with a disk that its VM didn't reach.
-fn named_after(last: &Line, all: &[Line]) -> Option<Line> {
+/// Finds the first line soon after `last` in which its VM names the VMs with a disk that it didn't
+/// reach.
+fn silent_named_after(last: &Line, all: &[Line]) -> Option<Line> {
     let names = |line: &&Line| {
-        let soon = line.at >= last.at && line.day_ms <= last.day_ms + SAME_TROUBLE_WINDOW_MS;
-        is_members_lost(line) && line.vm == last.vm && soon && !line.field(SILENT_FIELD).is_empty()
+        let in_window = line.at >= last.at && line.day_ms <= last.day_ms + SAME_TROUBLE_WINDOW_MS;
+        is_members_lost(line)
+            && line.vm == last.vm
+            && in_window
+            && !line.field(SILENT_FIELD).is_empty()
     };
     let found = all.iter().filter(names);
     found.min_by(|a, b| a.at.cmp(&b.at)).cloned()
 }
 
-/// Counts how others ended at a runner from the time that it got the request until the request's end.
-fn beside(runner: &str, of_request: &[&Line], all: &[Line]) -> Option<Concurrent> {
+/// Counts how other requests ended at a runner, from the last time that it got this request until
+/// this request's end.
+fn count_concurrent(runner: &str, request_lines: &[&Line], all: &[Line]) -> Option<Concurrent> {
     let placed =
         |line: &&&Line| line.event == Event::CallPlaced.number() && line.field("runner") == runner;
-    let begin = of_request.iter().rfind(placed)?;
-    let last = of_request.last()?;
+    let begin = request_lines.iter().rfind(placed)?;
+    let last = request_lines.last()?;
     let meanwhile = all.iter().filter(|line| {
         let within = line.at >= begin.at && line.at <= last.at;
         within && line.field("runner") == runner && line.field("request") != last.field("request")
     });
-    let mut beside = Concurrent {
+    let mut counts = Concurrent {
         answered: 0,
         failed: 0,
     };
     for line in meanwhile {
         if line.event == Event::RequestAnswered.number() {
-            beside.answered += 1;
+            counts.answered += 1;
         }
         let failed = [Event::CallRetried, Event::StreamBroken];
         let failed = failed.iter().any(|event| event.number() == line.event);
         if failed && !line.field("why").starts_with(NOT_RUN_PREFIX) {
-            beside.failed += 1;
+            counts.failed += 1;
         }
     }
-    Some(beside)
+    Some(counts)
 }
 
-/// Finds the first line about a runner that another VM wrote from then on.
-fn elsewhere(runner: &str, last: &Line, all: &[Line]) -> Option<Line> {
-    let tells = |line: &&Line| {
-        let about = RUNNER_EVENTS
+/// Finds the first line that another VM wrote about a runner soon after `last`.
+fn runner_line_elsewhere(runner: &str, last: &Line, all: &[Line]) -> Option<Line> {
+    let matches = |line: &&Line| {
+        let is_about_runner = RUNNER_EVENTS
             .iter()
             .any(|event| event.number() == line.event);
-        let soon = line.at >= last.at && line.day_ms <= last.day_ms + RUNNER_LOSS_WINDOW_MS;
-        about && soon && line.field("runner") == runner && line.vm != last.vm
+        let in_window = line.at >= last.at && line.day_ms <= last.day_ms + RUNNER_LOSS_WINDOW_MS;
+        is_about_runner && in_window && line.field("runner") == runner && line.vm != last.vm
     };
-    let told = all.iter().filter(tells);
-    told.min_by(|a, b| a.at.cmp(&b.at)).cloned()
+    let found = all.iter().filter(matches);
+    found.min_by(|a, b| a.at.cmp(&b.at)).cloned()
 }
 
-/// Finds the last line about a runner that a VM wrote until then.
-fn reach(runner: &str, last: &Line, all: &[Line]) -> Option<Line> {
-    let tells = |line: &&Line| {
-        let about = RUNNER_EVENTS
+/// Finds the last line that the VM of `last` wrote about a runner up to `last`.
+fn last_runner_line(runner: &str, last: &Line, all: &[Line]) -> Option<Line> {
+    let matches = |line: &&Line| {
+        let is_about_runner = RUNNER_EVENTS
             .iter()
             .any(|event| event.number() == line.event);
-        about && line.field("runner") == runner && line.vm == last.vm && line.at <= last.at
+        is_about_runner
+            && line.field("runner") == runner
+            && line.vm == last.vm
+            && line.at <= last.at
     };
-    let told = all.iter().filter(tells);
-    told.max_by(|a, b| a.at.cmp(&b.at)).cloned()
+    let found = all.iter().filter(matches);
+    found.max_by(|a, b| a.at.cmp(&b.at)).cloned()
 }
 
-/// Names the other VMs that reached too few VMs with a disk then, or noticed it just after.
-fn alike(last: &Line, all: &[Line]) -> Affected {
-    let told = all.iter().filter(|line| {
-        let about = is_members_lost(line) || line.event == Event::MembersRegained.number();
-        about && line.vm != last.vm
+/// Finds the other VMs that reached too few VMs with a disk at `last`, or logged that soon after.
+fn find_affected(last: &Line, all: &[Line]) -> Affected {
+    let member_lines = all.iter().filter(|line| {
+        let is_about_members =
+            is_members_lost(line) || line.event == Event::MembersRegained.number();
+        is_about_members && line.vm != last.vm
     });
-    let mut told: Vec<&Line> = told.collect();
-    told.sort_by(|a, b| (&a.vm, &a.at).cmp(&(&b.vm, &b.at)));
-    let vms: Vec<&[&Line]> = told.chunk_by(|a, b| a.vm == b.vm).collect();
-    let had = |of_vm: &&&[&Line]| {
-        let before = of_vm.partition_point(|line| line.at <= last.at);
-        let (before, after) = of_vm.split_at(before);
-        let soon = |line: &&&Line| line.day_ms <= last.day_ms + SAME_TROUBLE_WINDOW_MS;
-        let mut after = after.iter().take_while(soon);
+    let mut member_lines: Vec<&Line> = member_lines.collect();
+    member_lines.sort_by(|a, b| (&a.vm, &a.at).cmp(&(&b.vm, &b.at)));
+    let vms: Vec<&[&Line]> = member_lines.chunk_by(|a, b| a.vm == b.vm).collect();
+    let had_trouble = |vm_lines: &&&[&Line]| {
+        let before = vm_lines.partition_point(|line| line.at <= last.at);
+        let (before, after) = vm_lines.split_at(before);
+        let in_window = |line: &&&Line| line.day_ms <= last.day_ms + SAME_TROUBLE_WINDOW_MS;
+        let mut after = after.iter().take_while(in_window);
         before.last().is_some_and(|line| is_members_lost(line))
             || after.any(|line| is_members_lost(line))
     };
-    let same = vms.iter().filter(had);
+    let affected = vms.iter().filter(had_trouble);
     Affected {
         others: vms.len(),
-        vms: same.map(|of_vm| of_vm[0].vm.clone()).collect(),
+        vms: affected.map(|vm_lines| vm_lines[0].vm.clone()).collect(),
     }
 }
 
-/// Names the cause of a request's end by its own lines, in order, and by what its VM did.
+/// Determines how a request ended from its own lines, ordered by time, and from the state lines of
+/// its VM.
 #[must_use]
-pub fn cause(of_request: &[&Line], index: &Index<'_>) -> Cause {
+pub fn cause(request_lines: &[&Line], index: &Index<'_>) -> Cause {
     let is = |line: &Line, event: Event| line.event == event.number();
-    let ends = of_request.iter().rev();
-    // A call that may run once goes on without its caller; what became of it stands before that.
+    let ends = request_lines.iter().rev();
+    // A call that may run at most once continues after its caller has left; the line with its
+    // outcome precedes the line about the caller.
     let mut ran_on = false;
     for line in ends {
         if is(line, Event::RequestAnswered) && ran_on {
             return Cause::CallerGone;
         }
         if is(line, Event::RequestAnswered) {
-            return answered(line, of_request);
+            return answered(line, request_lines);
         }
         if is(line, Event::RequestRefused) {
             return Cause::Refused {
@@ -338,7 +350,7 @@
     if ran_on {
         return Cause::CallerGone;
     }
-    let Some(last) = of_request.last() else {
+    let Some(last) = request_lines.last() else {
         return Cause::EndMissing { vm: String::new() };
     };
     let vm = last.vm.clone();
@@ -349,15 +361,15 @@
     }
 }
 
-/// Tells whether an answer came in its program's time. A program that tells none has `finish_ms=0`.
-fn answered(line: &Line, of_request: &[&Line]) -> Cause {
+/// Determines whether an answer came in time. A program that states no time limit has `finish_ms=0`.
+fn answered(line: &Line, request_lines: &[&Line]) -> Cause {
     let left_ms = line.number("finish_ms").unwrap_or_default();
     let ms = line.number("ms").unwrap_or_default();
     if left_ms == 0 || ms <= left_ms {
         let status = line.field("status").to_owned();
         return Cause::Answered { status };
     }
-    let mut placed = of_request.iter().rev().copied();
+    let mut placed = request_lines.iter().rev().copied();
     let placed = placed.find(|line| line.event == Event::CallPlaced.number());
     let placed_ms = placed.and_then(|line| line.number("waited_ms"));
     Cause::Late {
@@ -383,9 +395,11 @@
             Self::Refused { code, why } => write!(f, "refused, {code}: {why}"),
             Self::Broken { why } => write!(f, "broken off: {why}"),
             Self::CallerGone => write!(f, "its caller left before the end"),
-            Self::ProcessEnded { vm } => write!(f, "the process on {vm} ended before it did"),
+            Self::ProcessEnded { vm } => {
+                write!(f, "the process on {vm} ended before the request did")
+            }
             Self::EndMissing { vm } => {
-                write!(f, "its end is missing: is the log of {vm} whole?")
+                write!(f, "its end is missing: is the log of {vm} complete?")
             }
         }
     }
@@ -418,7 +432,7 @@
             writeln!(f, "  its runner before that: {reach}")?;
         }
         if let Some(elsewhere) = &self.elsewhere {
-            writeln!(f, "  another VM of that runner just after: {elsewhere}")?;
+            writeln!(f, "  another VM about that runner just after: {elsewhere}")?;
         }
         if let Some(beside) = &self.beside {
             let Concurrent { answered, failed } = beside;
@@ -435,9 +449,12 @@
         }
         if let Some(alike) = &self.alike {
             let (same, others) = (alike.vms.len(), alike.others);
-            write!(f, "  told the same then: {same} of {others} other VMs")?;
-            let lead = if same > 0 { ": " } else { "" };
-            writeln!(f, "{lead}{}", alike.vms.join(", "))?;
+            write!(
+                f,
+                "  same trouble at that time: {same} of {others} other VMs"
+            )?;
+            let separator = if same > 0 { ": " } else { "" };
+            writeln!(f, "{separator}{}", alike.vms.join(", "))?;
         }
         Ok(())
     }
