--- a/crates/chestnutyoke/benches/takeover.rs
+++ b/crates/chestnutyoke/benches/takeover.rs
@@ -1,4 +1,4 @@
-//! How long callers wait after their program's owner was killed, with real processes:
+//! Measures how long callers wait after the owner of their program was killed, with real processes:
 //! `cargo bench -p chestnutyoke --bench takeover`.
 
 #[path = "../tests/harness/mod.rs"]
@@ -8,63 +8,68 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use harness::Ask;
+use harness::ChatRequest;
 use harness::Fleet;
-use harness::PATIENCE;
 use harness::Plan;
+use harness::TIMEOUT;
 use harness::chat;
 use harness::chat_until_answered;
-use harness::until;
+use harness::wait_until;
 use tokio::task::JoinSet;
 
-/// Owners killed; `ROUNDS` in the environment sets another number.
-const ROUNDS: u32 = 20;
-/// Programs whose callers wait at once.
+/// The default number of rounds, each of which kills an owner; the environment variable `ROUNDS`
+/// overrides it.
+const DEFAULT_ROUNDS: u32 = 20;
+/// The number of programs, each with a waiting caller.
 const CALLERS: u32 = 4;
-/// The pause of a caller after a refusal.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The pause of a caller before it retries.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What one caller met.
+/// How long one caller waited and how often its attempts failed.
 struct Wait {
     time: Duration,
     refused: u32,
 }
 
-async fn wait(address: SocketAddr, ask: Ask, killed: Instant) -> Wait {
+async fn retry_until_answered(address: SocketAddr, request: ChatRequest, killed: Instant) -> Wait {
     let mut refused = 0;
     loop {
-        match chat(address, &ask).await {
+        match chat(address, &request).await {
             Some(answer) if answer.status == 200 => {
                 let time = killed.elapsed();
                 return Wait { time, refused };
             }
             _ => refused += 1,
         }
-        assert!(killed.elapsed() < PATIENCE, "no takeover");
-        tokio::time::sleep(PAUSE).await;
+        assert!(killed.elapsed() < TIMEOUT, "no takeover");
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-async fn round(fleet: &mut Fleet, round: u32) -> Vec<Wait> {
+async fn run_round(fleet: &mut Fleet, round: u32) -> Vec<Wait> {
     let owner = fleet.owner("east", 0, None).await;
     let others = fleet.others(owner);
     for caller in 0..CALLERS {
-        let ask = Ask::turn(&format!("p{round}-{caller}"), 1, "one #tokens=1");
-        chat_until_answered(&others, &ask).await;
+        let request = ChatRequest::turn(&format!("p{round}-{caller}"), 1, "one #tokens=1");
+        chat_until_answered(&others, &request).await;
     }
     fleet.nodes[owner].process.kill();
     let killed = Instant::now();
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
-        let ask = Ask::turn(&format!("p{round}-{caller}"), 2, "two #tokens=1");
-        callers.spawn(wait(others[caller as usize % others.len()], ask, killed));
+        let request = ChatRequest::turn(&format!("p{round}-{caller}"), 2, "two #tokens=1");
+        callers.spawn(retry_until_answered(
+            others[caller as usize % others.len()],
+            request,
+            killed,
+        ));
     }
     let waits = callers.join_all().await;
     fleet.nodes[owner].restart();
     fleet.nodes[owner].ready().await;
     let up = fleet.nodes.len();
     for node in &fleet.nodes {
-        until(node.admin, "/status", |status| {
+        wait_until(node.admin, "/status", |status| {
             let peers = status["peers"].as_array().unwrap().iter();
             peers.filter(|peer| peer["up"] == true).count() == up
         })
@@ -80,7 +85,7 @@
 #[tokio::main]
 async fn main() {
     let rounds = std::env::var("ROUNDS").ok();
-    let rounds = rounds.map_or(ROUNDS, |text| text.parse().unwrap());
+    let rounds = rounds.map_or(DEFAULT_ROUNDS, |text| text.parse().unwrap());
     for lease in ["5s", "2s"] {
         let plan = Plan {
             platform_lines: format!("lease = \"{lease}\"\n"),
@@ -89,7 +94,7 @@
         let mut fleet = Fleet::start(&plan).await;
         let mut waits = Vec::new();
         for number in 0..rounds {
-            waits.extend(round(&mut fleet, number).await);
+            waits.extend(run_round(&mut fleet, number).await);
         }
         let mut times: Vec<u128> = waits.iter().map(|wait| wait.time.as_millis()).collect();
         times.sort_unstable();
--- a/crates/chestnutyoke/tests/docs.rs
+++ b/crates/chestnutyoke/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Compares the reference pages with the tables in the code, so that a page never lies.
+//! Compares the reference pages with the tables in the code, so that the pages stay correct.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use wire::event::Event;
 
 #[test]
-fn the_page_of_errors_has_each_code() {
+fn the_errors_page_lists_every_code() {
     let row = |code: &Code| {
         format!(
             "| CY{} | {} | {} |",
@@ -23,21 +23,21 @@
 }
 
 #[test]
-fn the_page_of_events_has_each_event() {
+fn the_events_page_lists_every_event() {
     let row = |event: &Event| format!("| E{} | {} |", event.number(), event.text());
     let rows: Vec<String> = Event::ALL.iter().map(row).collect();
     compare(&page("EVENTS.md"), "| E", &rows);
 }
 
 #[test]
-fn numbers_grow_and_stand_once() {
+fn numbers_are_unique_and_ascending() {
     assert!(Code::ALL.is_sorted_by(|a, b| a.number() < b.number()));
     assert!(Event::ALL.is_sorted_by(|a, b| a.number() < b.number()));
 }
 
 #[test]
-fn the_page_of_settings_has_each_key() {
-    let mut wanted = String::new();
+fn the_settings_page_lists_every_key() {
+    let mut expected = String::new();
     for table in schema::TABLES {
         for key in table.keys {
             let default = key
@@ -48,7 +48,7 @@
                 "| `{}.{}` | {allowed} | {default} | {} |\n",
                 table.name, key.name, key.doc
             );
-            wanted.push_str(&row);
+            expected.push_str(&row);
         }
     }
     let page = page("SETTINGS.md");
@@ -56,8 +56,8 @@
         .lines()
         .filter(|line| line.starts_with("| `"))
         .collect();
-    let wanted: Vec<&str> = wanted.lines().collect();
-    assert_eq!(rows, wanted);
+    let expected: Vec<&str> = expected.lines().collect();
+    assert_eq!(rows, expected);
 }
 
 fn page(name: &str) -> String {
@@ -65,15 +65,15 @@
     fs::read_to_string(root.join(name)).unwrap()
 }
 
-/// Checks that the page has exactly these rows, in this order, each with an explanation behind.
-fn compare(page: &str, opening: &str, rows: &[String]) {
+/// Checks that the page has exactly these rows, in this order, each followed by an explanation.
+fn compare(page: &str, prefix: &str, rows: &[String]) {
     let numbered = |line: &&str| {
-        let rest = line.strip_prefix(opening);
+        let rest = line.strip_prefix(prefix);
         rest.is_some_and(|rest| rest.starts_with(|c: char| c.is_ascii_digit()))
     };
     let lines: Vec<&str> = page.lines().filter(numbered).collect();
-    let stands = |row: &&String| lines.iter().any(|line| line.starts_with(row.as_str()));
-    let missing: Vec<&String> = rows.iter().filter(|row| !stands(row)).collect();
+    let is_present = |row: &&String| lines.iter().any(|line| line.starts_with(row.as_str()));
+    let missing: Vec<&String> = rows.iter().filter(|row| !is_present(row)).collect();
     assert!(missing.is_empty(), "missing rows:\n{missing:#?}");
     assert_eq!(
         lines.len(),
@@ -81,7 +81,9 @@
         "the page has rows that the code doesn't have"
     );
     for (line, row) in lines.iter().zip(rows) {
-        let explanation = line.strip_prefix(row.as_str()).expect("rows go by number");
+        let explanation = line
+            .strip_prefix(row.as_str())
+            .expect("rows are ordered by number");
         assert!(
             explanation.trim_matches([' ', '|']).len() > 10,
             "no explanation: {line}"
--- a/crates/chestnutyoke/tests/endpoints.rs
+++ b/crates/chestnutyoke/tests/endpoints.rs
@@ -1,16 +1,16 @@
-//! Runners that die, alone or by a request that kills each one that runs it.
+//! Runners that crash, by themselves or because of a request that crashes every runner.
 
 mod harness;
 
-use harness::Ask;
+use harness::ChatRequest;
 use harness::Endpoint;
 use harness::Fleet;
 use harness::Plan;
 use harness::chat;
 use harness::get;
+use harness::message;
 use harness::open;
-use harness::said;
-use harness::until_some;
+use harness::wait_for;
 use serde_json::json;
 use standin::runner::answer;
 
@@ -26,8 +26,8 @@
     }
 }
 
-async fn busy(fleet: &Fleet) -> usize {
-    until_some("a runner with a call", async || {
+async fn busy_runner(fleet: &Fleet) -> usize {
+    wait_for("a runner with a call", async || {
         for (index, runner) in fleet.runners.iter().enumerate() {
             let load = get(runner.address, "/load").await;
             if load["running"] == 1 {
@@ -39,44 +39,45 @@
     .await
 }
 
-// The runner dies in the middle of a stream. The owner goes on at the other runner with what has
-// been generated, and the caller sees one stream with the whole answer.
+// The runner is killed in the middle of a stream. The owner continues at the other runner from the
+// text generated so far, and the caller receives one stream with the complete answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_runner_killed_in_mid_stream_doesnt_show() {
+async fn a_runner_killed_in_mid_stream_is_not_noticed_by_the_caller() {
     let mut fleet = Fleet::start(&runners(&["runner-1", "runner-2"])).await;
     let text = "plan #tokens=40";
-    let ask = Ask::turn("p", 1, text);
-    let mut stream = open(fleet.nodes[0].callers, &ask).await.unwrap();
+    let request = ChatRequest::turn("p", 1, text);
+    let mut stream = open(fleet.nodes[0].callers, &request).await.unwrap();
     stream.words(5).await;
-    let running = busy(&fleet).await;
+    let running = busy_runner(&fleet).await;
     fleet.runners[running].kill();
     stream.finish().await;
     assert!(stream.ended, "{:?}", stream.error);
-    assert_eq!(stream.text, answer::whole(&[said("user", text)], 16));
+    assert_eq!(stream.text, answer::whole(&[message("user", text)], 16));
 }
 
-// A stream is cut off by the runner, again and again. No cut stream is passed off as whole: the
-// caller gets the whole answer in the end, or an error in place of the marker.
+// Every runner cuts off a stream. A truncated stream is never presented as complete: the caller gets
+// either the complete answer or an error instead of the end marker.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_stream_is_never_passed_off_as_whole() {
+async fn a_truncated_stream_is_never_presented_as_complete() {
     let fleet = Fleet::start(&runners(&["runner-1", "runner-2"])).await;
     for runner in &fleet.runners {
         runner.faults(json!({ "cuts": 1, "cut_after": 3 })).await;
     }
     let text = "plan #tokens=12";
-    let ask = Ask::turn("p", 1, text);
-    let mut stream = open(fleet.nodes[0].callers, &ask).await.unwrap();
+    let request = ChatRequest::turn("p", 1, text);
+    let mut stream = open(fleet.nodes[0].callers, &request).await.unwrap();
     stream.finish().await;
-    let whole = answer::whole(&[said("user", text)], 16);
+    let whole = answer::whole(&[message("user", text)], 16);
     assert!(whole.starts_with(&stream.text), "{}", stream.text);
     assert_eq!(stream.ended, stream.text == whole, "{:?}", stream.error);
-    let again = chat(fleet.nodes[1].callers, &ask).await.unwrap();
+    let again = chat(fleet.nodes[1].callers, &request).await.unwrap();
     assert_eq!((again.status, again.content()), (200, whole.as_str()));
 }
 
-// One request crashes every runner that runs it. It is stopped after the second; its caller is
-// told for good, also when it asks again, by another VM, or with a new program. The third runner
-// lives, and a call that shared a runner with it is finished there and isn't blamed.
+// One request crashes every runner that runs it. The system stops it after the second crash and
+// refuses it permanently, also when it is repeated, sent through another VM, or sent for a new
+// program. The third runner survives, finishes a call that shared a runner with the request, and
+// that call isn't blamed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_runners_is_stopped_after_the_second() {
     let mut fleet = Fleet::start(&runners(&["runner-1", "runner-2", "runner-3"])).await;
@@ -84,25 +85,25 @@
         runner.faults(json!({ "crash_mark": "boom" })).await;
     }
     let text = "innocent #tokens=60";
-    let innocent = Ask::turn("innocent", 1, text);
+    let innocent = ChatRequest::turn("innocent", 1, text);
     let mut stream = open(fleet.nodes[1].callers, &innocent).await.unwrap();
     stream.words(2).await;
-    let marked = Ask::turn("marked", 1, "boom #tokens=5");
+    let marked = ChatRequest::turn("marked", 1, "boom #tokens=5");
     let first = chat(fleet.nodes[0].callers, &marked).await.unwrap();
     assert_eq!(first.code(), "CY3102", "{first:?}");
     for address in fleet.addresses() {
         let again = chat(address, &marked).await.unwrap();
         assert_eq!(again.code(), "CY3102", "{again:?}");
     }
-    let fresh = Ask::turn("fresh", 1, "boom #tokens=5");
+    let fresh = ChatRequest::turn("fresh", 1, "boom #tokens=5");
     let fresh = chat(fleet.nodes[1].callers, &fresh).await.unwrap();
     assert_eq!(fresh.code(), "CY3102", "{fresh:?}");
     stream.finish().await;
     assert!(stream.ended, "{:?}", stream.error);
-    assert_eq!(stream.text, answer::whole(&[said("user", text)], 16));
-    let dead = fleet
+    assert_eq!(stream.text, answer::whole(&[message("user", text)], 16));
+    let crashed = fleet
         .runners
         .iter_mut()
         .filter_map(|r| r.ended().then_some(()));
-    assert_eq!(dead.count(), 2);
+    assert_eq!(crashed.count(), 2);
 }
--- a/crates/chestnutyoke/tests/harness/caller.rs
+++ b/crates/chestnutyoke/tests/harness/caller.rs
@@ -1,4 +1,5 @@
-//! A caller of the system: an OpenAI-style client with the headers of the system where wanted.
+//! A caller of the system: a client of the OpenAI-style API that can also send the system's own
+//! headers.
 
 use std::net::SocketAddr;
 
@@ -19,10 +20,10 @@
 use super::MODEL;
 use super::SERVICE;
 use super::TOKEN;
-use super::switch::until_some;
+use super::http::wait_for;
 
-/// Builds a message of a conversation.
-pub fn said(role: &str, text: &str) -> Message {
+/// Builds one message of a conversation.
+pub fn message(role: &str, text: &str) -> Message {
     Message {
         role: role.to_owned(),
         content: text.into(),
@@ -30,23 +31,23 @@
     }
 }
 
-/// What is asked for a program's turn.
+/// A chat request for one turn of a program.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
-    /// The program; `None` has one made.
+pub struct ChatRequest {
+    /// The program; with `None` the system creates one.
     pub program: Option<String>,
-    /// The turn; `None` takes the next.
+    /// The turn number; `None` means the next turn.
     pub turn: Option<u32>,
     /// The user's message.
     pub text: String,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: Option<u64>,
     /// How long the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
-impl Ask {
-    /// Asks for a turn of a program.
+impl ChatRequest {
+    /// Builds a request for a turn of a program.
     pub fn turn(program: &str, turn: u32, text: &str) -> Self {
         Self {
             program: Some(program.to_owned()),
@@ -58,7 +59,7 @@
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The HTTP status.
@@ -70,48 +71,48 @@
 }
 
 impl Answer {
-    /// Yields what the assistant said.
+    /// Returns the assistant's message.
     pub fn content(&self) -> &str {
-        let said = &self.body["choices"][0]["message"]["content"];
-        said.as_str()
+        let text = &self.body["choices"][0]["message"]["content"];
+        text.as_str()
             .unwrap_or_else(|| panic!("no answer: {self:?}"))
     }
 
-    /// Yields a refusal's code.
+    /// Returns the code of a refusal.
     pub fn code(&self) -> &str {
         self.body["error"]["code"].as_str().unwrap_or_default()
     }
 
-    /// Yields whether a refused request ran.
+    /// Returns whether a refused request ran: `yes`, `no` or `unknown`.
     pub fn ran(&self) -> &str {
         self.body["error"]["ran"].as_str().unwrap_or_default()
     }
 
-    /// Yields a header's text.
+    /// Returns the text of a header, or an empty text if it is missing.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or_default()
     }
 }
 
-/// A streamed answer as it comes.
+/// A streamed answer while it is being received.
 pub struct Stream {
     /// The HTTP status.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
     body: Incoming,
-    /// The text so far.
+    /// The text received so far.
     pub text: String,
     buffer: String,
-    /// Whether the end marker came.
+    /// Whether the end marker was received.
     pub ended: bool,
-    /// The error event, where one came.
+    /// The error event, or null if none was received.
     pub error: Value,
 }
 
 impl Stream {
-    /// Waits for the next piece; `false` at the end of the stream.
+    /// Waits for the next frame; returns `false` at the end of the stream.
     pub async fn next(&mut self) -> bool {
         let Some(Ok(frame)) = self.body.frame().await else {
             return false;
@@ -121,24 +122,24 @@
         }
         while let Some(end) = self.buffer.find("\n\n") {
             let event: String = self.buffer.drain(..end + 2).collect();
-            self.take(&event);
+            self.apply(&event);
         }
         true
     }
 
-    /// Waits until the text has at least so many words.
+    /// Waits until the text has at least `count` words.
     pub async fn words(&mut self, count: usize) {
         while self.text.split_whitespace().count() < count {
             assert!(self.next().await, "ended early: {}", self.text);
         }
     }
 
-    /// Waits for the end.
+    /// Waits for the end of the stream.
     pub async fn finish(&mut self) {
         while self.next().await {}
     }
 
-    fn take(&mut self, event: &str) {
+    fn apply(&mut self, event: &str) {
         for line in event.lines() {
             let Some(data) = line.strip_prefix("data: ") else {
                 continue;
@@ -147,27 +148,27 @@
                 self.ended = true;
                 continue;
             }
-            let piece: Value = serde_json::from_str(data).unwrap();
-            if let Some(text) = piece["choices"][0]["delta"]["content"].as_str() {
+            let chunk: Value = serde_json::from_str(data).unwrap();
+            if let Some(text) = chunk["choices"][0]["delta"]["content"].as_str() {
                 self.text.push_str(text);
             }
-            if !piece["error"].is_null() {
-                self.error = piece["error"].clone();
+            if !chunk["error"].is_null() {
+                self.error = chunk["error"].clone();
             }
         }
     }
 }
 
-async fn send(
+async fn post(
     address: SocketAddr,
     path: &str,
     headers: &[(&str, String)],
     body: &Value,
 ) -> Option<Response<Incoming>> {
-    submit(Method::POST, address, path, headers, body).await
+    send_with_method(Method::POST, address, path, headers, body).await
 }
 
-async fn submit(
+async fn send_with_method(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -187,26 +188,30 @@
     http.request(request.body(body).unwrap()).await.ok()
 }
 
-async fn ask(address: SocketAddr, ask: &Ask, streamed: bool) -> Option<Response<Incoming>> {
+async fn send_chat(
+    address: SocketAddr,
+    request: &ChatRequest,
+    streamed: bool,
+) -> Option<Response<Incoming>> {
     let mut headers = Vec::new();
-    if let Some(program) = &ask.program {
+    if let Some(program) = &request.program {
         headers.push(("chestnutyoke-program", program.clone()));
     }
-    if let Some(turn) = ask.turn {
+    if let Some(turn) = request.turn {
         headers.push(("chestnutyoke-turn", turn.to_string()));
     }
-    if let Some(span) = ask.deadline_ms {
-        headers.push(("chestnutyoke-deadline-ms", span.to_string()));
+    if let Some(deadline_ms) = request.deadline_ms {
+        headers.push(("chestnutyoke-deadline-ms", deadline_ms.to_string()));
     }
     let mut body = json!({
         "model": MODEL,
         "stream": streamed,
-        "messages": [{ "role": "user", "content": ask.text }],
+        "messages": [{ "role": "user", "content": request.text }],
     });
-    if let Some(limit) = ask.max_tokens {
+    if let Some(limit) = request.max_tokens {
         body["max_tokens"] = json!(limit);
     }
-    send(address, "/v1/chat/completions", &headers, &body).await
+    post(address, "/v1/chat/completions", &headers, &body).await
 }
 
 async fn collect(response: Response<Incoming>) -> Option<Answer> {
@@ -220,27 +225,27 @@
     })
 }
 
-/// Asks for a whole answer; `None` where the connection broke.
-pub async fn chat(address: SocketAddr, wanted: &Ask) -> Option<Answer> {
-    collect(ask(address, wanted, false).await?).await
+/// Requests a complete answer; returns `None` if the connection broke.
+pub async fn chat(address: SocketAddr, request: &ChatRequest) -> Option<Answer> {
+    collect(send_chat(address, request, false).await?).await
 }
 
-/// Asks again while the answer is a refusal that did not run or the connection breaks, as a
-/// patient caller does, by each of the addresses in turn.
-pub async fn chat_until_answered(addresses: &[SocketAddr], wanted: &Ask) -> Answer {
-    let mut tries = 0;
-    until_some(&format!("the answer to {wanted:?}"), async || {
-        let address = addresses[tries % addresses.len()];
-        tries += 1;
-        let answer = chat(address, wanted).await?;
+/// Retries at each of the addresses in turn until the answer's status is 200, also after broken
+/// connections.
+pub async fn chat_until_answered(addresses: &[SocketAddr], request: &ChatRequest) -> Answer {
+    let mut attempts = 0;
+    wait_for(&format!("the answer to {request:?}"), async || {
+        let address = addresses[attempts % addresses.len()];
+        attempts += 1;
+        let answer = chat(address, request).await?;
         (answer.status == 200).then_some(answer)
     })
     .await
 }
 
-/// Asks for a streamed answer; `None` where the connection broke.
-pub async fn open(address: SocketAddr, wanted: &Ask) -> Option<Stream> {
-    let response = ask(address, wanted, true).await?;
+/// Requests a streamed answer; returns `None` if the connection broke.
+pub async fn open(address: SocketAddr, request: &ChatRequest) -> Option<Stream> {
+    let response = send_chat(address, request, true).await?;
     let (head, body) = response.into_parts();
     Some(Stream {
         status: head.status.as_u16(),
@@ -253,7 +258,7 @@
     })
 }
 
-/// Calls the service with an idempotency key; `None` where the connection broke.
+/// Calls the service with an idempotency key; returns `None` if the connection broke.
 pub async fn call(
     address: SocketAddr,
     program: Option<&str>,
@@ -266,12 +271,12 @@
     }
     let path = format!("/v1/services/{SERVICE}/{operation}");
     let body = json!({ "berth": 7 });
-    collect(send(address, &path, &headers, &body).await?).await
+    collect(post(address, &path, &headers, &body).await?).await
 }
 
-/// Ends a program; `None` where the connection broke.
+/// Ends a program; returns `None` if the connection broke.
 pub async fn end(address: SocketAddr, program: &str) -> Option<Answer> {
     let path = format!("/v1/programs/{program}");
-    let ended = submit(Method::DELETE, address, &path, &[], &Value::Null);
-    collect(ended.await?).await
+    let response = send_with_method(Method::DELETE, address, &path, &[], &Value::Null);
+    collect(response.await?).await
 }
--- a/crates/chestnutyoke/tests/harness/fleet.rs
+++ b/crates/chestnutyoke/tests/harness/fleet.rs
@@ -23,11 +23,11 @@
 use wire::clock::Millis;
 use wire::id;
 
+use super::http;
 use super::port;
 use super::process::Process;
 use super::process::Signal;
-use super::relay::Relay;
-use super::switch;
+use super::proxy::Proxy;
 
 /// The bearer token of the one caller.
 pub const TOKEN: &str = "token-of-the-caller";
@@ -60,16 +60,16 @@
     pub runners: Vec<Endpoint>,
     /// The services.
     pub services: Vec<Endpoint>,
-    /// Lines of the nodes' settings, in place of the table's defaults.
+    /// Lines of the table `platform` in the nodes' settings, instead of its defaults.
     pub platform_lines: String,
-    /// Lines of the table `limits`.
+    /// Lines of the table `limits` in the nodes' settings.
     pub limit_lines: String,
     /// Changes the operators' configuration before it is written.
     pub configure: fn(&mut Config),
 }
 
 impl Plan {
-    /// Yields one data centre with three VMs, one shard, one runner and one service.
+    /// Returns a plan with one data centre with three VMs, one shard, one runner and one service.
     pub fn three_vms() -> Self {
         Self {
             centres: vec![("east", vec!["vm-1", "vm-2", "vm-3"])],
@@ -80,7 +80,7 @@
 }
 
 impl Default for Plan {
-    /// Yields one data centre with two VMs, one runner and one service.
+    /// Returns a plan with one data centre with two VMs, one runner and one service.
     fn default() -> Self {
         Self {
             centres: vec![("east", vec!["vm-1", "vm-2"])],
@@ -102,28 +102,28 @@
     }
 }
 
-/// A stand-in that runs.
+/// A running stand-in.
 pub struct Standin {
     /// Its name.
     pub name: String,
     /// Its data centre.
     pub centre: String,
-    /// Where it listens.
+    /// Its listener.
     pub address: SocketAddr,
     process: Process,
 }
 
-/// A node that runs, or ran.
+/// A node that is running or has ended.
 pub struct Node {
     /// The VM's name.
     pub name: String,
     /// Its data centre.
     pub centre: String,
-    /// For callers.
+    /// Its listener for callers.
     pub callers: SocketAddr,
-    /// For other VMs.
+    /// Its listener for other VMs.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Its listener for operators.
     pub admin: SocketAddr,
     settings: PathBuf,
     log: PathBuf,
@@ -143,19 +143,19 @@
         self.process = start_node(&self.settings, &self.log);
     }
 
-    /// Waits until the node says that it serves.
+    /// Waits until the node reports that it is ready.
     pub async fn ready(&self) {
         let what = format!("{} is ready", self.name);
-        switch::until_some(&what, async || {
-            let status = switch::peek(self.admin, "/ready").await?;
+        http::wait_for(&what, async || {
+            let status = http::http_status(self.admin, "/ready").await?;
             (status == 200).then_some(())
         })
         .await;
     }
 }
 
-/// A running deployment. Its processes are killed when it is dropped; after a failed test their
-/// logs are shown.
+/// A running deployment. Its processes are killed when it is dropped; after a failed test the last
+/// lines of the nodes' logs are printed.
 pub struct Fleet {
     /// The platform.
     pub platform: Standin,
@@ -165,27 +165,27 @@
     pub services: Vec<Standin>,
     /// The nodes in the plan's order.
     pub nodes: Vec<Node>,
-    /// In front of the platform and of each data centre's nodes, for cuts.
-    pub relays: Relays,
+    /// The proxies between nodes and platform, which can cut the connections.
+    pub proxies: Proxies,
     folder: PathBuf,
 }
 
-/// The relays of a deployment.
-pub struct Relays {
-    /// For each data centre: the way of its VMs to the platform.
-    pub platform: Vec<(String, Relay)>,
+/// The proxies of a deployment.
+pub struct Proxies {
+    /// For each data centre, the proxy between its VMs and the platform.
+    pub platform: Vec<(String, Proxy)>,
 }
 
-impl Relays {
-    /// Yields a data centre's way to the platform.
-    pub fn platform_of(&self, centre: &str) -> &Relay {
+impl Proxies {
+    /// Returns the proxy between a data centre's VMs and the platform.
+    pub fn platform_of(&self, centre: &str) -> &Proxy {
         let found = self.platform.iter().find(|(name, _)| name == centre);
         &found.unwrap().1
     }
 }
 
 impl Fleet {
-    /// Starts everything and waits until every node serves and knows an owner of each shard.
+    /// Starts everything and waits until every node is ready and knows an owner of each shard.
     pub async fn start(plan: &Plan) -> Self {
         let folder = folder();
         let platform = standin(&folder, "platform", "platform", "", &[]);
@@ -200,26 +200,26 @@
         };
         let runners: Vec<Standin> = plan.runners.iter().map(|e| start("runner", e)).collect();
         let services: Vec<Standin> = plan.services.iter().map(|e| start("service", e)).collect();
-        configure(plan, &platform, &runners, &services).await;
-        list(plan, &platform).await;
-        let mut relays = Relays { platform: vec![] };
+        write_config(plan, &platform, &runners, &services).await;
+        publish_vm_list(plan, &platform).await;
+        let mut proxies = Proxies { platform: vec![] };
         for (centre, _) in &plan.centres {
-            let relay = Relay::start(platform.address).await;
-            relays.platform.push(((*centre).to_owned(), relay));
+            let proxy = Proxy::start(platform.address).await;
+            proxies.platform.push(((*centre).to_owned(), proxy));
         }
-        let nodes = start_nodes(plan, &relays, &folder);
+        let nodes = start_nodes(plan, &proxies, &folder);
         let fleet = Self {
             platform,
             runners,
             services,
             nodes,
-            relays,
+            proxies,
             folder,
         };
         let shards = usize::from(plan.shards) * plan.centres.len();
         for node in &fleet.nodes {
             node.ready().await;
-            switch::until(node.admin, "/status", |status| {
+            http::wait_until(node.admin, "/status", |status| {
                 status["owners"]
                     .as_array()
                     .is_some_and(|o| o.len() == shards)
@@ -229,21 +229,21 @@
         fleet
     }
 
-    /// Yields the callers' addresses of all nodes.
+    /// Returns the callers' addresses of all nodes.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.callers).collect()
     }
 
-    /// Sets faults of the platform.
+    /// Sets the faults that the platform simulates.
     pub async fn platform_faults(&self, faults: Value) {
-        switch::post(self.platform.address, "/faults", &faults).await;
+        http::post(self.platform.address, "/faults", &faults).await;
     }
 
-    /// Counts how often a call ran at all services together.
+    /// Counts how often a call ran, in all services together.
     pub async fn runs(&self, key: &str, operation: &str) -> u64 {
         let mut total = 0;
         for service in &self.services {
-            let stats = switch::get(service.address, "/stats").await;
+            let stats = http::get(service.address, "/stats").await;
             let stats: standin::service::Stats = serde_json::from_value(stats).unwrap();
             let same = |run: &&standin::service::Run| run.key == key && run.operation == operation;
             total += stats
@@ -256,8 +256,8 @@
         total
     }
 
-    /// Waits until a data centre's shard has an owner by the platform's record, other than
-    /// `except`, and yields the owner's place among the nodes.
+    /// Waits until the platform's record names an owner of the shard other than `except`, and returns
+    /// the owner's index in `nodes`.
     pub async fn owner(&self, centre: &str, index: u16, except: Option<usize>) -> usize {
         let shard = id::Shard {
             centre: id::Centre::parse(centre).unwrap(),
@@ -265,7 +265,7 @@
         };
         let etcd = Etcd::new(vec![self.platform.address], Millis::new(10_000));
         let what = format!("an owner of {shard} other than {except:?}");
-        switch::until_some(&what, async || {
+        http::wait_for(&what, async || {
             let entry = etcd.read(&journal::key::owner(&shard)).await.ok()??;
             let ownership = journal::claim::Ownership::decode(&entry.value)?;
             let same = |node: &Node| node.name == ownership.vm.as_str();
@@ -275,11 +275,11 @@
         .await
     }
 
-    /// Yields the callers' addresses of all nodes but one.
+    /// Returns the callers' addresses of all nodes except one.
     pub fn others(&self, except: usize) -> Vec<SocketAddr> {
         let nodes = self.nodes.iter().enumerate();
-        let kept = nodes.filter(|(index, _)| *index != except);
-        kept.map(|(_, node)| node.callers).collect()
+        let others = nodes.filter(|(index, _)| *index != except);
+        others.map(|(_, node)| node.callers).collect()
     }
 }
 
@@ -327,7 +327,7 @@
         self.process.kill();
     }
 
-    /// Tells whether the process has ended.
+    /// Returns whether the process has ended.
     pub fn ended(&mut self) -> bool {
         self.process.ended().is_some()
     }
@@ -337,13 +337,13 @@
         self.process.signal(signal);
     }
 
-    /// Sets faults.
+    /// Sets the faults that the stand-in simulates.
     pub async fn faults(&self, faults: Value) {
-        switch::post(self.address, "/faults", &faults).await;
+        http::post(self.address, "/faults", &faults).await;
     }
 }
 
-async fn configure(plan: &Plan, platform: &Standin, runners: &[Standin], services: &[Standin]) {
+async fn write_config(plan: &Plan, platform: &Standin, runners: &[Standin], services: &[Standin]) {
     let lines = runners.iter().map(|r| (r, Kind::Runner, MODEL));
     let lines = lines.chain(services.iter().map(|s| (s, Kind::Service, SERVICE)));
     let mut endpoints: Vec<settings::config::Endpoint> = lines
@@ -369,7 +369,7 @@
             labels: label::Set::default(),
         }],
         endpoints,
-        selectors: vec![everything()],
+        selectors: vec![allow_all_selector()],
         ..Config::default()
     };
     (plan.configure)(&mut config);
@@ -385,13 +385,13 @@
     etcd.commit(&txn, Weight::Change).await.unwrap();
 }
 
-/// The selector that lets all callers use all endpoints, every operation running at most once.
-fn everything() -> Selector {
+/// Returns a selector that lets all callers use all endpoints; every operation runs at most once.
+fn allow_all_selector() -> Selector {
     let text = json!({ "name": "all" });
     serde_json::from_value(text).unwrap()
 }
 
-async fn list(plan: &Plan, platform: &Standin) {
+async fn publish_vm_list(plan: &Plan, platform: &Standin) {
     let mut lines = Vec::new();
     for (centre, vms) in &plan.centres {
         lines.extend(vms.iter().map(|vm| (*vm, *centre)));
@@ -402,10 +402,10 @@
         .into_iter()
         .map(|(name, centre)| json!({ "name": name, "centre": centre, "standing": "live" }))
         .collect();
-    switch::post(platform.address, "/vms", &json!({ "vms": vms })).await;
+    http::post(platform.address, "/vms", &json!({ "vms": vms })).await;
 }
 
-struct Seat {
+struct NodePlan {
     name: &'static str,
     centre: &'static str,
     callers: SocketAddr,
@@ -413,10 +413,10 @@
     admin: SocketAddr,
 }
 
-fn start_nodes(plan: &Plan, relays: &Relays, folder: &Path) -> Vec<Node> {
-    let mut seats = Vec::new();
+fn start_nodes(plan: &Plan, proxies: &Proxies, folder: &Path) -> Vec<Node> {
+    let mut node_plans = Vec::new();
     for (centre, vms) in &plan.centres {
-        seats.extend(vms.iter().map(|vm| Seat {
+        node_plans.extend(vms.iter().map(|vm| NodePlan {
             name: vm,
             centre,
             callers: port::free(),
@@ -424,22 +424,26 @@
             admin: port::free(),
         }));
     }
-    let start = |seat: &Seat| {
-        let settings = folder.join(format!("{}.toml", seat.name));
-        let log = folder.join(format!("{}.log", seat.name));
-        fs::write(&settings, settings_text(plan, relays, &seats, seat)).unwrap();
+    let start = |node_plan: &NodePlan| {
+        let settings = folder.join(format!("{}.toml", node_plan.name));
+        let log = folder.join(format!("{}.log", node_plan.name));
+        fs::write(
+            &settings,
+            settings_text(plan, proxies, &node_plans, node_plan),
+        )
+        .unwrap();
         Node {
-            name: seat.name.to_owned(),
-            centre: seat.centre.to_owned(),
-            callers: seat.callers,
-            peers: seat.peers,
-            admin: seat.admin,
+            name: node_plan.name.to_owned(),
+            centre: node_plan.centre.to_owned(),
+            callers: node_plan.callers,
+            peers: node_plan.peers,
+            admin: node_plan.admin,
             process: start_node(&settings, &log),
             settings,
             log,
         }
     };
-    seats.iter().map(start).collect()
+    node_plans.iter().map(start).collect()
 }
 
 fn start_node(settings: &Path, log: &Path) -> Process {
@@ -448,8 +452,13 @@
     Process::start(NODE, &args, log)
 }
 
-fn settings_text(plan: &Plan, relays: &Relays, seats: &[Seat], own: &Seat) -> String {
-    let platform = relays.platform_of(own.centre).address();
+fn settings_text(
+    plan: &Plan,
+    proxies: &Proxies,
+    node_plans: &[NodePlan],
+    own: &NodePlan,
+) -> String {
+    let platform = proxies.platform_of(own.centre).address();
     let mut text = format!(
         "[vm]\nname = \"{}\"\ncentre = \"{}\"\n\
          [listen]\ncallers = \"{}\"\npeers = \"{}\"\nadmin = \"{}\"\n\
@@ -471,7 +480,10 @@
         )
         .unwrap();
     }
-    for other in seats.iter().filter(|seat| seat.name != own.name) {
+    for other in node_plans
+        .iter()
+        .filter(|node_plan| node_plan.name != own.name)
+    {
         write!(
             text,
             "[[peers]]\nname = \"{}\"\ncentre = \"{}\"\naddress = \"{}\"\n",
--- a/crates/chestnutyoke/tests/harness/process.rs
+++ b/crates/chestnutyoke/tests/harness/process.rs
@@ -1,4 +1,4 @@
-//! One process of the harness and the signals that it is sent.
+//! A process of the harness, and the signals that tests send it.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -12,18 +12,18 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use super::PATIENCE;
+use super::TIMEOUT;
 
 /// A signal, by the name that `kill` takes.
 #[derive(Clone, Copy, Debug)]
 pub enum Signal {
     /// Ends the process at once.
     Kill,
-    /// Asks it to end.
+    /// Asks the process to end.
     Term,
-    /// Freezes it.
+    /// Pauses the process.
     Stop,
-    /// Wakes it up.
+    /// Resumes the process.
     Cont,
 }
 
@@ -42,7 +42,7 @@
 pub struct Process(Child);
 
 impl Process {
-    /// Starts a program whose output goes to a file.
+    /// Starts a program, with its output appended to a file.
     pub fn start(program: &str, args: &[String], log: &Path) -> Self {
         let log = OpenOptions::new().create(true).append(true).open(log);
         let log = log.unwrap();
@@ -57,7 +57,7 @@
         Self(child)
     }
 
-    /// Starts a program that tells its address in its first line.
+    /// Starts a program that prints its address in its first line.
     pub fn start_listening(program: &str, args: &[String], log: &Path) -> (Self, SocketAddr) {
         let mut child = Command::new(program)
             .args(args)
@@ -71,7 +71,7 @@
         BufReader::new(out).read_line(&mut line).unwrap();
         let address = line.trim().strip_prefix("listening ").map(str::parse);
         let Some(Ok(address)) = address else {
-            panic!("{program} {args:?} said {line:?}")
+            panic!("{program} {args:?} printed {line:?}")
         };
         (Self(child), address)
     }
@@ -83,20 +83,20 @@
         assert!(sent.unwrap().success(), "{signal:?} wasn't sent");
     }
 
-    /// Kills the process and waits until it is gone.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         let _gone = self.0.kill();
         let _status = self.0.wait();
     }
 
-    /// Tells whether the process has ended.
+    /// Returns the exit status if the process has ended.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.0.try_wait().unwrap()
     }
 
     /// Waits until the process ends by itself.
     pub async fn wait(&mut self) -> ExitStatus {
-        let waited = async {
+        let poll = async {
             loop {
                 if let Some(status) = self.0.try_wait().unwrap() {
                     return status;
@@ -104,7 +104,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let status = tokio::time::timeout(PATIENCE, waited).await;
+        let status = tokio::time::timeout(TIMEOUT, poll).await;
         status.expect("the process didn't end")
     }
 }
--- a/crates/chestnutyoke/tests/harness/relay.rs
+++ b/crates/chestnutyoke/tests/harness/proxy.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes, which can cut the connection between them.
+//! A TCP proxy between two processes, which can cut the connections between them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,15 +8,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// A relay in front of an address. It ends when dropped.
-pub struct Relay {
+/// A TCP proxy in front of an address. It stops when dropped.
+pub struct Proxy {
     address: SocketAddr,
     open: Arc<watch::Sender<bool>>,
     task: JoinHandle<()>,
 }
 
-impl Relay {
-    /// Starts a relay that lets everything through to `target`.
+impl Proxy {
+    /// Starts a proxy that forwards all connections to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -29,24 +29,24 @@
         }
     }
 
-    /// Yields the address to connect to.
+    /// Returns the address to connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Breaks every connection and lets no byte through until [`Relay::mend`]: who connects
-    /// meanwhile hears nothing, as with a network that drops packets.
+    /// Breaks every connection and forwards nothing until [`Proxy::restore`]. New connections are
+    /// accepted but get no answer, as in a network that drops packets.
     pub fn cut(&self) {
         self.open.send_replace(false);
     }
 
-    /// Lets new connections through again.
-    pub fn mend(&self) {
+    /// Forwards new connections again.
+    pub fn restore(&self) {
         self.open.send_replace(true);
     }
 }
 
-impl Drop for Relay {
+impl Drop for Proxy {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -58,21 +58,21 @@
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        connections.spawn(pass(stream, target, open.subscribe()));
+        connections.spawn(forward(stream, target, open.subscribe()));
     }
 }
 
-async fn pass(mut near: TcpStream, target: SocketAddr, mut open: watch::Receiver<bool>) {
+async fn forward(mut client: TcpStream, target: SocketAddr, mut open: watch::Receiver<bool>) {
     if open.wait_for(|open| *open).await.is_err() {
         return;
     }
-    let Ok(mut far) = TcpStream::connect(target).await else {
+    let Ok(mut server) = TcpStream::connect(target).await else {
         return;
     };
-    let _unsupported = near.set_nodelay(true);
-    let _unsupported = far.set_nodelay(true);
+    let _unsupported = client.set_nodelay(true);
+    let _unsupported = server.set_nodelay(true);
     tokio::select! {
-        _ = tokio::io::copy_bidirectional(&mut near, &mut far) => {}
+        _ = tokio::io::copy_bidirectional(&mut client, &mut server) => {}
         _ = open.wait_for(|open| !*open) => {}
     }
 }
--- a/crates/chestnutyoke/tests/leaving.rs
+++ b/crates/chestnutyoke/tests/leaving.rs
@@ -1,10 +1,10 @@
-//! A leaving endpoint gets no new work after a few seconds.
+//! An endpoint that is about to leave gets no new work after a few seconds.
 
 mod harness;
 
 use std::time::Duration;
 
-use harness::Ask;
+use harness::ChatRequest;
 use harness::Endpoint;
 use harness::Fleet;
 use harness::Plan;
@@ -14,17 +14,17 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// After this much time from the first sign nothing new may go to the endpoint.
+/// The time after the first announcement from which the endpoint may get no new work.
 const GRACE: Duration = Duration::from_secs(3);
-/// Turns sent afterwards.
+/// The number of turns sent afterwards.
 const TURNS: u32 = 20;
 
-/// What says first that the runner leaves.
+/// Where it is first announced that the runner leaves.
 #[derive(Clone, Copy, Debug)]
-enum Sign {
-    /// The platform's list.
+enum Source {
+    /// In the platform's list.
     List,
-    /// The runner's load report, while the list lags by an hour.
+    /// In the runner's load report, while the list doesn't show it.
     Report,
 }
 
@@ -33,13 +33,13 @@
     counts["attempts"].as_array().unwrap().len()
 }
 
-// One of two runners is about to leave, and only the list or only its own report says so; it
-// would still take calls. From three seconds after the sign on all turns go to the other one, by
-// whichever VM they come.
+// One of two runners is about to leave, which only the list or only its own load report announces.
+// The runner would still accept calls. From three seconds after the announcement all turns go to the
+// other runner, whichever VM they are sent to.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_runner_gets_nothing_after_three_seconds(
-    #[values(Sign::List, Sign::Report)] sign: Sign,
+    #[values(Source::List, Source::Report)] announced_in: Source,
 ) {
     let runner = |name| Endpoint {
         name,
@@ -55,11 +55,11 @@
     let mut turn = 0;
     while attempts(&fleet, 0).await == 0 {
         turn += 1;
-        let ask = Ask::turn(&format!("before-{turn}"), 1, "before #tokens=2");
-        chat_until_answered(&addresses, &ask).await;
+        let request = ChatRequest::turn(&format!("before-{turn}"), 1, "before #tokens=2");
+        chat_until_answered(&addresses, &request).await;
     }
-    match sign {
-        Sign::List => {
+    match announced_in {
+        Source::List => {
             let mut list = get(fleet.platform.address, "/vms").await;
             for line in list["vms"].as_array_mut().unwrap() {
                 if line["name"] == "runner-1" {
@@ -68,7 +68,7 @@
             }
             post(fleet.platform.address, "/vms", &list).await;
         }
-        Sign::Report => {
+        Source::Report => {
             let faults = json!({ "announce_leaving": true });
             fleet.runners[0].faults(faults).await;
         }
@@ -76,9 +76,9 @@
     tokio::time::sleep(GRACE).await;
     let before = [attempts(&fleet, 0).await, attempts(&fleet, 1).await];
     for turn in 0..TURNS {
-        let ask = Ask::turn(&format!("after-{turn}"), 1, "after #tokens=2");
+        let request = ChatRequest::turn(&format!("after-{turn}"), 1, "after #tokens=2");
         let address = addresses[turn as usize % addresses.len()];
-        chat_until_answered(&[address], &ask).await;
+        chat_until_answered(&[address], &request).await;
     }
     assert_eq!(attempts(&fleet, 0).await, before[0]);
     assert_eq!(attempts(&fleet, 1).await, before[1] + TURNS as usize);
--- a/crates/chestnutyoke/tests/operators.rs
+++ b/crates/chestnutyoke/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The embedded deployment and the operators' verbs, as a newcomer uses them.
+//! The embedded deployment and the operators' subcommands, as a new user runs them.
 
 mod support;
 
@@ -9,10 +9,10 @@
 use chestnutyoke::embedded;
 use serde_json::Value;
 
-/// A newcomer runs the main job, pastes the printed call, asks why it went where it did, labels
-/// the program and sees the change in force, all by the command line.
+/// A new user starts the embedded deployment, sends the printed request, asks why it was placed where
+/// it was, labels the program, sees the change in force, and ends the program, all by command line.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_newcomer_asks_and_an_operator_explains() {
+async fn a_new_user_can_send_explain_label_and_end() {
     let deployment = embedded::start(0, 0).await.unwrap();
     let welcome = deployment.welcome();
     assert!(welcome.contains(&deployment.callers().to_string()));
@@ -59,33 +59,33 @@
     deployment.stop().await;
 }
 
-/// Two operators read revision 1 and change the same label. The second names the revision that he
-/// read, which has passed, so he is told so and nothing is overwritten.
+/// Two operators read revision 1 and change the same label. The second change names the revision that
+/// it is based on, which is outdated, so it is refused and nothing is overwritten.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_slower_of_two_operators_is_told() {
+async fn the_slower_of_two_operators_is_refused() {
     let deployment = embedded::start(0, 0).await.unwrap();
     let admin = deployment.admin();
     let set = |value: &'static str| ["label", "set", "caller", "crew", value, "--expect", "1"];
     json(admin, &set("role=pilot")).await;
     let second = run(admin, &set("role=tug")).await;
     assert!(!second.status.success());
-    let said = String::from_utf8(second.stderr).unwrap();
-    assert!(said.starts_with("CY5101"), "{said}");
+    let message = String::from_utf8(second.stderr).unwrap();
+    assert!(message.starts_with("CY5101"), "{message}");
     let config = support::get(admin, "/operate/config").await;
     assert_eq!(config["callers"][1]["labels"]["role"], "pilot");
     deployment.stop().await;
 }
 
-async fn json(admin: SocketAddr, words: &[&str]) -> Value {
-    let output = run(admin, words).await;
+async fn json(admin: SocketAddr, args: &[&str]) -> Value {
+    let output = run(admin, args).await;
     assert!(output.status.success(), "{output:?}");
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-async fn run(admin: SocketAddr, words: &[&str]) -> Output {
+async fn run(admin: SocketAddr, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_chestnutyoke"));
     command
-        .args(words)
+        .args(args)
         .arg("--json")
         .arg("--admin")
         .arg(admin.to_string());
--- a/crates/chestnutyoke/tests/output.rs
+++ b/crates/chestnutyoke/tests/output.rs
@@ -1,4 +1,4 @@
-//! The log's way out with a real process: a reader of standard output that stops holds up nobody.
+//! The log output of a real process: a reader of standard output that stops reading delays no request.
 
 mod harness;
 
@@ -19,8 +19,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use harness::PATIENCE;
-use harness::until_some;
+use harness::TIMEOUT;
+use harness::wait_for;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -28,19 +28,20 @@
 use tokio::time::timeout;
 use wire::event::Event;
 
-/// Requests of a round, each with a line of its own: more than the queue of lines (4,096) and a pipe
+/// Requests of a round, each of which logs one line: more than the queue of lines (4,096) and a pipe
 /// (65,536 bytes, some 400 lines) hold together.
 const REQUESTS: usize = 6_000;
-/// How long rounds go on: of one event's lines 2,000 a second pass, so that fewer would fill no queue.
+/// How long rounds are repeated: 2,000 lines of one event pass per second, so a shorter time wouldn't
+/// fill the queue.
 const FLOOD: Duration = Duration::from_secs(7);
-/// Callers at a time.
+/// Concurrent callers.
 const CALLERS: usize = 4;
-/// Milliseconds between two lines that tell what was dropped, less one for rounding.
-const TOLD_APART: u64 = 999;
-/// How long 95 of 100 requests may take: the stated aim for a first token.
-const AIM: Duration = Duration::from_millis(640);
+/// The minimum interval between two lines that count dropped lines (1 s, less 1 ms for rounding).
+const MIN_COUNT_INTERVAL_MS: u64 = 999;
+/// The limit for 95 % of the requests: the stated objective for the first token.
+const LATENCY_LIMIT: Duration = Duration::from_millis(640);
 
-/// A process of the front role whose standard output is a pipe, and its folder.
+/// A process of the front role, whose standard output is a pipe.
 struct Front {
     child: Child,
     callers: SocketAddr,
@@ -48,7 +49,7 @@
 }
 
 impl Front {
-    /// Starts the process. Its platform answers nothing, so that it refuses each request, with a line.
+    /// Starts the process. Its platform doesn't answer, so it refuses each request and logs a line.
     fn start() -> Self {
         let [_, _, high, low] = process::id().to_be_bytes();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 0x30, high, low));
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Reads standard output from now on.
+    /// Starts to read standard output.
     fn read(&mut self) -> Arc<Mutex<Vec<String>>> {
         let lines = Arc::new(Mutex::new(Vec::new()));
         let read = lines.clone();
@@ -91,13 +92,13 @@
     fn drop(&mut self) {
         let _gone = self.child.kill();
         let _status = self.child.wait();
-        // Left behind only where another process uses it.
+        // The folder is left behind only if another process uses it.
         let _absent = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Sends a request, and yields how long its whole answer took.
-async fn ask(address: SocketAddr, id: &str) -> Duration {
+/// Sends a request and returns the time until its answer was complete.
+async fn send(address: SocketAddr, id: &str) -> Duration {
     let begun = Instant::now();
     let answered = async {
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -109,19 +110,20 @@
         stream.read_to_string(&mut answer).await.unwrap();
         answer
     };
-    let answer = timeout(PATIENCE, answered).await.expect("no answer came");
+    let answer = timeout(TIMEOUT, answered).await.expect("no answer came");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     begun.elapsed()
 }
 
-/// Sends requests `from` to `to`, some at a time, and yields how long each took, the longest last.
-async fn ask_all(address: SocketAddr, from: usize, to: usize) -> Vec<Duration> {
+/// Sends the requests from `from` up to `to`, several concurrently, and returns how long each took, in
+/// ascending order.
+async fn send_all(address: SocketAddr, from: usize, to: usize) -> Vec<Duration> {
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
         callers.spawn(async move {
             let mut took = Vec::new();
             for at in (from + caller..to).step_by(CALLERS) {
-                took.push(ask(address, &format!("r{at}")).await);
+                took.push(send(address, &format!("r{at}")).await);
             }
             took
         });
@@ -131,27 +133,27 @@
     took
 }
 
-/// Waits until something holds.
-async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    until_some(what, async || holds().await.then_some(())).await;
+/// Waits until a condition holds.
+async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    wait_for(what, async || condition().await.then_some(())).await;
 }
 
-/// Yields the count of dropped lines that a line tells, as a story's reader takes it.
+/// Returns the number of dropped lines that a log line reports, as the trace crate parses it.
 fn dropped(line: &str) -> Option<usize> {
     let line = trace::line::parse(line, "front-a-1")?;
-    let counts = line.event == Event::LinesDropped.number();
-    counts.then(|| usize::try_from(line.number("lines")?).ok())?
+    let is_count = line.event == Event::LinesDropped.number();
+    is_count.then(|| usize::try_from(line.number("lines")?).ok())?
 }
 
-/// Nobody reads a process's standard output, and its requests write more lines than the pipe and the
-/// queue hold. Each request is answered as quickly as it should be; a write that waits for its reader
-/// would hold all of them up for ever. When the reader goes on, each line is there or counted as
-/// dropped (E1005), by event and in one line a second at most.
+/// Nobody reads a process's standard output, and its requests log more lines than the pipe and the
+/// queue hold. Each request is still answered in time; a write that waits for the reader would block
+/// all requests forever. When the reader continues, each line is either written or counted as dropped
+/// (E1005), by event, with at most one such line per second.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_reader_of_the_log_delays_no_request() {
     let mut front = Front::start();
     let address = front.callers;
-    until("the process listens", async || {
+    wait_until("the process listens", async || {
         TcpStream::connect(address).await.is_ok()
     })
     .await;
@@ -159,21 +161,21 @@
     let mut sent = 0;
     let mut took = Vec::new();
     while sent < REQUESTS || begun.elapsed() < FLOOD {
-        took.extend(ask_all(address, sent, sent + REQUESTS).await);
+        took.extend(send_all(address, sent, sent + REQUESTS).await);
         sent += REQUESTS;
     }
     took.sort_unstable();
-    let (most, longest) = (took[sent * 95 / 100], took[sent - 1]);
-    println!("95 of 100 within {most:?}, all within {longest:?}");
-    assert!(most < AIM, "95 of 100 within {most:?}");
+    let (p95, longest) = (took[sent * 95 / 100], took[sent - 1]);
+    println!("95 of 100 within {p95:?}, all within {longest:?}");
+    assert!(p95 < LATENCY_LIMIT, "95 of 100 within {p95:?}");
 
     let lines = front.read();
     let written = |lines: &[String]| {
         let refused = lines.iter().filter(|line| line.contains("event=E1102"));
         refused.count()
     };
-    until("the count of dropped lines is written", async || {
-        ask(address, &format!("r{sent}")).await;
+    wait_until("the count of dropped lines is written", async || {
+        send(address, &format!("r{sent}")).await;
         sent += 1;
         lines
             .lock()
@@ -182,7 +184,7 @@
             .any(|line| dropped(line).is_some())
     })
     .await;
-    until("each line is written or counted", async || {
+    wait_until("each line is written or counted", async || {
         let lines = lines.lock().unwrap();
         let dropped: usize = lines.iter().filter_map(|line| dropped(line)).sum();
         written(&lines) + dropped >= sent
@@ -191,20 +193,20 @@
     let lines = lines.lock().unwrap();
     let dropped: usize = lines.iter().filter_map(|line| dropped(line)).sum();
     println!("{} written, {dropped} dropped of {sent}", written(&lines));
-    let told = lines.iter().filter_map(|line| {
+    let counts = lines.iter().filter_map(|line| {
         let line = trace::line::parse(line, "front-a-1")?;
         (line.event == Event::LinesDropped.number()).then_some(line)
     });
-    let told: Vec<trace::line::Line> = told.collect();
-    for line in &told {
+    let counts: Vec<trace::line::Line> = counts.collect();
+    for line in &counts {
         let events = line.field("events");
         let refused = format!("E{}:", Event::RequestRefused.number());
         assert!(events.contains(&refused), "{line}");
     }
-    for pair in told.windows(2) {
+    for pair in counts.windows(2) {
         let apart = pair[1].day_ms - pair[0].day_ms;
-        assert!(apart >= TOLD_APART, "{} {}", pair[0], pair[1]);
+        assert!(apart >= MIN_COUNT_INTERVAL_MS, "{} {}", pair[0], pair[1]);
     }
-    let full: u64 = told.iter().filter_map(|line| line.number("full")).sum();
+    let full: u64 = counts.iter().filter_map(|line| line.number("full")).sum();
     assert!(full > 0, "the queue was never full");
 }
--- a/crates/chestnutyoke/tests/role_stop.rs
+++ b/crates/chestnutyoke/tests/role_stop.rs
@@ -1,5 +1,5 @@
-//! How the processes of the two roles end: what their logs say last, and what a VM with a disk still
-//! answers.
+//! How the processes of the two roles shut down: the last line of their logs, and what a VM with a disk
+//! still answers.
 
 use std::fs;
 use std::fs::File;
@@ -34,14 +34,14 @@
 use rstest::rstest;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_chestnutyoke");
-/// Nobody listens there: the process starts without the platform's service.
-const NOBODY: &str = "127.0.0.1:9";
+/// An address without a listener: the process starts without the platform's service.
+const NO_LISTENER: &str = "127.0.0.1:9";
 
-/// A role's process on an address of its own.
+/// The process of a role, on its own address.
 struct Process {
     child: Child,
     address: SocketAddr,
-    /// Where other VMs ask it.
+    /// Its listener for other VMs.
     vms: SocketAddr,
     folder: PathBuf,
 }
@@ -58,7 +58,7 @@
             centre: "a",
             ip,
             advertised: None,
-            store: NOBODY.parse().unwrap(),
+            store: NO_LISTENER.parse().unwrap(),
             disk: Some(&folder.join("data")),
         });
         let file = folder.join("node.toml");
@@ -75,11 +75,11 @@
             vms: SocketAddr::new(ip, settings::PEERS),
             folder,
         };
-        process.wait_until_it_listens();
+        process.wait_until_listening();
         process
     }
 
-    fn wait_until_it_listens(&self) {
+    fn wait_until_listening(&self) {
         let begun = Instant::now();
         while TcpStream::connect(self.address).is_err() {
             assert!(begun.elapsed() < Duration::from_secs(10), "no listener");
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Waits until the process shows a figure.
-    fn wait_for_figure(&self, line: &str) {
+    /// Waits until the process's metrics contain a line.
+    fn wait_for_metric(&self, line: &str) {
         let begun = Instant::now();
         loop {
             let mut stream = TcpStream::connect(self.address).unwrap();
@@ -110,7 +110,7 @@
         assert!(sent.unwrap().success());
     }
 
-    /// Waits for the end and yields all that was logged.
+    /// Waits for the end of the process and returns its whole log.
     fn log(&mut self) -> String {
         let mut text = String::new();
         let mut out = self.child.stdout.take().unwrap();
@@ -128,13 +128,13 @@
     }
 }
 
-/// A VM is told to stop, and its process ends some seconds later. Whoever looks for the cause of an
-/// answer that was cut off then has to see in the log when the process ended and what was under way;
-/// the line is written just before the process ends, so the log has to be written out first.
+/// A VM is told to stop, and its process ends some seconds later. To find the cause of an answer that
+/// was cut off at that time, the log must show when the process ended and what was in progress. That
+/// line is written just before the process ends, so the log must be flushed before the exit.
 #[rstest]
-#[case::of_clients("front", 31)]
-#[case::with_a_disk("store", 32)]
-fn the_log_ends_with_the_end_of_the_process(#[case] role: &str, #[case] last: u8) {
+#[case::front("front", 31)]
+#[case::store("store", 32)]
+fn the_last_log_line_is_the_end_of_the_process(#[case] role: &str, #[case] last: u8) {
     let mut process = Process::start(role, last);
     process.terminate();
     let log = process.log();
@@ -143,8 +143,8 @@
     assert!(end.contains("event=E1003"), "{end}");
 }
 
-/// Asks a VM with a disk, for as long as it takes; `None` where the connection breaks off.
-async fn ask(address: SocketAddr, version: u64, body: Body) -> Option<Answer> {
+/// Calls a VM with a disk and waits for its answer; returns `None` if the connection breaks.
+async fn call_vm(address: SocketAddr, version: u64, body: Body) -> Option<Answer> {
     let client = Client::new(Limits {
         connect: Duration::from_secs(1),
         silence: Duration::from_secs(5),
@@ -167,16 +167,16 @@
     })])
 }
 
-/// A VM with a disk has a turn's tokens to set aside, its disk is slow, and it gets SIGTERM. Were its end
-/// not to wait for the write, the writer would have one answer less; where two of three VMs stop at
-/// once, the turn is refused though its tokens are set aside. A write that comes later is refused at
-/// once, so that its writer needn't wait for a process that ends, and so is the question that tells
-/// whether enough members take writes.
+/// A VM with a disk is reserving a turn's tokens on a slow disk when it gets SIGTERM. If its shutdown
+/// didn't wait for the write, the writer would get one answer less; when two of three VMs stop at the
+/// same time, the turn would be refused although its tokens are reserved. A later write is refused at
+/// once, so that its writer needn't wait for a process that is ending, and so is the status request that
+/// shows whether enough members accept writes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_with_a_disk_answers_the_writes_that_it_took() {
+async fn a_vm_with_a_disk_answers_the_writes_that_it_accepted() {
     let mut process = Process::start("store", 33);
     let vms = process.vms;
-    // The disk's thread stands still from its next look at its identity until somebody reads there.
+    // The disk's thread blocks from its next identity check until somebody reads from the pipe.
     let slow = process.folder.join("data/identity.next");
     let made = Command::new("mkfifo").arg(&slow).status().unwrap();
     assert!(made.success());
@@ -187,27 +187,30 @@
         disk: 7,
     });
     let version = list.version;
-    let _stands = tokio::spawn(ask(vms, 0, Body::Adopt(list)));
-    process.wait_for_figure("chestnutyoke_members_version 1\n");
+    let _adopted = tokio::spawn(call_vm(vms, 0, Body::Adopt(list)));
+    process.wait_for_metric("chestnutyoke_members_version 1\n");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let taken = tokio::spawn(ask(vms, version, reservation("t1")));
-    process.wait_for_figure("chestnutyoke_accounts 1\n");
+    let taken = tokio::spawn(call_vm(vms, version, reservation("t1")));
+    process.wait_for_metric("chestnutyoke_accounts 1\n");
     process.terminate();
     let begun = Instant::now();
     while !matches!(
-        ask(vms, version, Body::Status).await,
+        call_vm(vms, version, Body::Status).await,
         Some(Answer::Failed(_))
     ) {
-        assert!(begun.elapsed() < Duration::from_secs(5), "it doesn't stop");
+        assert!(
+            begun.elapsed() < Duration::from_secs(5),
+            "it doesn't refuse requests"
+        );
     }
-    let late = tokio::spawn(ask(vms, version, reservation("t2")));
+    let late = tokio::spawn(call_vm(vms, version, reservation("t2")));
     tokio::time::sleep(Duration::from_millis(600)).await;
     let refused = late.is_finished();
     let reader = thread::spawn(move || File::open(slow).unwrap().read_to_end(&mut Vec::new()));
     let released = Instant::now();
     let answer = taken.await.unwrap();
     assert!(matches!(answer, Some(Answer::Applied(_))), "{answer:?}");
-    assert!(refused, "the later write waits");
+    assert!(refused, "the later write isn't refused at once");
     let late = late.await.unwrap();
     assert!(matches!(late, Some(Answer::Failed(_))), "{late:?}");
     let log = process.log();
--- a/crates/chestnutyoke/tests/soak.rs
+++ b/crates/chestnutyoke/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the fault soak with the real processes, and the seeds that once showed a fault.
+//! Short runs of the soak test with real processes, and the seeds that once showed a fault.
 
 use std::env;
 use std::fs;
@@ -15,17 +15,18 @@
 use tokio::task::JoinSet;
 use wire::clock::Millis;
 
-/// The seeds that once showed a fault.
+/// The runs that once showed a fault.
 const REGRESSIONS: &str = include_str!("../../soak/regressions.toml");
-/// How long clients ask in their short form: the last part of it is quiet.
-const SHORT: Millis = Millis::new(22_000);
-/// How many of them are played at a time: each is a dozen processes.
-const BESIDE: usize = 2;
-/// How long clients ask.
+/// How long clients send requests in the short form of those runs; the last part is without faults.
+const SHORT_SPAN: Millis = Millis::new(22_000);
+/// How many of those runs are played concurrently: each has a dozen processes.
+const CONCURRENT_RUNS: usize = 2;
+/// How long clients send requests.
 const SPAN: Millis = Millis::new(36_000);
 
-/// Yields where the processes write: in memory, where the machine has such a folder. Others use its
-/// disk as well, and what is disturbed by a sync of a second isn't judged as beside planned work.
+/// Returns the folder in which the processes write: in memory if the machine has such a folder. Other
+/// programs use the disk too, and what a sync of a second disturbs isn't judged as if only planned work
+/// had happened.
 fn folder() -> PathBuf {
     let memory = Path::new("/dev/shm");
     if memory.is_dir() {
@@ -38,7 +39,7 @@
     PathBuf::from(env!("CARGO_BIN_EXE_chestnutyoke"))
 }
 
-/// Yields a folder of its own for a run.
+/// Returns the folder of one run.
 fn folder_of(run: &str) -> PathBuf {
     folder().join(format!("chestnutyoke-soak-{}-{run}", process::id()))
 }
@@ -50,9 +51,10 @@
     report
 }
 
-/// VMs are stopped one after the other and, in one data centre, at the same time; where one of three is
-/// left there, the balancer goes on sending to all. Clients keep their connections, open new ones where
-/// the balancer sends them, and run programs. Whatever a stopping VM has read is answered whole, and each process ends by itself within its grace.
+/// VMs are stopped one after the other and, in one data centre, at the same time; if one of three is
+/// left there, the balancer continues to send to all. Clients keep their connections, open new ones where
+/// the balancer sends them, and run programs. Every request that a stopping VM has read gets a complete
+/// answer, and each process ends by itself within its grace period.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn overlapping_stops_lose_nothing() {
     let report = play(Plan {
@@ -72,16 +74,17 @@
     }
 }
 
-/// Each seed that once showed a fault does again what it began with then, two at a time; what its
-/// whole run did is played by hand.
+/// Replays the beginning of each run that once showed a fault, two at a time. Whole runs are replayed
+/// manually.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn seeds_that_once_failed_hold_in_short() {
+async fn seeds_that_once_failed_pass_in_short_form() {
     let runs = regression::parse(REGRESSIONS).unwrap();
-    let plan = |(at, run): (usize, &Run)| run.plan(binary(), folder_of(&at.to_string()), SHORT);
+    let plan =
+        |(at, run): (usize, &Run)| run.plan(binary(), folder_of(&at.to_string()), SHORT_SPAN);
     let plans: Vec<Plan> = runs.iter().enumerate().map(plan).collect();
-    for two in plans.chunks(BESIDE) {
+    for concurrent in plans.chunks(CONCURRENT_RUNS) {
         let mut playing = JoinSet::new();
-        for plan in two {
+        for plan in concurrent {
             playing.spawn(play(plan.clone()));
         }
         playing.join_all().await;
@@ -90,7 +93,7 @@
 
 /// Links between VMs, between clients and VMs, and to the store and the runners are slow, cut, silent or
 /// reset, while clients and runners send slowly, stop half-way, and VMs stop. What clients are told
-/// stays true: nothing runs twice or changed, no turn that was answered whole is gone.
+/// stays true: nothing runs twice or with other content, and no turn with a complete answer is lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn disturbed_links_break_no_promise() {
     let report = play(Plan {
--- a/crates/chestnutyoke/tests/support/mod.rs
+++ b/crates/chestnutyoke/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment of real processes on loopback, and a plain HTTP client for it.
-#![allow(dead_code)] // each test file uses a part
+//! A small deployment of real processes on loopback, and a simple HTTP client for it.
+#![allow(dead_code)] // each test file uses only a part
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -18,7 +18,7 @@
 
 pub use standin::client::*;
 
-/// A process, ended when dropped.
+/// A running process; it is killed when dropped.
 pub struct Process {
     child: Child,
     /// The first line that it printed.
@@ -40,7 +40,8 @@
         Self { child, line }
     }
 
-    /// Yields an address of the first line: the one after `name=`, or the whole for an empty name.
+    /// Returns an address from the first line: the one after `name=`, or the second word if `name` is
+    /// empty.
     pub fn address(&self, name: &str) -> SocketAddr {
         let mut words = self.line.split_whitespace().skip(1);
         let found = words.find_map(|word| match name {
@@ -52,25 +53,25 @@
             .expect("an address")
     }
 
-    /// Yields the process's id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends the process at once, as kill -9 does.
+    /// Kills the process, as `kill -9` does, and waits until it has ended.
     pub fn kill(&mut self) {
         let _gone = self.child.kill();
         let _status = self.child.wait();
     }
 
-    /// Sends a signal by its name.
+    /// Sends the signal with this name.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &id]).status();
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits for the end; tells whether it was a success.
+    /// Waits for the end and returns whether the exit status was success.
     pub fn wait(&mut self) -> bool {
         self.child.wait().expect("a status").success()
     }
@@ -96,11 +97,11 @@
     pub name: &'static str,
     /// Its data centre.
     pub centre: &'static str,
-    /// Its listener for VMs, chosen beforehand as others must know it.
+    /// Its listener for other VMs, chosen in advance because the others must know it.
     pub peers: SocketAddr,
 }
 
-/// Lays VMs out, each with a free port for its peers.
+/// Creates VMs, each with a free port for its peers.
 pub fn vms(named: &[(&'static str, &'static str)]) -> Vec<Vm> {
     let vm = |(name, centre): &(&'static str, &'static str)| Vm {
         name,
@@ -110,22 +111,23 @@
     named.iter().map(vm).collect()
 }
 
-/// Yields an address that was free a moment ago.
+/// Returns an address that was free a moment ago.
 ///
-/// Its port is below those that the kernel gives out (from 32,768 on Linux). One of theirs may go
-/// to any connection before the node binds it, and the node then doesn't start.
+/// Its port is below those that the kernel assigns to connections (from 32,768 on Linux). The kernel
+/// may assign one of those to any connection before the node binds it, and the node then fails to
+/// start.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let drawn = std::process::id().wrapping_mul(97) + NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = u16::try_from(10_000 + drawn % 20_000).expect("below 30,000");
+        let number = std::process::id().wrapping_mul(97) + NEXT.fetch_add(1, Ordering::Relaxed);
+        let port = u16::try_from(10_000 + number % 20_000).expect("below 30,000");
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().expect("an address");
         }
     }
 }
 
-/// Starts one VM's node.
+/// Starts the node of one VM.
 pub fn node(vm: &Vm, all: &[Vm], platform: SocketAddr, extra: &str) -> Process {
     let text = settings(vm, all, platform, extra);
     let name = format!("chestnutyoke-{}-{}.toml", vm.name, vm.peers.port());
@@ -176,13 +178,13 @@
     text
 }
 
-/// An endpoint of the configuration.
+/// Builds an endpoint of the configuration.
 pub fn endpoint(name: &str, kind: &str, address: SocketAddr, centre: &str, serves: &str) -> Value {
     json!({"name": name, "kind": kind, "address": address.to_string(), "centre": centre,
            "serves": [serves], "slots": 8, "fences": true})
 }
 
-/// A configuration with the caller `tug` and a selector that allows all.
+/// Builds a configuration with the caller `tug` and a selector that allows everything.
 pub fn config(endpoints: &[Value]) -> Value {
     let caller = json!({"name": "tug", "token": Digest::of(TOKEN.as_bytes())});
     json!({
--- a/crates/chestnutyoke/tests/tidy.rs
+++ b/crates/chestnutyoke/tests/tidy.rs
@@ -1,10 +1,10 @@
-//! Checks of the house style that neither the formatter nor the linter makes.
+//! Checks of the house style that neither the formatter nor the linter covers.
 
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
-/// The longest source file in lines; a longer one has more than one job.
+/// The maximum length of a source file in lines; a longer file has more than one responsibility.
 const MAX_LINES: usize = 600;
 
 struct Source {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn one_import_a_line() {
+fn one_import_per_line() {
     let braces = |line: &str| {
         let line = line.trim_start().trim_start_matches("pub ");
         line.starts_with("use ") && line.contains('{')
@@ -23,7 +23,7 @@
 
 #[test]
 fn no_getter_prefixes() {
-    assert_clean("a getter's prefix", &|line: &str| {
+    assert_clean("a getter prefix", &|line: &str| {
         line.contains(concat!("fn ", "get_"))
     });
 }
@@ -40,19 +40,19 @@
 }
 
 #[test]
-fn no_paths_of_one_machine() {
+fn no_machine_specific_paths() {
     let needles = [
         concat!("/wo", "rk/"),
         concat!("../", "given"),
         concat!("../", "shared"),
     ];
     let named = |line: &str| needles.iter().any(|needle| line.contains(needle));
-    assert_clean("a path of one machine", &named);
+    assert_clean("a machine-specific path", &named);
 }
 
-/// The names of the users' platform stand in `platform/` only: no other crate's code knows them.
+/// Names of the users' platform occur only in `platform/`: the code of no other crate depends on them.
 #[test]
-fn names_of_the_platform_stay_in_their_folder() {
+fn platform_names_occur_only_in_the_platform_folder() {
     let needles = [
         concat!("\"Server", "-Stamp\""),
         concat!("\"Not", "-Executed\""),
@@ -73,9 +73,9 @@
     ];
     let mut found = Vec::new();
     for source in sources() {
-        let tidy = source.path.ends_with("tests/tidy.rs");
+        let is_this_file = source.path.ends_with("tests/tidy.rs");
         let named = needles.iter().any(|needle| source.text.contains(needle));
-        if named && !tidy && !source.path.starts_with(adapter()) {
+        if named && !is_this_file && !source.path.starts_with(adapter()) {
             found.push(source.path.display().to_string());
         }
     }
@@ -94,22 +94,22 @@
 }
 
 #[test]
-fn each_module_says_why_it_exists() {
-    let silent: Vec<String> = sources()
+fn each_module_has_a_doc_comment() {
+    let undocumented: Vec<String> = sources()
         .iter()
         .filter(|source| !source.path.ends_with("tests.rs") && !source.text.starts_with("//!"))
         .map(|source| source.path.display().to_string())
         .collect();
-    assert!(silent.is_empty(), "{silent:#?}");
+    assert!(undocumented.is_empty(), "{undocumented:#?}");
 }
 
 #[test]
-fn imports_stand_in_three_groups() {
+fn imports_are_in_three_groups() {
     let mixed: Vec<String> = sources().iter().filter_map(mixed_block).collect();
     assert!(mixed.is_empty(), "{mixed:#?}");
 }
 
-/// Names the first block of imports at a file's head whose lines belong to different groups.
+/// Returns the first of the import blocks at the top of a file whose lines belong to different groups.
 fn mixed_block(source: &Source) -> Option<String> {
     let blocks = source
         .text
@@ -129,7 +129,7 @@
     None
 }
 
-/// Sorts an import: the standard library, other crates, this crate.
+/// Returns the group of an import: 0 for the standard library, 1 for other crates, 2 for this crate.
 fn group(line: &str) -> u8 {
     let path = line.trim_start_matches("use ");
     let root = path
@@ -157,7 +157,7 @@
     assert!(found.is_empty(), "{what}: {found:#?}");
 }
 
-/// Names the folder that speaks to the users' platform.
+/// Returns the folder of the adapter for the users' platform.
 fn adapter() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../platform")
 }
--- a/crates/chestnutyoke/tests/whole_path.rs
+++ b/crates/chestnutyoke/tests/whole_path.rs
@@ -51,9 +51,9 @@
     }
 }
 
-/// A program's turns enter at different VMs of different data centres; its history is one.
+/// A program's turns are sent to VMs of different data centres and share one history.
 #[tokio::test]
-async fn a_program_goes_on_wherever_its_turns_enter() {
+async fn a_program_continues_at_any_vm() {
     let fleet = fleet().await;
     let [a, b] = [0, 2].map(|at| fleet.nodes[at].address("callers"));
     let (status, first) = support::ask(a, "/v1/chat/completions", &[], &support::chat("one")).await;
@@ -84,10 +84,10 @@
     assert!(counts["writes"].as_u64().unwrap() >= 4, "{counts}");
 }
 
-/// A VM is killed. Turns of the programs that it owned are asked at once through the other VM of
-/// its data centre, where they wait for the takeover; each gets its answer, none is refused.
+/// A VM is killed. Turns of the programs that it owned are sent at once to the other VM of its data
+/// centre, where they wait for the takeover. Each turn is answered and none is refused.
 #[tokio::test]
-async fn turns_wait_out_a_takeover() {
+async fn turns_wait_for_a_takeover() {
     let mut fleet = fleet().await;
     let survivor = fleet.nodes[1].address("callers");
     let path = "/v1/chat/completions";
@@ -101,9 +101,9 @@
         assert_eq!(status, 200, "{answer}");
     }
     fleet.nodes[0].kill();
-    let mut asked = tokio::task::JoinSet::new();
+    let mut calls = tokio::task::JoinSet::new();
     for program in programs {
-        asked.spawn(async move {
+        calls.spawn(async move {
             let named = [
                 ("chestnutyoke-program", program.as_str()),
                 ("chestnutyoke-turn", "2"),
@@ -111,15 +111,15 @@
             support::ask(survivor, path, &named, &support::chat("two")).await
         });
     }
-    for (status, answer) in asked.join_all().await {
+    for (status, answer) in calls.join_all().await {
         assert_eq!(status, 200, "{answer}");
         assert_eq!(answer["chestnutyoke"]["turn"], 2);
     }
 }
 
-/// A streamed answer has the same text as the committed one, and its end marker.
+/// A streamed answer has the same text as the committed one, and ends with the end marker.
 #[tokio::test]
-async fn a_stream_is_whole() {
+async fn a_stream_is_complete() {
     let fleet = fleet().await;
     let a = fleet.nodes[0].address("callers");
     let mut chat = support::chat("tell #tokens=20");
@@ -140,8 +140,8 @@
     assert_eq!(shown["tokens_spent"], 20);
 }
 
-/// A runner cuts a stream off in the middle. The caller still sees one whole stream: the rest
-/// comes from another attempt, which gets the first part as its beginning.
+/// A runner cuts off a stream in the middle. The caller still gets one complete answer: the rest comes
+/// from another attempt, which gets the first part as its beginning.
 #[tokio::test]
 async fn a_cut_stream_is_resumed() {
     let fleet = fleet().await;
@@ -172,7 +172,7 @@
     assert_eq!(stats["aborted"], 1, "{stats}");
 }
 
-/// A switching order is asked twice through two VMs; it runs once and both get its answer.
+/// A switching order is sent to every VM with the same key. It runs once, and the answers are equal.
 #[tokio::test]
 async fn an_order_runs_once() {
     let fleet = fleet().await;
@@ -200,9 +200,9 @@
     refusal: (u16, &'a str),
 }
 
-/// Whatever is wrong with a request, it gets its number and didn't run.
+/// Each invalid request is refused with the right code and doesn't run.
 #[tokio::test]
-async fn bad_requests_get_their_numbers() {
+async fn bad_requests_are_refused_with_their_codes() {
     let fleet = fleet().await;
     let a = fleet.nodes[0].address("callers");
     let path = "/v1/chat/completions";
--- a/crates/trace/src/gap.rs
+++ b/crates/trace/src/gap.rs
@@ -123,13 +123,13 @@
                 start,
                 told,
             } => {
-                let told = match told {
+                let notice = match told {
                     Notice::Nothing => "without logging its end",
                     Notice::Stopping => "while it was stopping, or its last line is missing",
                 };
                 write!(
                     f,
-                    "the process on {vm} ended {told} after {last}; a new one started at {start}"
+                    "the process on {vm} ended {notice} after {last}; a new one started at {start}"
                 )
             }
             Self::Dropped { vm, at, lines } => {
--- a/crates/trace/src/line.rs
+++ b/crates/trace/src/line.rs
@@ -57,8 +57,8 @@
     let mut begins = begins.into_iter().filter(|at| is_dated(&text[*at..]));
     let first = begins.next()?;
     let vm = text[..first].split_whitespace().next_back().unwrap_or(log);
-    let mut whole = begins.rev().filter_map(|at| read(&text[at..], vm));
-    whole.next().or_else(|| read(&text[first..], vm))
+    let mut parsed = begins.rev().filter_map(|at| read(&text[at..], vm));
+    parsed.next().or_else(|| read(&text[first..], vm))
 }
 
 fn read(text: &str, vm: &str) -> Option<Line> {
