--- a/crates/chestnutyoke/src/cli/operate.rs
+++ b/crates/chestnutyoke/src/cli/operate.rs
@@ -225,7 +225,7 @@
 fn program_command() -> Command {
     let name = Arg::new("name").required(true);
     Command::new("program")
-        .about("Manages programs")
+        .about("Programs")
         .subcommand_required(true)
         .subcommand(
             Command::new("show")
