--- a/crates/chestnutyoke/src/cli.rs
+++ b/crates/chestnutyoke/src/cli.rs
@@ -186,7 +186,8 @@
     Store,
 }
 
-/// Runs a role on one thread: its VM has a fraction of one core, so threads wouldn't run in parallel.
+/// Runs a role on one thread: its VM has a fraction of one core, so threads wouldn't run in
+/// parallel.
 fn run_role(role: Role, matches: &ArgMatches) -> Result<()> {
     let port = *matches
         .get_one("metrics-port")
--- a/crates/chestnutyoke/src/commands/trace.rs
+++ b/crates/chestnutyoke/src/commands/trace.rs
@@ -74,9 +74,9 @@
     stem.to_string_lossy().into_owned()
 }
 
-/// Reads the lines that have an event number. Other lines are left out; those that look truncated are
-/// counted and reported on standard error. A line without a line end counts as truncated, unless a
-/// closing quote shows that its last value is complete.
+/// Reads the lines that have an event number. Other lines are left out; those that look truncated
+/// are counted and reported on standard error. A line without a line end counts as truncated,
+/// unless a closing quote shows that its last value is complete.
 fn read(mut log: impl BufRead, name: &str) -> cli::Result<Vec<Line>> {
     let mut lines = Vec::new();
     let mut truncated = 0;
--- a/crates/chestnutyoke/tests/at_most_once.rs
+++ b/crates/chestnutyoke/tests/at_most_once.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Retries the call until it isn't refused because an owner or the platform is missing. No answer in
-/// between may say that the call, which has run, did not run.
+/// Retries the call until it isn't refused because an owner or the platform is missing. No answer
+/// in between may say that the call, which has run, did not run.
 async fn retry_call(addresses: &[SocketAddr], program: Option<&str>) -> Answer {
     let mut attempts = 0;
     wait_for("a final answer to the call", async || {
@@ -86,9 +86,9 @@
     assert_eq!(fleet.runs(KEY, OPERATION).await, 1);
 }
 
-// The service has run the call and is about to answer when the owner is killed: the intent is in the
-// journal, the outcome isn't. Another VM takes the shard over, and the caller repeats the call there.
-// That VM doesn't send the call, and answers that it is unknown whether it ran.
+// The service has run the call and is about to answer when the owner is killed: the intent is in
+// the journal, the outcome isn't. Another VM takes the shard over, and the caller repeats the call
+// there. That VM doesn't send the call, and answers that it is unknown whether it ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_killed_between_intent_and_outcome_leaves_it_unknown() {
     let mut fleet = Fleet::start(&three_vms()).await;
@@ -142,8 +142,8 @@
     assert_eq!(fleet.runs(KEY, OPERATION).await, 1);
 }
 
-// The service answers that it refused the call before it ran. The caller is told that the call did not
-// run, and the same key runs when the call is repeated.
+// The service answers that it refused the call before it ran. The caller is told that the call did
+// not run, and the same key runs when the call is repeated.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_refused_by_the_service_may_be_repeated() {
     let fleet = Fleet::start(&three_vms()).await;
@@ -162,8 +162,8 @@
     assert_eq!(fleet.runs(KEY, OPERATION).await, 1);
 }
 
-// The platform's answers to writes are lost after the writes took effect, including the answer to the
-// intent. The owner finds out whether the intent was written before it sends anything. What it
+// The platform's answers to writes are lost after the writes took effect, including the answer to
+// the intent. The owner finds out whether the intent was written before it sends anything. What it
 // answers is true, and the call runs at most once.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_intent_whose_answer_was_lost_is_settled_first() {
--- a/crates/chestnutyoke/tests/endpoints.rs
+++ b/crates/chestnutyoke/tests/endpoints.rs
@@ -55,8 +55,8 @@
     assert_eq!(stream.text, answer::whole(&[message("user", text)], 16));
 }
 
-// Every runner cuts off a stream. A truncated stream is never presented as complete: the caller gets
-// either the complete answer or an error instead of the end marker.
+// Every runner cuts off a stream. A truncated stream is never presented as complete: the caller
+// gets either the complete answer or an error instead of the end marker.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_stream_is_never_presented_as_complete() {
     let fleet = Fleet::start(&runners(&["runner-1", "runner-2"])).await;
--- a/crates/chestnutyoke/tests/harness/fleet.rs
+++ b/crates/chestnutyoke/tests/harness/fleet.rs
@@ -256,8 +256,8 @@
         total
     }
 
-    /// Waits until the platform's record names an owner of the shard other than `except`, and returns
-    /// the owner's index in `nodes`.
+    /// Waits until the platform's record names an owner of the shard other than `except`, and
+    /// returns the owner's index in `nodes`.
     pub async fn owner(&self, centre: &str, index: u16, except: Option<usize>) -> usize {
         let shard = id::Shard {
             centre: id::Centre::parse(centre).unwrap(),
--- a/crates/chestnutyoke/tests/harness/port.rs
+++ b/crates/chestnutyoke/tests/harness/port.rs
@@ -1,9 +1,9 @@
 //! Addresses for listeners that other processes must know in advance.
 //!
-//! A port that was free when it was checked may be taken before the process that needs it starts, by
-//! another test or as the source port of a connection. So each test process has its own loopback
-//! address, derived from its process id, and uses each port only once. The ports are below the range
-//! from which the system assigns source ports.
+//! A port that was free when it was checked may be taken before the process that needs it starts,
+//! by another test or as the source port of a connection. So each test process has its own loopback
+//! address, derived from its process id, and uses each port only once. The ports are below the
+//! range from which the system assigns source ports.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
--- a/crates/chestnutyoke/tests/leaving.rs
+++ b/crates/chestnutyoke/tests/leaving.rs
@@ -34,8 +34,8 @@
 }
 
 // One of two runners is about to leave, which only the list or only its own load report announces.
-// The runner would still accept calls. From three seconds after the announcement all turns go to the
-// other runner, whichever VM they are sent to.
+// The runner would still accept calls. From three seconds after the announcement all turns go to
+// the other runner, whichever VM they are sent to.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_runner_gets_nothing_after_three_seconds(
--- a/crates/chestnutyoke/tests/operators.rs
+++ b/crates/chestnutyoke/tests/operators.rs
@@ -9,8 +9,9 @@
 use chestnutyoke::embedded;
 use serde_json::Value;
 
-/// A new user starts the embedded deployment, sends the printed request, asks why it was placed where
-/// it was, labels the program, sees the change in force, and ends the program, all by command line.
+/// A new user starts the embedded deployment, sends the printed request, asks why it was placed
+/// where it was, labels the program, sees the change in force, and ends the program, all by command
+/// line.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_user_can_send_explain_label_and_end() {
     let deployment = embedded::start(0, 0).await.unwrap();
@@ -59,8 +60,8 @@
     deployment.stop().await;
 }
 
-/// Two operators read revision 1 and change the same label. The second change names the revision that
-/// it is based on, which is outdated, so it is refused and nothing is overwritten.
+/// Two operators read revision 1 and change the same label. The second change names the revision
+/// that it is based on, which is outdated, so it is refused and nothing is overwritten.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_slower_of_two_operators_is_refused() {
     let deployment = embedded::start(0, 0).await.unwrap();
--- a/crates/chestnutyoke/tests/outage.rs
+++ b/crates/chestnutyoke/tests/outage.rs
@@ -14,9 +14,9 @@
 use standin::runner::answer;
 
 // The platform is down for longer than a lease. Model turns continue, for an existing program and
-// for a new one. A call that may run at most once is refused, with the promise that it did not run and
-// a time to retry after. After the outage the call runs once, and the turns of the outage are in the
-// journal: they survive when their owner is killed.
+// for a new one. A call that may run at most once is refused, with the promise that it did not run
+// and a time to retry after. After the outage the call runs once, and the turns of the outage are
+// in the journal: they survive when their owner is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn turns_continue_and_calls_that_run_once_are_refused() {
     let mut fleet = Fleet::start(&Plan::three_vms()).await;
--- a/crates/chestnutyoke/tests/output.rs
+++ b/crates/chestnutyoke/tests/output.rs
@@ -1,4 +1,5 @@
-//! The log output of a real process: a reader of standard output that stops reading delays no request.
+//! The log output of a real process: a reader of standard output that stops reading delays no
+//! request.
 
 mod harness;
 
@@ -28,11 +29,11 @@
 use tokio::time::timeout;
 use wire::event::Event;
 
-/// Requests of a round, each of which logs one line: more than the queue of lines (4,096) and a pipe
-/// (65,536 bytes, some 400 lines) hold together.
+/// Requests of a round, each of which logs one line: more than the queue of lines (4,096) and a
+/// pipe (65,536 bytes, some 400 lines) hold together.
 const REQUESTS: usize = 6_000;
-/// How long rounds are repeated: 2,000 lines of one event pass per second, so a shorter time wouldn't
-/// fill the queue.
+/// How long rounds are repeated: 2,000 lines of one event pass per second, so a shorter time
+/// wouldn't fill the queue.
 const FLOOD: Duration = Duration::from_secs(7);
 /// Concurrent callers.
 const CALLERS: usize = 4;
@@ -115,8 +116,8 @@
     begun.elapsed()
 }
 
-/// Sends the requests from `from` up to `to`, several concurrently, and returns how long each took, in
-/// ascending order.
+/// Sends the requests from `from` up to `to`, several concurrently, and returns how long each took,
+/// in ascending order.
 async fn send_all(address: SocketAddr, from: usize, to: usize) -> Vec<Duration> {
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
@@ -146,9 +147,9 @@
 }
 
 /// Nobody reads a process's standard output, and its requests log more lines than the pipe and the
-/// queue hold. Each request is still answered in time; a write that waits for the reader would block
-/// all requests forever. When the reader continues, each line is either written or counted as dropped
-/// (E1005), by event, with at most one such line per second.
+/// queue hold. Each request is still answered in time; a write that waits for the reader would
+/// block all requests forever. When the reader continues, each line is either written or counted as
+/// dropped (E1005), by event, with at most one such line per second.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_reader_of_the_log_delays_no_request() {
     let mut front = Front::start();
--- a/crates/chestnutyoke/tests/release.rs
+++ b/crates/chestnutyoke/tests/release.rs
@@ -11,8 +11,9 @@
 use serde_json::json;
 
 // The program ends, and every order to release its cache is lost. Its owner is killed before one is
-// delivered. The VM that takes the shard over knows from the journal which runner holds the cache, and
-// repeats the order until the runner holds nothing of the program. Another program's cache stays.
+// delivered. The VM that takes the shard over knows from the journal which runner holds the cache,
+// and repeats the order until the runner holds nothing of the program. Another program's cache
+// stays.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_release_order_is_repeated_by_the_next_owner() {
     let mut fleet = Fleet::start(&Plan::three_vms()).await;
--- a/crates/chestnutyoke/tests/role_stop.rs
+++ b/crates/chestnutyoke/tests/role_stop.rs
@@ -1,5 +1,5 @@
-//! How the processes of the two roles shut down: the last line of their logs, and what a VM with a disk
-//! still answers.
+//! How the processes of the two roles shut down: the last line of their logs, and what a VM with a
+//! disk still answers.
 
 use std::fs;
 use std::fs::File;
@@ -128,9 +128,10 @@
     }
 }
 
-/// A VM is told to stop, and its process ends some seconds later. To find the cause of an answer that
-/// was cut off at that time, the log must show when the process ended and what was in progress. That
-/// line is written just before the process ends, so the log must be flushed before the exit.
+/// A VM is told to stop, and its process ends some seconds later. To find the cause of an answer
+/// that was cut off at that time, the log must show when the process ended and what was in
+/// progress. That line is written just before the process ends, so the log must be flushed before
+/// the exit.
 #[rstest]
 #[case::front("front", 31)]
 #[case::store("store", 32)]
@@ -167,11 +168,11 @@
     })])
 }
 
-/// A VM with a disk is reserving a turn's tokens on a slow disk when it gets SIGTERM. If its shutdown
-/// didn't wait for the write, the writer would get one answer less; when two of three VMs stop at the
-/// same time, the turn would be refused although its tokens are reserved. A later write is refused at
-/// once, so that its writer needn't wait for a process that is ending, and so is the status request that
-/// shows whether enough members accept writes.
+/// A VM with a disk is reserving a turn's tokens on a slow disk when it gets SIGTERM. If its
+/// shutdown didn't wait for the write, the writer would get one answer less; when two of three VMs
+/// stop at the same time, the turn would be refused although its tokens are reserved. A later write
+/// is refused at once, so that its writer needn't wait for a process that is ending, and so is the
+/// status request that shows whether enough members accept writes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_vm_with_a_disk_answers_the_writes_that_it_accepted() {
     let mut process = Process::start("store", 33);
--- a/crates/chestnutyoke/tests/shutdown.rs
+++ b/crates/chestnutyoke/tests/shutdown.rs
@@ -37,9 +37,9 @@
     }
 }
 
-// The owner of all programs gets SIGTERM while streams are open through it and through the other VM.
-// Every stream continues to its end marker, new requests are answered by the other VM meanwhile, the
-// shard is handed over, and the process exits successfully.
+// The owner of all programs gets SIGTERM while streams are open through it and through the other
+// VM. Every stream continues to its end marker, new requests are answered by the other VM
+// meanwhile, the shard is handed over, and the process exits successfully.
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_lets_open_streams_finish() {
     let mut fleet = Fleet::start(&two_vms()).await;
@@ -77,8 +77,8 @@
 }
 
 // A stream lasts longer than the grace period of the VM that it goes through and that owns its
-// program. The process ends within the grace period, after which it would be killed, and the caller of
-// the stream gets an error that says that the VM is stopping, not just a cut connection.
+// program. The process ends within the grace period, after which it would be killed, and the caller
+// of the stream gets an error that says that the VM is stopping, not just a cut connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_beyond_the_grace_period_ends_with_a_refusal() {
     let mut fleet = Fleet::start(&Plan {
@@ -104,8 +104,8 @@
 
 // The owner of all programs stops while a stream of two seconds runs. Callers whose balancer hasn't
 // noticed that still send it turns. Turns that could last longer than the VM are refused at once as
-// not run, and the other VM answers them; a turn whose deadline is before the VM's end waits for the
-// next owner and is answered.
+// not run, and the other VM answers them; a turn whose deadline is before the VM's end waits for
+// the next owner and is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_vm_accepts_only_what_ends_before_it() {
     let mut fleet = Fleet::start(&Plan {
@@ -145,10 +145,10 @@
     assert!(status.success(), "{status}");
 }
 
-// A VM starts while neither the platform nor another VM has a configuration for it, as after a power
-// cut, and already listens. It gets SIGTERM in that state. Without handling it there, the VM would
-// wait for a configuration until it is killed, together with the callers that it has by then. It must
-// shut down as at any other time.
+// A VM starts while neither the platform nor another VM has a configuration for it, as after a
+// power cut, and already listens. It gets SIGTERM in that state. Without handling it there, the VM
+// would wait for a configuration until it is killed, together with the callers that it has by then.
+// It must shut down as at any other time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_starting_vm_handles_sigterm() {
     let mut fleet = Fleet::start(&two_vms()).await;
@@ -201,8 +201,8 @@
 }
 
 // Callers send turns to a VM without a pause, each on a new connection, from before its SIGTERM to
-// its end. Each turn whose connection is accepted gets a complete answer or a refusal that says that it
-// didn't run, at any moment of the shutdown.
+// its end. Each turn whose connection is accepted gets a complete answer or a refusal that says
+// that it didn't run, at any moment of the shutdown.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_accepted_connection_is_answered() {
     let mut fleet = Fleet::start(&Plan {
--- a/crates/chestnutyoke/tests/soak.rs
+++ b/crates/chestnutyoke/tests/soak.rs
@@ -24,9 +24,9 @@
 /// How long clients send requests.
 const SPAN: Millis = Millis::new(36_000);
 
-/// Returns the folder in which the processes write: in memory if the machine has such a folder. Other
-/// programs use the disk too, and what a sync of a second disturbs isn't judged as if only planned work
-/// had happened.
+/// Returns the folder in which the processes write: in memory if the machine has such a folder.
+/// Other programs use the disk too, and what a sync of a second disturbs isn't judged as if only
+/// planned work had happened.
 fn folder() -> PathBuf {
     let memory = Path::new("/dev/shm");
     if memory.is_dir() {
@@ -51,10 +51,10 @@
     report
 }
 
-/// VMs are stopped one after the other and, in one data centre, at the same time; if one of three is
-/// left there, the balancer continues to send to all. Clients keep their connections, open new ones where
-/// the balancer sends them, and run programs. Every request that a stopping VM has read gets a complete
-/// answer, and each process ends by itself within its grace period.
+/// VMs are stopped one after the other and, in one data centre, at the same time; if one of three
+/// is left there, the balancer continues to send to all. Clients keep their connections, open new
+/// ones where the balancer sends them, and run programs. Every request that a stopping VM has read
+/// gets a complete answer, and each process ends by itself within its grace period.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn overlapping_stops_lose_nothing() {
     let report = play(Plan {
@@ -74,8 +74,8 @@
     }
 }
 
-/// Replays the beginning of each run that once showed a fault, two at a time. Whole runs are replayed
-/// manually.
+/// Replays the beginning of each run that once showed a fault, two at a time. Whole runs are
+/// replayed manually.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn seeds_that_once_failed_pass_in_short_form() {
     let runs = regression::parse(REGRESSIONS).unwrap();
@@ -91,9 +91,10 @@
     }
 }
 
-/// Links between VMs, between clients and VMs, and to the store and the runners are slow, cut, silent or
-/// reset, while clients and runners send slowly, stop half-way, and VMs stop. What clients are told
-/// stays true: nothing runs twice or with other content, and no turn with a complete answer is lost.
+/// Links between VMs, between clients and VMs, and to the store and the runners are slow, cut,
+/// silent or reset, while clients and runners send slowly, stop half-way, and VMs stop. What
+/// clients are told stays true: nothing runs twice or with other content, and no turn with a
+/// complete answer is lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn disturbed_links_break_no_promise() {
     let report = play(Plan {
--- a/crates/chestnutyoke/tests/support/mod.rs
+++ b/crates/chestnutyoke/tests/support/mod.rs
@@ -40,8 +40,8 @@
         Self { child, line }
     }
 
-    /// Returns an address from the first line: the one after `name=`, or the second word if `name` is
-    /// empty.
+    /// Returns an address from the first line: the one after `name=`, or the second word if `name`
+    /// is empty.
     pub fn address(&self, name: &str) -> SocketAddr {
         let mut words = self.line.split_whitespace().skip(1);
         let found = words.find_map(|word| match name {
@@ -113,9 +113,9 @@
 
 /// Returns an address that was free a moment ago.
 ///
-/// Its port is below those that the kernel assigns to connections (from 32,768 on Linux). The kernel
-/// may assign one of those to any connection before the node binds it, and the node then fails to
-/// start.
+/// Its port is below those that the kernel assigns to connections (from 32,768 on Linux). The
+/// kernel may assign one of those to any connection before the node binds it, and the node then
+/// fails to start.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
--- a/crates/chestnutyoke/tests/takeover.rs
+++ b/crates/chestnutyoke/tests/takeover.rs
@@ -44,9 +44,9 @@
 }
 
 // The owner is killed in the middle of a streamed turn. The caller's stream ends without its end
-// marker, so the caller retries the turn through the other VMs, and gets a complete answer to its whole
-// history. What the killed owner had reserved counts as spent: in total, the runner never generates
-// more than the budget, and a turn that could exceed it is refused.
+// marker, so the caller retries the turn through the other VMs, and gets a complete answer to its
+// whole history. What the killed owner had reserved counts as spent: in total, the runner never
+// generates more than the budget, and a turn that could exceed it is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_owner_loses_no_turn_and_no_budget() {
     let mut fleet = Fleet::start(&three_vms()).await;
@@ -101,8 +101,9 @@
 }
 
 // The owner is paused for longer than its lease, and another VM takes the shard over and commits a
-// turn. When the paused VM resumes, it still believes that it owns the shard. If it is sent the same
-// turn with other content, it must not commit it: its append fails, and the history stays unchanged.
+// turn. When the paused VM resumes, it still believes that it owns the shard. If it is sent the
+// same turn with other content, it must not commit it: its append fails, and the history stays
+// unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_owner_that_resumes_changes_nothing() {
     let fleet = Fleet::start(&three_vms()).await;
@@ -164,8 +165,9 @@
     assert_eq!(answer.content(), answer::whole(&history, 16));
 }
 
-// The platform applies writes but loses the answers, repeatedly, while a program continues. The owner
-// reads each append back to learn its outcome, so no turn is lost and none is committed twice.
+// The platform applies writes but loses the answers, repeatedly, while a program continues. The
+// owner reads each append back to learn its outcome, so no turn is lost and none is committed
+// twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_of_the_platform_lose_no_turn() {
     let fleet = Fleet::start(&three_vms()).await;
--- a/crates/chestnutyoke/tests/three_nodes.rs
+++ b/crates/chestnutyoke/tests/three_nodes.rs
@@ -55,9 +55,9 @@
     }
 }
 
-// A program has three turns, each sent to another node. The runner gets the whole history each time, so
-// its answer continues the conversation. When the second turn is repeated, it gets the stored answer
-// and nothing is generated for it.
+// A program has three turns, each sent to another node. The runner gets the whole history each
+// time, so its answer continues the conversation. When the second turn is repeated, it gets the
+// stored answer and nothing is generated for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_program_keeps_its_history_on_any_node() {
     let fleet = Fleet::start(&three_nodes()).await;
--- a/crates/chestnutyoke/tests/tidy.rs
+++ b/crates/chestnutyoke/tests/tidy.rs
@@ -50,7 +50,8 @@
     assert_clean("a machine-specific path", &named);
 }
 
-/// Names of the users' platform occur only in `platform/`: the code of no other crate depends on them.
+/// Names of the users' platform occur only in `platform/`: the code of no other crate depends on
+/// them.
 #[test]
 fn platform_names_occur_only_in_the_platform_folder() {
     let needles = [
@@ -109,7 +110,8 @@
     assert!(mixed.is_empty(), "{mixed:#?}");
 }
 
-/// Returns the first of the import blocks at the top of a file whose lines belong to different groups.
+/// Returns the first of the import blocks at the top of a file whose lines belong to different
+/// groups.
 fn mixed_block(source: &Source) -> Option<String> {
     let blocks = source
         .text
@@ -129,7 +131,8 @@
     None
 }
 
-/// Returns the group of an import: 0 for the standard library, 1 for other crates, 2 for this crate.
+/// Returns the group of an import: 0 for the standard library, 1 for other crates, 2 for this
+/// crate.
 fn group(line: &str) -> u8 {
     let path = line.trim_start_matches("use ");
     let root = path
--- a/crates/chestnutyoke/tests/trace.rs
+++ b/crates/chestnutyoke/tests/trace.rs
@@ -110,8 +110,8 @@
     assert!(printed.err.contains(expected), "{}", printed.err);
 }
 
-/// The log's queue was full while a request ran. The request's end isn't in the log, and the timeline
-/// says that lines were dropped.
+/// The log's queue was full while a request ran. The request's end isn't in the log, and the
+/// timeline says that lines were dropped.
 #[test]
 fn dropped_lines_are_shown_with_a_missing_end() {
     let dropped =
@@ -126,8 +126,8 @@
     assert!(printed.out.contains(expected), "{}", printed.out);
 }
 
-/// The logs of two VMs are concatenated without anything that distinguishes their lines. One VM's state
-/// would be mistaken for the other's, so the subcommand warns about it.
+/// The logs of two VMs are concatenated without anything that distinguishes their lines. One VM's
+/// state would be mistaken for the other's, so the subcommand warns about it.
 #[test]
 fn concatenated_logs_without_vm_names_cause_a_warning() {
     let other = STARTED.replace("front-a-1", "store-b-1");
--- a/crates/chestnutyoke/tests/whole_path.rs
+++ b/crates/chestnutyoke/tests/whole_path.rs
@@ -140,8 +140,8 @@
     assert_eq!(shown["tokens_spent"], 20);
 }
 
-/// A runner cuts off a stream in the middle. The caller still gets one complete answer: the rest comes
-/// from another attempt, which gets the first part as its beginning.
+/// A runner cuts off a stream in the middle. The caller still gets one complete answer: the rest
+/// comes from another attempt, which gets the first part as its beginning.
 #[tokio::test]
 async fn a_cut_stream_is_resumed() {
     let fleet = fleet().await;
@@ -172,7 +172,8 @@
     assert_eq!(stats["aborted"], 1, "{stats}");
 }
 
-/// A switching order is sent to every VM with the same key. It runs once, and the answers are equal.
+/// A switching order is sent to every VM with the same key. It runs once, and the answers are
+/// equal.
 #[tokio::test]
 async fn an_order_runs_once() {
     let fleet = fleet().await;
--- a/crates/trace/src/gap.rs
+++ b/crates/trace/src/gap.rs
@@ -1,8 +1,8 @@
 //! Gaps in logs: a process that ended without logging its end, and lines that were dropped.
 //!
-//! A timeline looks complete even where a VM's log lacks the lines that matter. A later line reveals
-//! such a gap: a start (E1001) without an end (E1003) since the previous start, or the count of the
-//! lines that were dropped because the log's queue was full (E1005).
+//! A timeline looks complete even where a VM's log lacks the lines that matter. A later line
+//! reveals such a gap: a start (E1001) without an end (E1003) since the previous start, or the
+//! count of the lines that were dropped because the log's queue was full (E1005).
 
 use std::fmt;
 
@@ -97,7 +97,8 @@
 #[must_use]
 pub fn within(gaps: &[Gap], begin: &str, end: &str, vms: &[&str]) -> Vec<Gap> {
     let mut found: Vec<Gap> = Vec::new();
-    // The VM of the last count after `end`, to take only the first of each VM: gaps are ordered by VM.
+    // The VM of the last count after `end`, to take only the first of each VM: gaps are ordered by
+    // VM.
     let mut counted_vm = "";
     for gap in gaps {
         let overlaps = match gap {
--- a/crates/trace/src/gap/tests.rs
+++ b/crates/trace/src/gap/tests.rs
@@ -12,8 +12,9 @@
         .collect()
 }
 
-/// One process is killed and a new one starts, the second shuts down cleanly, and the third is killed
-/// while it stops. Only the first and the third are gaps, each with the time of its last line.
+/// One process is killed and a new one starts, the second shuts down cleanly, and the third is
+/// killed while it stops. Only the first and the third are gaps, each with the time of its last
+/// line.
 #[test]
 fn a_start_without_a_preceding_end_is_a_gap() {
     let all = lines(
@@ -39,8 +40,8 @@
     assert_eq!(find(&all), expected);
 }
 
-/// The logs of two VMs are concatenated out of order, and each lacks its beginning. A line of one VM
-/// between two lines of the other hides no gap, and a missing beginning isn't a lost process.
+/// The logs of two VMs are concatenated out of order, and each lacks its beginning. A line of one
+/// VM between two lines of the other hides no gap, and a missing beginning isn't a lost process.
 #[test]
 fn logs_of_several_vms_are_kept_apart() {
     let all = lines(
@@ -54,9 +55,9 @@
     assert!(gaps[0].to_string().contains("the process on v ended"));
 }
 
-/// Lines were dropped while a request ran. Their count is logged with the next line that passes, after
-/// the request's last line. A second, later count doesn't concern the request, nor does the count of
-/// another VM.
+/// Lines were dropped while a request ran. Their count is logged with the next line that passes,
+/// after the request's last line. A second, later count doesn't concern the request, nor does the
+/// count of another VM.
 #[test]
 fn the_first_count_of_dropped_lines_after_a_timeline_belongs_to_it() {
     let all = lines(
--- a/crates/trace/src/line.rs
+++ b/crates/trace/src/line.rs
@@ -48,8 +48,8 @@
 /// Parses a line of the log called `log`; returns `None` if it is truncated or has no event number.
 ///
 /// A killed process leaves its last line truncated and without a line end, so the first line of the
-/// next process follows on the same text line. That first line is the start event, without which the
-/// kill would go unnoticed. So the last complete line that begins in the text is parsed. A time
+/// next process follows on the same text line. That first line is the start event, without which
+/// the kill would go unnoticed. So the last complete line that begins in the text is parsed. A time
 /// inside a quoted field value doesn't begin a complete line.
 #[must_use]
 pub fn parse(text: &str, log: &str) -> Option<Line> {
--- a/crates/trace/src/line/tests.rs
+++ b/crates/trace/src/line/tests.rs
@@ -49,8 +49,8 @@
     assert_eq!((line.field("request"), line.field("vm")), ("", "v"));
 }
 
-/// Two processes are killed one after the other, each while it writes. No complete line is left, and
-/// the rest of the second line must not be taken for a value of the first.
+/// Two processes are killed one after the other, each while it writes. No complete line is left,
+/// and the rest of the second line must not be taken for a value of the first.
 #[test]
 fn two_truncated_lines_are_rejected() {
     let truncated = "at=2026-05-17T07:22:07.072 event=E1102 request=1 code=CY41";
--- a/crates/trace/src/state.rs
+++ b/crates/trace/src/state.rs
@@ -30,8 +30,8 @@
         Self { lines }
     }
 
-    /// Returns the latest state lines that the VM of `line` wrote up to the time of `line`: one for each
-    /// pair of events, and one for each subject of an outage.
+    /// Returns the latest state lines that the VM of `line` wrote up to the time of `line`: one for
+    /// each pair of events, and one for each subject of an outage.
     #[must_use]
     pub fn latest(&self, line: &Line) -> Vec<Line> {
         let vm_lines = self.vm_lines(&line.vm);
--- a/crates/trace/src/timeline.rs
+++ b/crates/trace/src/timeline.rs
@@ -92,8 +92,8 @@
     /// The latest lines that its VM wrote about its own state before the end, if the request wasn't
     /// answered: a refusal says what is missing, and these lines say since when.
     pub state: Vec<Line>,
-    /// The line soon after the end in which its VM names the VMs with a disk that don't answer, if a
-    /// turn had noticed the loss before the VM knew their names.
+    /// The line soon after the end in which its VM names the VMs with a disk that don't answer, if
+    /// a turn had noticed the loss before the VM knew their names.
     pub after: Option<Line>,
     /// Which other VMs reached too few VMs with a disk at that time, if its own VM did.
     pub alike: Option<Affected>,
@@ -361,7 +361,8 @@
     }
 }
 
-/// Determines whether an answer came in time. A program that states no time limit has `finish_ms=0`.
+/// Determines whether an answer came in time. A program that states no time limit has
+/// `finish_ms=0`.
 fn answered(line: &Line, request_lines: &[&Line]) -> Cause {
     let left_ms = line.number("finish_ms").unwrap_or_default();
     let ms = line.number("ms").unwrap_or_default();
--- a/crates/trace/src/timeline/tests.rs
+++ b/crates/trace/src/timeline/tests.rs
@@ -3,8 +3,9 @@
 use crate::line::Line;
 use crate::tests::lines;
 
-/// A program's turn is sent to a runner that is cut off, its second attempt reaches a VM that reaches
-/// too few others, and the third is served by another VM. Three logs were concatenated out of order.
+/// A program's turn is sent to a runner that is cut off, its second attempt reaches a VM that
+/// reaches too few others, and the third is served by another VM. Three logs were concatenated out
+/// of order.
 #[test]
 fn a_programs_timeline_names_the_cause_of_each_attempt() {
     let all = lines(
@@ -38,8 +39,8 @@
     );
 }
 
-/// A turn is refused because too few VMs with a disk answer. The refusal doesn't say since when, but
-/// the last state lines of its own VM do. The state lines of another VM don't count.
+/// A turn is refused because too few VMs with a disk answer. The refusal doesn't say since when,
+/// but the last state lines of its own VM do. The state lines of another VM don't count.
 #[test]
 fn a_refusal_is_shown_with_the_state_of_its_vm() {
     let all = lines(
@@ -71,8 +72,8 @@
     assert_eq!(missing.ends[0].cause, Cause::EndMissing { vm });
 }
 
-/// A stream is cut short because the caller has left, or because the time is over. The timeline says
-/// which.
+/// A stream is cut short because the caller has left, or because the time is over. The timeline
+/// says which.
 #[test]
 fn a_cut_stream_names_who_gave_up() {
     let placed = "v at=2026-05-17T07:00:01.469 event=E1201 request=r1";
@@ -85,8 +86,9 @@
     assert_eq!(timeline.ends[0].cause, Cause::Broken { why });
 }
 
-/// A turn is answered completely, but later than its program could wait. The timeline says so, and how
-/// much time passed before and at the runner. A turn whose program states no time limit isn't late.
+/// A turn is answered completely, but later than its program could wait. The timeline says so, and
+/// how much time passed before and at the runner. A turn whose program states no time limit isn't
+/// late.
 #[test]
 fn a_late_answer_shows_time_before_and_at_the_runner() {
     let all = lines(
@@ -134,8 +136,8 @@
     );
 }
 
-/// A VM with a disk is killed while a turn waits for it, and its log doesn't show its end. The timeline
-/// infers the end from the VM's next start, and omits a process that ended long before.
+/// A VM with a disk is killed while a turn waits for it, and its log doesn't show its end. The
+/// timeline infers the end from the VM's next start, and omits a process that ended long before.
 #[test]
 fn a_timeline_lists_processes_that_ended_without_logging_it() {
     let all = lines(
@@ -154,8 +156,8 @@
 }
 
 /// The platform's store answers again for one subject, but not yet for another. A refusal while the
-/// runners' entries are still unreachable is shown with the latest line of each subject, not only with
-/// the latest line of all.
+/// runners' entries are still unreachable is shown with the latest line of each subject, not only
+/// with the latest line of all.
 #[test]
 fn an_outage_is_shown_for_each_subject() {
     let all = lines(
@@ -172,9 +174,9 @@
     assert_eq!(subjects, [(2103, "Config"), (2102, "Runners")]);
 }
 
-/// A process ends while a request is in progress and logs that it cut the request off. Its log has no
-/// new start yet, because the VM is still down. A settlement that is cut off doesn't change how an
-/// answered request ended.
+/// A process ends while a request is in progress and logs that it cut the request off. Its log has
+/// no new start yet, because the VM is still down. A settlement that is cut off doesn't change how
+/// an answered request ended.
 #[test]
 fn a_request_cut_off_by_the_end_of_a_process_is_named() {
     let log = lines(
@@ -196,8 +198,8 @@
 }
 
 /// A call that may run at most once gets no answer in time. Its VM refuses it, and logs at the same
-/// time that its caller had left. The person on call needs to know why there was no answer, not that
-/// nobody waited for one.
+/// time that its caller had left. The person on call needs to know why there was no answer, not
+/// that nobody waited for one.
 #[test]
 fn a_refusal_counts_even_if_the_caller_had_left() {
     let refused =
@@ -233,9 +235,9 @@
     assert!(text.contains(expected), "{text}");
 }
 
-/// A turn notices that too few VMs with a disk answer before its VM's own health check does, and its
-/// line can't name the unresponsive VMs. The health check just after does, and is shown with the
-/// refusal.
+/// A turn notices that too few VMs with a disk answer before its VM's own health check does, and
+/// its line can't name the unresponsive VMs. The health check just after does, and is shown with
+/// the refusal.
 #[test]
 fn silent_members_are_named_even_if_a_turn_noticed_them_first() {
     let all = lines(
@@ -252,8 +254,8 @@
     assert!(!text.contains("s-3"), "{text}");
 }
 
-/// A connection to a runner breaks off. What another VM logs about the runner just after, once it has
-/// noticed, shows whether the network or the runner failed.
+/// A connection to a runner breaks off. What another VM logs about the runner just after, once it
+/// has noticed, shows whether the network or the runner failed.
 #[test]
 fn a_broken_connection_is_shown_with_what_another_vm_notices() {
     let all = lines(
