--- a/crates/chestnutyoke/src/verbs/change.rs
+++ b/crates/chestnutyoke/src/commands/change.rs
@@ -1,25 +1,25 @@
-//! Sends a change of the configuration and tells what became of it.
+//! Sends a configuration change and prints its result.
 
 use hyper::Method;
 use node::controllers::config::edit::Edit;
 use serde_json::Value;
 use serde_json::json;
 
-use crate::cli::operate::Form;
+use crate::cli::operate::Format;
 use crate::cli::operate::Target;
 use crate::client;
 
-/// Sends an edit to a VM and shows the revision and where it is in force.
+/// Sends an edit to a VM, and prints the new revision and on how many VMs it is in force.
 ///
 /// # Errors
 ///
-/// Fails where the VM can't be reached, refuses the change or can't tell what became of it.
+/// Fails if the VM can't be reached, refuses the change or doesn't know the outcome of the change.
 pub async fn run(target: &Target, edit: &Edit) -> client::Result<()> {
     let body = json!({ "edit": edit, "expected": target.expected });
     let answer = client::call(target.admin, Method::POST, "/operate/change", Some(&body)).await?;
-    match target.form {
-        Form::Json => println!("{answer}"),
-        Form::Table => println!("{}", summary(&answer)),
+    match target.format {
+        Format::Json => println!("{answer}"),
+        Format::Table => println!("{}", summary(&answer)),
     }
     Ok(())
 }
@@ -27,7 +27,7 @@
 fn summary(answer: &Value) -> String {
     let count = |list: &str| answer["rollout"][list].as_array().map_or(0, Vec::len);
     format!(
-        "revision {}: in force on {} VMs, not yet on {}, {} not heard",
+        "revision {}: in force on {} VMs, not yet on {}, {} not responding",
         answer["revision"],
         count("reached"),
         count("behind"),
