--- a/crates/chestnutyoke/tests/harness/fleet.rs
+++ b/crates/chestnutyoke/tests/harness/fleet.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::Ordering;
 
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write as Put;
 use platform::etcd::Etcd;
 use serde_json::Value;
@@ -382,7 +382,7 @@
         }],
     };
     let etcd = Etcd::new(vec![platform.address], Millis::new(10_000));
-    etcd.commit(&txn, Weight::Change).await.unwrap();
+    etcd.commit(&txn, Priority::Change).await.unwrap();
 }
 
 /// The selector that lets all callers use all endpoints, every operation running at most once.
--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -344,7 +344,7 @@
         self.memory.read(key).await
     }
 
-    async fn commit(&self, txn: &edge::Txn, weight: edge::Weight) -> edge::Result<edge::Outcome> {
+    async fn commit(&self, txn: &edge::Txn, weight: edge::Priority) -> edge::Result<edge::Outcome> {
         self.wait().await;
         self.memory.commit(txn, weight).await
     }
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -22,8 +22,8 @@
 use platform::edge;
 use platform::edge::Compare;
 use platform::edge::Outcome;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use serde::Deserialize;
 use serde::Serialize;
@@ -194,7 +194,7 @@
             }],
             writes: vec![Write::Delete(key)],
         };
-        setup.platform.commit(&txn, Weight::Claim).await?;
+        setup.platform.commit(&txn, Priority::Claim).await?;
         log::info!(
             "{} shard={} epoch={epoch}",
             Event::ShardReleased,
@@ -234,7 +234,7 @@
             lease: Some(lease),
         }],
     };
-    match setup.platform.commit(&txn, Weight::Claim).await {
+    match setup.platform.commit(&txn, Priority::Claim).await {
         Ok(Outcome::Applied(_)) => Ok(()),
         Ok(Outcome::Refused(_)) => Err(Fault::Raced),
         // The write may still take effect later. The record then belongs to this VM, which tries
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use platform::edge::Weight;
+use platform::edge::Priority;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
@@ -71,7 +71,7 @@
     /// Whether the first batch had been sent before its current send.
     sent_before: bool,
     /// The weight at which the next batch waits for the rate budget.
-    pacing: Option<Weight>,
+    pacing: Option<Priority>,
     /// Whether the next batch has finished waiting for the rate budget.
     paced: bool,
     snapshots: snapshot::Progress,
--- a/crates/journal/src/log/task/batch.rs
+++ b/crates/journal/src/log/task/batch.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use platform::edge::Weight;
+use platform::edge::Priority;
 use wire::clock::Millis;
 
 use super::MAX_DEFERRAL;
@@ -95,9 +95,9 @@
             return None;
         }
         let weight = if self.arrivals.iter().all(|arrival| arrival.deferrable) {
-            Weight::Background
+            Priority::Background
         } else {
-            Weight::Commit
+            Priority::Commit
         };
         if pace.is_some() && self.pacing == Some(weight) {
             return pace;
@@ -105,12 +105,12 @@
         self.pacing = Some(weight);
         let platform = Arc::clone(&self.setup.platform);
         Some(Box::pin(async move {
-            let paced = platform.pace(weight);
+            let paced = platform.wait_for_budget(weight);
             if tokio::time::timeout(MAX_DEFERRAL.as_duration(), paced)
                 .await
                 .is_err()
             {
-                platform.pace(Weight::Commit).await;
+                platform.wait_for_budget(Priority::Commit).await;
             }
         }))
     }
--- a/crates/journal/src/log/write.rs
+++ b/crates/journal/src/log/write.rs
@@ -15,8 +15,8 @@
 use platform::edge::Fault;
 use platform::edge::Outcome;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use wire::id;
 
@@ -58,7 +58,7 @@
     write: &KeyWrite,
 ) -> WriteOutcome {
     let key = key::journal(shard, write.seq);
-    match platform.commit(&txn(shard, write), Weight::Commit).await {
+    match platform.commit(&txn(shard, write), Priority::Commit).await {
         Ok(Outcome::Applied(revision)) => WriteOutcome::Written(revision),
         Ok(Outcome::Refused(present)) => match present.iter().find(|entry| entry.key == key) {
             Some(entry) if entry.value != write.value => WriteOutcome::Taken,
--- a/crates/journal/src/snapshot.rs
+++ b/crates/journal/src/snapshot.rs
@@ -24,9 +24,9 @@
 use platform::edge::Fault;
 use platform::edge::MAX_VALUE;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Result;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use serde::Deserialize;
 use serde::Serialize;
@@ -252,7 +252,7 @@
         writes,
     };
     for tries in 1..=MAX_TRIES {
-        let pause = match platform.commit(&txn, Weight::Background).await {
+        let pause = match platform.commit(&txn, Priority::Background).await {
             Ok(_) => return true,
             Err(Fault::Limited(pause)) => pause,
             Err(_) => backoff(tries, seed),
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -453,7 +453,7 @@
         entry
     }
 
-    async fn commit(&self, txn: &edge::Txn, weight: edge::Weight) -> edge::Result<edge::Outcome> {
+    async fn commit(&self, txn: &edge::Txn, weight: edge::Priority) -> edge::Result<edge::Outcome> {
         self.reach().await?;
         let outcome = self.memory.commit(txn, weight).await;
         wait_while_paused(&self.mode).await;
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -19,8 +19,8 @@
 use platform::client::Client;
 use platform::edge::Entry;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::limit::Rate;
 use platform::memory::Memory;
@@ -123,7 +123,7 @@
 async fn write(memory: &Memory, writes: Vec<Write>) {
     let compares = Vec::new();
     let txn = Txn { compares, writes };
-    memory.commit(&txn, Weight::Background).await.unwrap();
+    memory.commit(&txn, Priority::Background).await.unwrap();
 }
 
 async fn list(memory: &Memory, prefix: &str) -> Vec<Entry> {
--- a/crates/node/examples/slopes/parent.rs
+++ b/crates/node/examples/slopes/parent.rs
@@ -13,8 +13,8 @@
 use std::time::Instant;
 
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write as Put;
 use platform::etcd::Etcd;
 use serde_json::Value;
@@ -187,7 +187,7 @@
         writes: vec![put],
     };
     let etcd = Etcd::new(vec![platform.address()], Millis::new(2_000));
-    etcd.commit(&txn, Weight::Change).await.expect("written");
+    etcd.commit(&txn, Priority::Change).await.expect("written");
 }
 
 struct Vm {
--- a/crates/node/src/controllers/config/change.rs
+++ b/crates/node/src/controllers/config/change.rs
@@ -13,8 +13,8 @@
 use platform::edge::Compare;
 use platform::edge::Entry;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use settings::config::Config;
 use wire::clock::Clock;
@@ -233,7 +233,7 @@
                 change.on_read(read, clock.now())
             }
             Step::Commit(txn) => {
-                let outcome = platform.commit(&txn, Weight::Change).await;
+                let outcome = platform.commit(&txn, Priority::Change).await;
                 change.on_commit(outcome, clock.now())
             }
             Step::Done(outcome) => return outcome,
--- a/crates/node/src/controllers/config/change/tests.rs
+++ b/crates/node/src/controllers/config/change/tests.rs
@@ -39,7 +39,7 @@
         panic!("no write");
     };
     memory.play(Play::LoseAnswer);
-    let lost = memory.commit(&txn, Weight::Change).await;
+    let lost = memory.commit(&txn, Priority::Change).await;
     assert_eq!(change.on_commit(lost, Millis::ZERO), Step::Read);
     change
 }
@@ -132,7 +132,7 @@
         panic!("no write");
     };
     make(&memory, 12, "theirs").await;
-    let refused = memory.commit(&txn, Weight::Change).await;
+    let refused = memory.commit(&txn, Priority::Change).await;
     let step = change.on_commit(refused, Millis::ZERO);
     let Some(accepted) = accepted else {
         assert_eq!(step, Step::Done(Outcome::Conflict { revision: 2 }));
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -8,8 +8,8 @@
 use journal::log::Setup;
 use platform::edge;
 use platform::edge::Compare;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -323,7 +323,7 @@
         }],
         writes: vec![Write::Delete(key)],
     };
-    core.platform.commit(&txn, Weight::Claim).await.is_ok()
+    core.platform.commit(&txn, Priority::Claim).await.is_ok()
 }
 
 fn shards(core: &Core) -> Vec<id::Shard> {
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -20,7 +20,7 @@
 use node::controllers::config::edit::Subject;
 use platform::edge::Entry;
 use platform::edge::Platform;
-use platform::edge::Weight;
+use platform::edge::Priority;
 use platform::memory::Memory;
 use platform::memory::Play;
 use proptest::prelude::*;
@@ -196,7 +196,7 @@
                 self.open[at].change.on_read(read, now)
             }
             Step::Commit(txn) => {
-                let commit = self.memory.commit(&txn, Weight::Change);
+                let commit = self.memory.commit(&txn, Priority::Change);
                 let outcome = self.runtime.block_on(commit);
                 self.open[at].change.on_commit(outcome, now)
             }
--- a/crates/node/tests/request/fleet.rs
+++ b/crates/node/tests/request/fleet.rs
@@ -7,8 +7,8 @@
 use node::start::Handle;
 use node::view::View;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::memory::Memory;
 use serde_json::Value;
@@ -82,7 +82,7 @@
             compares: Vec::new(),
             writes: vec![put],
         };
-        platform.commit(&txn, Weight::Change).await.unwrap();
+        platform.commit(&txn, Priority::Change).await.unwrap();
         let settings = settings::vm::parse(&format!("{SETTINGS}{}", plan.limits)).unwrap();
         let memory = Arc::new(platform.clone());
         let node = start::start_on(settings, Clock::System, memory)
--- a/crates/node/tests/request/lost.rs
+++ b/crates/node/tests/request/lost.rs
@@ -13,8 +13,8 @@
 use journal::log::Setup;
 use platform::edge::Lease;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::memory::Memory;
 use serde_json::json;
@@ -59,7 +59,7 @@
             compares: Vec::new(),
             writes: vec![Write::Delete(key::owner(&shard))],
         };
-        platform.commit(&txn, Weight::Claim).await.unwrap();
+        platform.commit(&txn, Priority::Claim).await.unwrap();
         let setup = Setup {
             platform: Arc::new(platform.clone()),
             peers: Arc::new(Nobody),
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -24,8 +24,8 @@
 use platform::edge::Compare;
 use platform::edge::Fault;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::memory::Memory;
 use rand::SeedableRng;
@@ -277,7 +277,7 @@
                 compares: vec![compare(&key, base)],
                 writes: vec![put(&key, mine, self.vms[at].keeping.lease())],
             };
-            let _again_at_next_append = self.reach(at, self.memory.commit(&txn, Weight::Claim));
+            let _again_at_next_append = self.reach(at, self.memory.commit(&txn, Priority::Claim));
         }
     }
 
@@ -309,7 +309,7 @@
                         compares: vec![compare(&key, entry.revision)],
                         writes: vec![Write::Delete(key)],
                     };
-                    self.reach(at, self.memory.commit(&txn, Weight::Claim))
+                    self.reach(at, self.memory.commit(&txn, Priority::Claim))
                         .is_ok()
                 }
                 Ok(_) => true,
@@ -408,7 +408,7 @@
                 put(&counter, &epoch.to_le_bytes(), None),
             ],
         };
-        match self.reach(at, self.memory.commit(&txn, Weight::Claim))? {
+        match self.reach(at, self.memory.commit(&txn, Priority::Claim))? {
             edge::Outcome::Applied(_) => Ok(epoch),
             edge::Outcome::Refused(_) => Err(held()),
         }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -15,9 +15,9 @@
 use crate::edge::Machine;
 use crate::edge::Outcome;
 use crate::edge::Platform;
+use crate::edge::Priority;
 use crate::edge::Result;
 use crate::edge::Txn;
-use crate::edge::Weight;
 use crate::limit::Budget;
 use crate::limit::Rate;
 use crate::limit::Verdict;
@@ -68,8 +68,8 @@
         self.pass(Budget::read).await
     }
 
-    async fn pass_write(&self, weight: Weight) -> Result<()> {
-        self.pass(move |budget, now| budget.write(weight, now))
+    async fn pass_write(&self, priority: Priority) -> Result<()> {
+        self.pass(move |budget, now| budget.write(priority, now))
             .await
     }
 }
@@ -86,16 +86,16 @@
         self.inner.read(key).await
     }
 
-    async fn commit(&self, txn: &Txn, weight: Weight) -> Result<Outcome> {
-        self.pass_write(weight).await?;
-        self.inner.commit(txn, weight).await
+    async fn commit(&self, txn: &Txn, priority: Priority) -> Result<Outcome> {
+        self.pass_write(priority).await?;
+        self.inner.commit(txn, priority).await
     }
 
-    async fn pace(&self, weight: Weight) {
+    async fn wait_for_budget(&self, priority: Priority) {
         loop {
             let verdict = {
                 let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-                budget.probe(weight, self.clock.now())
+                budget.probe(priority, self.clock.now())
             };
             let Verdict::Wait(span) = verdict else {
                 return;
@@ -105,17 +105,17 @@
     }
 
     async fn grant(&self, ttl: Millis) -> Result<Lease> {
-        self.pass_write(Weight::Claim).await?;
+        self.pass_write(Priority::Claim).await?;
         self.inner.grant(ttl).await
     }
 
     async fn renew(&self, lease: Lease) -> Result<bool> {
-        self.pass_write(Weight::Claim).await?;
+        self.pass_write(Priority::Claim).await?;
         self.inner.renew(lease).await
     }
 
     async fn revoke(&self, lease: Lease) -> Result<()> {
-        self.pass_write(Weight::Claim).await?;
+        self.pass_write(Priority::Claim).await?;
         self.inner.revoke(lease).await
     }
 
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -34,7 +34,7 @@
 
 /// How much a call matters when the rate budget is short; the first goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Weight {
+pub enum Priority {
     /// Intents of calls that may run at most once, and commits that a caller waits for.
     Commit,
     /// Changes of the configuration.
@@ -153,11 +153,11 @@
     async fn read(&self, key: &str) -> Result<Option<Entry>>;
 
     /// Runs a transaction.
-    async fn commit(&self, txn: &Txn, weight: Weight) -> Result<Outcome>;
+    async fn commit(&self, txn: &Txn, priority: Priority) -> Result<Outcome>;
 
-    /// Waits until a write of this weight fits the VM's rate budget, and takes nothing of it. Who
+    /// Waits until a write of this priority fits the VM's rate budget, and takes nothing of it. Who
     /// gathers work for one write gathers it until then.
-    async fn pace(&self, _weight: Weight) {}
+    async fn wait_for_budget(&self, _weight: Priority) {}
 
     /// Makes a lease that ends after `ttl` without a renewal.
     async fn grant(&self, ttl: Millis) -> Result<Lease>;
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -44,9 +44,9 @@
 use crate::edge::Machine;
 use crate::edge::Outcome;
 use crate::edge::Platform;
+use crate::edge::Priority;
 use crate::edge::Result;
 use crate::edge::Txn;
-use crate::edge::Weight;
 use crate::edge::Write;
 use crate::etcd::format::Blob;
 
@@ -325,7 +325,7 @@
         ranged.kvs.first().map(entry).transpose()
     }
 
-    async fn commit(&self, txn: &Txn, _weight: Weight) -> Result<Outcome> {
+    async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
         let txn = transaction(txn)?;
         let ended: format::Ended = self.post("/v3/kv/txn", &txn, Effect::Write).await?;
         outcome(ended)
--- a/crates/platform/src/limit.rs
+++ b/crates/platform/src/limit.rs
@@ -17,7 +17,7 @@
 
 use wire::clock::Millis;
 
-use crate::edge::Weight;
+use crate::edge::Priority;
 
 /// Thousandths of a call; a rate of n a second refills n of them in each millisecond.
 const CALL: u64 = 1000;
@@ -26,11 +26,11 @@
 /// The smallest bucket in calls: below it the floors would leave no room for a whole call.
 const MIN_DEPTH: u64 = 8;
 /// What stays in the bucket for more important work, in eighths of its depth.
-const FLOORS: [(Weight, u64); 4] = [
-    (Weight::Commit, 0),
-    (Weight::Change, 1),
-    (Weight::Claim, 2),
-    (Weight::Background, 4),
+const FLOORS: [(Priority, u64); 4] = [
+    (Priority::Commit, 0),
+    (Priority::Change, 1),
+    (Priority::Claim, 2),
+    (Priority::Background, 4),
 ];
 
 /// What a VM may send in a second.
@@ -78,23 +78,23 @@
     }
 
     /// Tells whether a write fits now, and takes nothing.
-    pub fn probe(&mut self, weight: Weight, now: Millis) -> Verdict {
-        self.writes.probe(self.floor(weight), now)
+    pub fn probe(&mut self, priority: Priority, now: Millis) -> Verdict {
+        self.writes.probe(self.floor(priority), now)
     }
 
-    fn floor(&self, weight: Weight) -> u64 {
+    fn floor(&self, priority: Priority) -> u64 {
         let eighths = FLOORS
             .iter()
-            .find(|(other, _)| *other == weight)
+            .find(|(other, _)| *other == priority)
             .map_or(0, |(_, floor)| *floor);
         self.writes.depth * eighths / 8
     }
 
     /// Decides on a write.
-    pub fn write(&mut self, weight: Weight, now: Millis) -> Verdict {
-        let floor = self.floor(weight);
+    pub fn write(&mut self, priority: Priority, now: Millis) -> Verdict {
+        let floor = self.floor(priority);
         let common = self.writes.take(floor, now);
-        let (Verdict::Wait(span), Weight::Claim) = (common, weight) else {
+        let (Verdict::Wait(span), Priority::Claim) = (common, priority) else {
             return common;
         };
         match self.claims.take(0, now) {
--- a/crates/platform/src/limit/tests.rs
+++ b/crates/platform/src/limit/tests.rs
@@ -8,21 +8,21 @@
     writes: 30,
 };
 
-fn drain(budget: &mut Budget, weight: Weight, now: Millis) -> u32 {
+fn drain(budget: &mut Budget, priority: Priority, now: Millis) -> u32 {
     let mut sent = 0;
-    while budget.write(weight, now) == Verdict::Go {
+    while budget.write(priority, now) == Verdict::Go {
         sent += 1;
     }
     sent
 }
 
 #[rstest]
-#[case::commit(Weight::Commit, 27)]
-#[case::change(Weight::Change, 23)]
-#[case::background(Weight::Background, 13)]
-fn a_burst_is_bounded_by_the_weight(#[case] weight: Weight, #[case] expected: u32) {
+#[case::commit(Priority::Commit, 27)]
+#[case::change(Priority::Change, 23)]
+#[case::background(Priority::Background, 13)]
+fn a_burst_is_bounded_by_the_weight(#[case] priority: Priority, #[case] expected: u32) {
     let mut budget = Budget::new(RATE, START);
-    assert_eq!(drain(&mut budget, weight, START), expected);
+    assert_eq!(drain(&mut budget, priority, START), expected);
 }
 
 // Snapshots use up what they may. A commit that comes at the same moment is sent at once, as the
@@ -30,12 +30,12 @@
 #[test]
 fn background_work_leaves_room_for_commits() {
     let mut budget = Budget::new(RATE, START);
-    drain(&mut budget, Weight::Background, START);
+    drain(&mut budget, Priority::Background, START);
     assert!(matches!(
-        budget.write(Weight::Background, START),
+        budget.write(Priority::Background, START),
         Verdict::Wait(_)
     ));
-    assert_eq!(budget.write(Weight::Commit, START), Verdict::Go);
+    assert_eq!(budget.write(Priority::Commit, START), Verdict::Go);
 }
 
 // Commits come without end and take every free write. A lease renewal is still sent within a
@@ -46,8 +46,8 @@
     let mut renewed = 0;
     for step in 0..10_000 {
         let now = START.plus(Millis::new(step));
-        drain(&mut budget, Weight::Commit, now);
-        if step % 1000 == 0 && budget.write(Weight::Claim, now) == Verdict::Go {
+        drain(&mut budget, Priority::Commit, now);
+        if step % 1000 == 0 && budget.write(Priority::Claim, now) == Verdict::Go {
             renewed += 1;
         }
     }
@@ -60,13 +60,13 @@
     let mut sent = 0;
     for step in 0..20_000 {
         let now = START.plus(Millis::new(step));
-        for weight in [
-            Weight::Background,
-            Weight::Claim,
-            Weight::Change,
-            Weight::Commit,
+        for priority in [
+            Priority::Background,
+            Priority::Claim,
+            Priority::Change,
+            Priority::Commit,
         ] {
-            sent += drain(&mut budget, weight, now);
+            sent += drain(&mut budget, priority, now);
         }
     }
     let burst = 27 + 8;
@@ -77,25 +77,25 @@
 #[test]
 fn a_wait_is_long_enough() {
     let mut budget = Budget::new(RATE, START);
-    drain(&mut budget, Weight::Background, START);
-    let Verdict::Wait(span) = budget.write(Weight::Background, START) else {
+    drain(&mut budget, Priority::Background, START);
+    let Verdict::Wait(span) = budget.write(Priority::Background, START) else {
         panic!("not used up")
     };
     let later = START.plus(span);
-    assert_eq!(budget.write(Weight::Background, later), Verdict::Go);
+    assert_eq!(budget.write(Priority::Background, later), Verdict::Go);
 }
 
 #[test]
 fn a_clock_that_steps_back_gives_nothing() {
     let mut budget = Budget::new(RATE, START);
-    drain(&mut budget, Weight::Commit, START);
+    drain(&mut budget, Priority::Commit, START);
     let earlier = Millis::new(START.as_u64() - 5_000);
     assert!(matches!(
-        budget.write(Weight::Commit, earlier),
+        budget.write(Priority::Commit, earlier),
         Verdict::Wait(_)
     ));
     assert!(matches!(
-        budget.write(Weight::Commit, START),
+        budget.write(Priority::Commit, START),
         Verdict::Wait(_)
     ));
 }
@@ -106,12 +106,12 @@
         reads: 1,
         writes: 1,
     };
-    for weight in [
-        Weight::Commit,
-        Weight::Change,
-        Weight::Claim,
-        Weight::Background,
+    for priority in [
+        Priority::Commit,
+        Priority::Change,
+        Priority::Claim,
+        Priority::Background,
     ] {
-        assert_eq!(Budget::new(rate, START).write(weight, START), Verdict::Go);
+        assert_eq!(Budget::new(rate, START).write(priority, START), Verdict::Go);
     }
 }
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -18,9 +18,9 @@
 use crate::edge::Machine;
 use crate::edge::Outcome;
 use crate::edge::Platform;
+use crate::edge::Priority;
 use crate::edge::Result;
 use crate::edge::Txn;
-use crate::edge::Weight;
 use crate::edge::Write;
 
 /// How many undelivered changes a watch holds before it breaks off.
@@ -228,7 +228,7 @@
         Ok(state.find(key).ok().map(|at| state.entries[at].0.clone()))
     }
 
-    async fn commit(&self, txn: &Txn, _weight: Weight) -> Result<Outcome> {
+    async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
         let mut state = self.reach()?;
         state.writes += 1;
         let too_long =
--- a/crates/platform/src/memory/tests.rs
+++ b/crates/platform/src/memory/tests.rs
@@ -19,7 +19,7 @@
 async fn a_lost_answer_leaves_its_write() {
     let memory = Memory::default();
     memory.play(Play::LoseAnswer);
-    let first = memory.commit(&create("a"), Weight::Commit).await;
+    let first = memory.commit(&create("a"), Priority::Commit).await;
     assert!(matches!(first, Err(Fault::Unknown(_))));
     assert!(memory.read("a").await.unwrap().is_some());
 }
@@ -28,9 +28,9 @@
 async fn a_delayed_write_lands_later_only_where_its_conditions_hold() {
     let memory = Memory::default();
     memory.play(Play::Delay);
-    assert!(memory.commit(&create("a"), Weight::Commit).await.is_err());
+    assert!(memory.commit(&create("a"), Priority::Commit).await.is_err());
     assert!(memory.read("a").await.unwrap().is_none());
-    let second = memory.commit(&create("a"), Weight::Commit).await.unwrap();
+    let second = memory.commit(&create("a"), Priority::Commit).await.unwrap();
     assert!(matches!(second, Outcome::Applied(_)));
     let before = memory.read("a").await.unwrap();
     memory.deliver();
@@ -49,10 +49,10 @@
     };
     *held = Some(lease);
     memory.play(Play::Delay);
-    assert!(memory.commit(&txn, Weight::Claim).await.is_err());
+    assert!(memory.commit(&txn, Priority::Claim).await.is_err());
     memory.revoke(lease).await.unwrap();
     memory.deliver();
     assert_eq!(memory.read("a").await, Ok(None));
-    let late = memory.commit(&txn, Weight::Claim).await;
+    let late = memory.commit(&txn, Priority::Claim).await;
     assert!(matches!(late, Err(Fault::Invalid(_))));
 }
--- a/crates/relay/src/register.rs
+++ b/crates/relay/src/register.rs
@@ -6,8 +6,8 @@
 
 use platform::edge::Lease;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use tokio::time::Instant;
 use tokio::time::sleep;
@@ -67,6 +67,6 @@
         compares: Vec::new(),
         writes: vec![put],
     };
-    node.kv.commit(&txn, Weight::Claim).await?;
+    node.kv.commit(&txn, Priority::Claim).await?;
     Ok(lease)
 }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -16,8 +16,8 @@
 use link::listen::Door;
 use platform::edge::Change;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use policy::stop::Stop;
 use rand::RngExt;
@@ -251,7 +251,7 @@
         }],
     };
     loop {
-        match kv.commit(&txn, Weight::Change).await {
+        match kv.commit(&txn, Priority::Change).await {
             Ok(_) => return,
             Err(fault) => {
                 log::warn!(
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -16,8 +16,8 @@
 use platform::edge::Fault;
 use platform::edge::Outcome;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use tokio::sync::watch;
 use wire::clock::Clock;
@@ -232,7 +232,7 @@
                 lease: None,
             }],
         };
-        match self.platform.commit(&txn, Weight::Claim).await {
+        match self.platform.commit(&txn, Priority::Claim).await {
             Ok(Outcome::Applied(revision)) => {
                 state.revision = revision;
                 self.adopt(next).await;
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -14,9 +14,9 @@
 use platform::edge::Machine;
 use platform::edge::Outcome;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Standing;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::etcd::Etcd;
 use platform::memory::Memory;
@@ -152,7 +152,7 @@
 }
 
 async fn apply(platform: &dyn Platform, txn: &Txn) -> u64 {
-    match platform.commit(txn, Weight::Commit).await.unwrap() {
+    match platform.commit(txn, Priority::Commit).await.unwrap() {
         Outcome::Applied(revision) => revision,
         Outcome::Refused(present) => panic!("refused: {present:?}"),
     }
@@ -175,7 +175,7 @@
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     let revision = apply(platform, &create("a", b"1")).await;
-    let second = platform.commit(&create("a", b"2"), Weight::Commit).await;
+    let second = platform.commit(&create("a", b"2"), Priority::Commit).await;
     let Outcome::Refused(present) = second.unwrap() else {
         panic!("created twice")
     };
@@ -200,7 +200,7 @@
         compares: vec![at("a", a), at("b", b)],
         writes: vec![put("a", b"2", None), Write::Delete("b".to_owned())],
     };
-    let stale = platform.commit(&swap(first, first), Weight::Change).await;
+    let stale = platform.commit(&swap(first, first), Priority::Change).await;
     let Outcome::Refused(present) = stale.unwrap() else {
         panic!("a stale swap took effect")
     };
@@ -240,11 +240,15 @@
     let platform = bench.platform();
     apply(platform, &create("z", b"0")).await;
     bench.play(Play::LoseAnswer).await;
-    let lost = platform.commit(&create("a", b"mine"), Weight::Commit).await;
+    let lost = platform
+        .commit(&create("a", b"mine"), Priority::Commit)
+        .await;
     assert!(matches!(lost, Err(Fault::Unknown(_))), "{lost:?}");
     let found = platform.read("a").await.unwrap().unwrap();
     assert_eq!(found.value, b"mine");
-    let again = platform.commit(&create("a", b"mine"), Weight::Commit).await;
+    let again = platform
+        .commit(&create("a", b"mine"), Priority::Commit)
+        .await;
     assert_eq!(again.unwrap(), Outcome::Refused(vec![found]));
 }
 
@@ -258,7 +262,9 @@
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     bench.play(Play::LoseWrite).await;
-    let lost = platform.commit(&create("a", b"mine"), Weight::Commit).await;
+    let lost = platform
+        .commit(&create("a", b"mine"), Priority::Commit)
+        .await;
     assert!(matches!(lost, Err(Fault::Unknown(_))), "{lost:?}");
     assert_eq!(platform.read("a").await.unwrap(), None);
     apply(platform, &create("a", b"mine")).await;
@@ -273,7 +279,9 @@
     let platform = bench.platform();
     for key in ["a", "b"] {
         bench.play(Play::Delay).await;
-        let late = platform.commit(&create(key, b"late"), Weight::Commit).await;
+        let late = platform
+            .commit(&create(key, b"late"), Priority::Commit)
+            .await;
         assert!(matches!(late, Err(Fault::Unknown(_))), "{late:?}");
         assert_eq!(platform.read(key).await.unwrap(), None);
     }
@@ -291,7 +299,7 @@
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     bench.set_down(true).await;
-    let write = platform.commit(&create("a", b"1"), Weight::Commit).await;
+    let write = platform.commit(&create("a", b"1"), Priority::Commit).await;
     assert!(matches!(write, Err(Fault::Down(_))), "{write:?}");
     let read = platform.read("a").await;
     assert!(matches!(read, Err(Fault::Down(_))), "{read:?}");
@@ -416,7 +424,7 @@
     let fits = platform.read("fits").await.unwrap().unwrap();
     assert_eq!(fits.value.len(), MAX_VALUE);
     let over = create("over", &vec![7; MAX_VALUE + 1]);
-    let refused = platform.commit(&over, Weight::Commit).await;
+    let refused = platform.commit(&over, Priority::Commit).await;
     assert!(matches!(refused, Err(Fault::Invalid(_))), "{refused:?}");
     assert_eq!(platform.read("over").await.unwrap(), None);
 }
--- a/crates/standin/tests/gateway.rs
+++ b/crates/standin/tests/gateway.rs
@@ -6,9 +6,9 @@
 use platform::edge::Fault;
 use platform::edge::Outcome;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Result;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::etcd::Etcd;
 use serde_json::json;
@@ -45,7 +45,7 @@
             lease: None,
         }],
     };
-    etcd.commit(&txn, Weight::Commit).await
+    etcd.commit(&txn, Priority::Commit).await
 }
 
 #[tokio::test]
