--- a/crates/journal/tests/fuzz/main.rs
+++ b/crates/journal/tests/fuzz/main.rs
@@ -44,7 +44,7 @@
     /// The owner updates the copy holders to the current VMs.
     ChangeHolders(usize),
     /// The platform injects a fault into a write.
-    InjectFault(platform::memory::Play),
+    InjectFault(platform::memory::Injection),
     /// The platform's delayed writes take effect.
     DeliverWrites,
     /// The platform goes down or comes back for all VMs.
@@ -77,12 +77,12 @@
     }
 
     fn transitions((): &()) -> BoxedStrategy<Step> {
-        use platform::memory::Play;
+        use platform::memory::Injection;
         let vm = 0..VMS;
         let fault = prop_oneof![
-            Just(Play::LoseAnswer),
-            Just(Play::LoseWrite),
-            Just(Play::Delay)
+            Just(Injection::LoseAnswer),
+            Just(Injection::LoseWrite),
+            Just(Injection::Delay)
         ];
         prop_oneof![
             10 => vm.clone().prop_map(Step::Claim),
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -157,7 +157,7 @@
             Step::ResolveCall(pick, outcome) => self.resolve_call(pick, outcome),
             Step::Snapshot(pick) => self.snapshot(self.owner_vm(pick)),
             Step::ChangeHolders(pick) => self.change_holders(self.owner_vm(pick)),
-            Step::InjectFault(fault) => self.memory.play(fault),
+            Step::InjectFault(fault) => self.memory.inject(fault),
             Step::DeliverWrites => self.memory.deliver(),
             Step::SetDown(down) => self.memory.set_down(down),
             Step::SetCutOff(vm, cut_off) => self.vms[vm].cut_off.store(cut_off, Ordering::SeqCst),
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -23,8 +23,8 @@
 use platform::edge::Txn;
 use platform::edge::Write;
 use platform::limit::Rate;
+use platform::memory::Injection;
 use platform::memory::Memory;
-use platform::memory::Play;
 use rstest::rstest;
 use wire::clock::Clock;
 use wire::clock::Millis;
@@ -231,16 +231,16 @@
 }
 
 #[rstest]
-#[case::lost_answer(Play::LoseAnswer)]
-#[case::lost_write(Play::LoseWrite)]
-#[case::delayed(Play::Delay)]
+#[case::lost_answer(Injection::LoseAnswer)]
+#[case::lost_write(Injection::LoseWrite)]
+#[case::delayed(Injection::Delay)]
 #[tokio::test(start_paused = true)]
-async fn an_append_of_unknown_outcome_is_written_once(#[case] play: Play) {
+async fn an_append_of_unknown_outcome_is_written_once(#[case] play: Injection) {
     // The platform performs the write, loses it, or performs it later, and the response never
     // comes. The owner sends the same bytes until the key holds them.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    memory.play(play);
+    memory.inject(play);
     append_program(&mut opened, "p").await;
     memory.deliver();
     assert_eq!(list(&memory, &key::journal_prefix(&shard())).await.len(), 2);
@@ -456,7 +456,7 @@
     let mut opened = open(&memory, "a").await.unwrap();
     append_program(&mut opened, "p").await;
     let before = memory.writes();
-    memory.play(Play::LoseWrite);
+    memory.inject(Injection::LoseWrite);
     let append = opened.log.append(vec![intent("p")]);
     while memory.writes() == before {
         tokio::task::yield_now().await;
@@ -499,7 +499,7 @@
     let mut opened = open(&memory, "a").await.unwrap();
     append_program(&mut opened, "p").await;
     let before = memory.writes();
-    memory.play(Play::LoseAnswer);
+    memory.inject(Injection::LoseAnswer);
     let append = opened.log.append(vec![intent("p")]);
     while memory.writes() == before {
         tokio::task::yield_now().await;
--- a/crates/node/src/controllers/config/change/tests.rs
+++ b/crates/node/src/controllers/config/change/tests.rs
@@ -1,5 +1,5 @@
+use platform::memory::Injection;
 use platform::memory::Memory;
-use platform::memory::Play;
 use rstest::rstest;
 use wire::id;
 
@@ -38,7 +38,7 @@
     let Step::Commit(txn) = change.on_read(Ok(None), Millis::ZERO) else {
         panic!("no write");
     };
-    memory.play(Play::LoseAnswer);
+    memory.inject(Injection::LoseAnswer);
     let lost = memory.commit(&txn, Priority::Change).await;
     assert_eq!(change.on_commit(lost, Millis::ZERO), Step::Read);
     change
@@ -48,13 +48,13 @@
 // shows which, and the same bytes are sent again where the key hasn't moved. The operator is told
 // "accepted" once, and the change is there once.
 #[rstest]
-#[case(Play::LoseAnswer)]
-#[case(Play::LoseWrite)]
-#[case(Play::Delay)]
+#[case(Injection::LoseAnswer)]
+#[case(Injection::LoseWrite)]
+#[case(Injection::Delay)]
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back(#[case] play: Play) {
+async fn a_lost_answer_is_settled_by_reading_back(#[case] play: Injection) {
     let memory = Memory::default();
-    memory.play(play);
+    memory.inject(play);
     let outcome = make(&memory, 11, "high").await;
     assert_eq!(accepted_at(&outcome), 1);
     memory.deliver();
--- a/crates/node/tests/claims_fuzz.rs
+++ b/crates/node/tests/claims_fuzz.rs
@@ -13,7 +13,7 @@
 use fleet::TICK;
 use node::controllers::claims;
 use node::controllers::members;
-use platform::memory::Play;
+use platform::memory::Injection;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
@@ -49,7 +49,7 @@
     Cut(usize, bool),
     Alone(usize, bool),
     Outage(bool),
-    Lose(Play),
+    Lose(Injection),
     Deliver,
 }
 
@@ -67,9 +67,9 @@
     fn transitions((): &()) -> BoxedStrategy<Move> {
         let vm = 0..CENTRES * VMS;
         let play = prop_oneof![
-            Just(Play::LoseAnswer),
-            Just(Play::LoseWrite),
-            Just(Play::Delay),
+            Just(Injection::LoseAnswer),
+            Just(Injection::LoseWrite),
+            Just(Injection::Delay),
         ];
         prop_oneof![
             12 => (1..40_u32).prop_map(Move::Run),
@@ -122,7 +122,7 @@
         }
         Move::Outage(down) => fleet.memory.set_down(down),
         Move::Lose(play) => {
-            fleet.memory.play(play);
+            fleet.memory.inject(play);
             fleet.vms.iter_mut().for_each(|vm| vm.hindered = true);
         }
         Move::Deliver => fleet.memory.deliver(),
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -21,8 +21,8 @@
 use platform::edge::Entry;
 use platform::edge::Platform;
 use platform::edge::Priority;
+use platform::memory::Injection;
 use platform::memory::Memory;
-use platform::memory::Play;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
@@ -43,7 +43,7 @@
 enum Move {
     Begin { node: usize, named: bool },
     Advance { change: usize },
-    Lose(Play),
+    Lose(Injection),
     Outage(bool),
     Deliver,
     Wait,
@@ -69,9 +69,9 @@
     fn transitions((): &()) -> BoxedStrategy<Move> {
         let node = 0..NODES;
         let play = prop_oneof![
-            Just(Play::LoseAnswer),
-            Just(Play::LoseWrite),
-            Just(Play::Delay),
+            Just(Injection::LoseAnswer),
+            Just(Injection::LoseWrite),
+            Just(Injection::Delay),
         ];
         prop_oneof![
             4 => (node.clone(), any::<bool>()).prop_map(|(node, named)| Move::Begin { node, named }),
@@ -380,7 +380,7 @@
         match action {
             Move::Begin { node, named } => fleet.begin(node, named),
             Move::Advance { change } => fleet.advance(change),
-            Move::Lose(play) => fleet.memory.play(play),
+            Move::Lose(play) => fleet.memory.inject(play),
             Move::Outage(down) => {
                 fleet.down = down;
                 fleet.memory.set_down(down);
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -28,7 +28,7 @@
 
 /// A fault to play on the next write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Play {
+pub enum Injection {
     /// The write takes effect and its answer is lost.
     LoseAnswer,
     /// The write is lost before it takes effect, and the caller can't tell.
@@ -52,7 +52,7 @@
     watches: Vec<(String, mpsc::Sender<Change>)>,
     machines: Vec<Machine>,
     down: bool,
-    plays: Vec<Play>,
+    injections: Vec<Injection>,
     delayed: Vec<Txn>,
     writes: u64,
 }
@@ -73,8 +73,8 @@
     }
 
     /// Plays a fault on the next write that nothing was planned for yet.
-    pub fn play(&self, play: Play) {
-        self.lock().plays.insert(0, play);
+    pub fn inject(&self, injection: Injection) {
+        self.lock().injections.insert(0, injection);
     }
 
     /// Lets every delayed write take effect or be refused, as its conditions say.
@@ -240,14 +240,14 @@
         if !state.holds_leases(txn) {
             return Err(Fault::Invalid("a lease has ended".to_owned()));
         }
-        match state.plays.pop() {
+        match state.injections.pop() {
             None => Ok(state.apply(txn)),
-            Some(Play::LoseWrite) => Err(lost()),
-            Some(Play::LoseAnswer) => {
+            Some(Injection::LoseWrite) => Err(lost()),
+            Some(Injection::LoseAnswer) => {
                 state.apply(txn);
                 Err(lost())
             }
-            Some(Play::Delay) => {
+            Some(Injection::Delay) => {
                 state.delayed.push(txn.clone());
                 Err(lost())
             }
--- a/crates/platform/src/memory/tests.rs
+++ b/crates/platform/src/memory/tests.rs
@@ -18,7 +18,7 @@
 #[tokio::test]
 async fn a_lost_answer_leaves_its_write() {
     let memory = Memory::default();
-    memory.play(Play::LoseAnswer);
+    memory.inject(Injection::LoseAnswer);
     let first = memory.commit(&create("a"), Priority::Commit).await;
     assert!(matches!(first, Err(Fault::Unknown(_))));
     assert!(memory.read("a").await.unwrap().is_some());
@@ -27,7 +27,7 @@
 #[tokio::test]
 async fn a_delayed_write_lands_later_only_where_its_conditions_hold() {
     let memory = Memory::default();
-    memory.play(Play::Delay);
+    memory.inject(Injection::Delay);
     assert!(memory.commit(&create("a"), Priority::Commit).await.is_err());
     assert!(memory.read("a").await.unwrap().is_none());
     let second = memory.commit(&create("a"), Priority::Commit).await.unwrap();
@@ -48,7 +48,7 @@
         panic!("isn't a put");
     };
     *held = Some(lease);
-    memory.play(Play::Delay);
+    memory.inject(Injection::Delay);
     assert!(memory.commit(&txn, Priority::Claim).await.is_err());
     memory.revoke(lease).await.unwrap();
     memory.deliver();
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -19,8 +19,8 @@
 use platform::edge::Txn;
 use platform::edge::Write;
 use platform::etcd::Etcd;
+use platform::memory::Injection;
 use platform::memory::Memory;
-use platform::memory::Play;
 use rstest::rstest;
 use standin::client;
 use standin::client::PATIENCE;
@@ -80,14 +80,14 @@
         self.time.fetch_add(millis, Ordering::SeqCst);
     }
 
-    async fn play(&self, play: Play) {
+    async fn play(&self, play: Injection) {
         match &self.under {
-            Under::Memory(memory) => memory.play(play),
+            Under::Memory(memory) => memory.inject(play),
             Under::Gateway { server, .. } => {
                 let faults = match play {
-                    Play::LoseAnswer => r#"{"lose_answers":1}"#,
-                    Play::LoseWrite => r#"{"lose_writes":1}"#,
-                    Play::Delay => r#"{"delay_writes":1}"#,
+                    Injection::LoseAnswer => r#"{"lose_answers":1}"#,
+                    Injection::LoseWrite => r#"{"lose_writes":1}"#,
+                    Injection::Delay => r#"{"delay_writes":1}"#,
                 };
                 post(server.address(), "/faults", faults).await;
             }
@@ -239,7 +239,7 @@
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     apply(platform, &create("z", b"0")).await;
-    bench.play(Play::LoseAnswer).await;
+    bench.play(Injection::LoseAnswer).await;
     let lost = platform
         .commit(&create("a", b"mine"), Priority::Commit)
         .await;
@@ -261,7 +261,7 @@
 ) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
-    bench.play(Play::LoseWrite).await;
+    bench.play(Injection::LoseWrite).await;
     let lost = platform
         .commit(&create("a", b"mine"), Priority::Commit)
         .await;
@@ -278,7 +278,7 @@
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     for key in ["a", "b"] {
-        bench.play(Play::Delay).await;
+        bench.play(Injection::Delay).await;
         let late = platform
             .commit(&create(key, b"late"), Priority::Commit)
             .await;
