--- a/crates/node/src/filters/forward.rs
+++ b/crates/node/src/filters/forward.rs
@@ -269,7 +269,7 @@
     };
     let view = core.view();
     view.config
-        .runs_once(call.service.as_str(), &call.operation)
+        .runs_at_most_once(call.service.as_str(), &call.operation)
 }
 
 fn no_owner(ask: &Ask) -> Refusal {
--- a/crates/node/src/owner/call.rs
+++ b/crates/node/src/owner/call.rs
@@ -133,7 +133,7 @@
 fn runs_once(core: &Core, call: &Call) -> bool {
     let view = core.view();
     view.config
-        .runs_once(call.service.as_str(), &call.operation)
+        .runs_at_most_once(call.service.as_str(), &call.operation)
 }
 
 /// One call under way.
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -227,7 +227,7 @@
     /// forgot to list, or a selector with a broader match that speaks for the work in place of
     /// the one that was meant, would otherwise let a switching order go through twice.
     #[must_use]
-    pub fn runs_once(&self, service: &str, operation: &str) -> bool {
+    pub fn runs_at_most_once(&self, service: &str, operation: &str) -> bool {
         let serving = self
             .endpoints
             .iter()
--- a/crates/settings/src/config/tests.rs
+++ b/crates/settings/src/config/tests.rs
@@ -103,8 +103,8 @@
         slots = 1
     "#;
     let config: Config = toml::from_str(text).unwrap();
-    assert!(config.runs_once("shore", "switch"));
-    assert!(!config.runs_once("shore", "lookup"));
-    assert!(config.runs_once("weather", "lookup"));
-    assert!(config.runs_once("unknown", "lookup"));
+    assert!(config.runs_at_most_once("shore", "switch"));
+    assert!(!config.runs_at_most_once("shore", "lookup"));
+    assert!(config.runs_at_most_once("weather", "lookup"));
+    assert!(config.runs_at_most_once("unknown", "lookup"));
 }
