--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -287,13 +287,13 @@
     })
 }
 
-fn outcome(ended: format::Ended) -> Result<Outcome> {
+fn outcome(ended: format::TxnResponse) -> Result<Outcome> {
     if ended.succeeded {
         return Ok(Outcome::Applied(ended.header.revision));
     }
     let mut present = Vec::new();
     for done in ended.responses {
-        let format::Done::Range(ranged) = done else {
+        let format::OpResponse::Range(ranged) = done else {
             continue;
         };
         for pair in &ranged.kvs {
@@ -316,18 +316,19 @@
             range_end: prefix_end(prefix),
             limit: limit as u64,
         };
-        let ranged: format::Ranged = self.post("/v3/kv/range", &range, Effect::Read).await?;
+        let ranged: format::RangeResponse = self.post("/v3/kv/range", &range, Effect::Read).await?;
         ranged.kvs.iter().map(entry).collect()
     }
 
     async fn read(&self, key: &str) -> Result<Option<Entry>> {
-        let ranged: format::Ranged = self.post("/v3/kv/range", &one(key), Effect::Read).await?;
+        let ranged: format::RangeResponse =
+            self.post("/v3/kv/range", &one(key), Effect::Read).await?;
         ranged.kvs.first().map(entry).transpose()
     }
 
     async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
         let txn = transaction(txn)?;
-        let ended: format::Ended = self.post("/v3/kv/txn", &txn, Effect::Write).await?;
+        let ended: format::TxnResponse = self.post("/v3/kv/txn", &txn, Effect::Write).await?;
         outcome(ended)
     }
 
@@ -346,7 +347,7 @@
             id: lease.0,
             ttl: 0,
         };
-        let part: format::Part<format::Lease> = self
+        let part: format::StreamItem<format::Lease> = self
             .post("/v3/lease/keepalive", &held, Effect::Write)
             .await?;
         Ok(part.result.ttl > 0)
@@ -371,7 +372,7 @@
         // a prefix that rarely changes could never be watched again.
         let oldest = self.compacted.load(Ordering::Relaxed).max(1);
         let wanted = format::Watch {
-            create_request: format::Create {
+            create_request: format::WatchCreate {
                 key: first_key(prefix),
                 range_end: prefix_end(prefix),
                 start_revision: revision.max(oldest),
--- a/crates/platform/src/etcd/format.rs
+++ b/crates/platform/src/etcd/format.rs
@@ -108,7 +108,7 @@
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Ranged {
+pub struct RangeResponse {
     /// The header.
     pub header: Header,
     /// The keys in their order.
@@ -141,7 +141,7 @@
 /// The answer to [`Put`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Stored {
+pub struct PutResponse {
     /// The header.
     pub header: Header,
 }
@@ -150,7 +150,7 @@
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Deleted {
+pub struct DeleteResponse {
     /// The header.
     pub header: Header,
     /// How many keys went.
@@ -233,16 +233,16 @@
 
 /// The answer to one operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Done {
+pub enum OpResponse {
     /// To a read.
     #[serde(rename = "response_range", alias = "responseRange")]
-    Range(Ranged),
+    Range(RangeResponse),
     /// To a put.
     #[serde(rename = "response_put", alias = "responsePut")]
-    Put(Stored),
+    Put(PutResponse),
     /// To a deletion.
     #[serde(rename = "response_delete_range", alias = "responseDeleteRange")]
-    Delete(Deleted),
+    Delete(DeleteResponse),
 }
 
 /// A transaction: `success` where every condition holds, else `failure`.
@@ -263,7 +263,7 @@
 /// What became of a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Ended {
+pub struct TxnResponse {
     /// The header.
     pub header: Header,
     /// Whether every condition held.
@@ -271,7 +271,7 @@
     pub succeeded: bool,
     /// The answers to the operations that ran.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub responses: Vec<Done>,
+    pub responses: Vec<OpResponse>,
 }
 
 /// Makes, renews or ends a lease; the answer has the same fields.
@@ -295,14 +295,14 @@
 pub struct Watch {
     /// What to watch.
     #[serde(alias = "createRequest")]
-    pub create_request: Create,
+    pub create_request: WatchCreate,
 }
 
 /// What to watch, and from when on.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Create {
+pub struct WatchCreate {
     /// The first key.
     pub key: Blob,
     /// The end, not itself watched; empty watches the one key.
@@ -317,7 +317,7 @@
 /// The wrapper of each answer of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Part<T> {
+pub struct StreamItem<T> {
     /// The answer.
     pub result: T,
 }
@@ -326,7 +326,7 @@
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Seen {
+pub struct WatchResponse {
     /// The header.
     pub header: Header,
     /// Whether this answer says that the watch began.
--- a/crates/platform/src/etcd/format/tests.rs
+++ b/crates/platform/src/etcd/format/tests.rs
@@ -42,9 +42,9 @@
 fn an_answer_without_defaults_is_read() {
     let text = r#"{"header":{"cluster_id":"1","revision":"5"},
         "responses":[{"response_range":{"kvs":[{"key":"Zm9v","mod_revision":"4"}],"count":"1"}}]}"#;
-    let ended: Ended = serde_json::from_str(text).unwrap();
+    let ended: TxnResponse = serde_json::from_str(text).unwrap();
     assert!(!ended.succeeded);
-    let Done::Range(ranged) = &ended.responses[0] else {
+    let OpResponse::Range(ranged) = &ended.responses[0] else {
         panic!("not a range")
     };
     assert_eq!(ranged.kvs[0].mod_revision, 4);
@@ -55,7 +55,7 @@
 fn a_removal_is_read() {
     let text =
         r#"{"result":{"events":[{"type":"DELETE","kv":{"key":"Zm9v","mod_revision":"9"}}]}}"#;
-    let part: Part<Seen> = serde_json::from_str(text).unwrap();
+    let part: StreamItem<WatchResponse> = serde_json::from_str(text).unwrap();
     assert_eq!(part.result.events[0].kind, Kind::Delete);
     assert_eq!(part.result.events[0].kv.mod_revision, 9);
 }
--- a/crates/platform/src/etcd/watch.rs
+++ b/crates/platform/src/etcd/watch.rs
@@ -16,8 +16,8 @@
 use crate::etcd::entry;
 use crate::etcd::format::Event;
 use crate::etcd::format::Kind;
-use crate::etcd::format::Part;
-use crate::etcd::format::Seen;
+use crate::etcd::format::StreamItem;
+use crate::etcd::format::WatchResponse;
 
 /// How many changes wait for a slow reader; the connection's flow control holds the rest back.
 const DEPTH: usize = 1024;
@@ -43,13 +43,13 @@
         }
     }
 
-    async fn next(&mut self) -> Option<Seen> {
+    async fn next(&mut self) -> Option<WatchResponse> {
         let mut searched = 0;
         loop {
             let end = self.buffer[searched..].iter().position(|b| *b == b'\n');
             if let Some(end) = end {
                 let line = self.buffer.split_to(searched + end + 1);
-                let part: Part<Seen> = serde_json::from_slice(&line).ok()?;
+                let part: StreamItem<WatchResponse> = serde_json::from_slice(&line).ok()?;
                 return Some(part.result);
             }
             searched = self.buffer.len();
--- a/crates/standin/src/platform/gateway.rs
+++ b/crates/standin/src/platform/gateway.rs
@@ -168,14 +168,14 @@
     }
 }
 
-fn range(store: &Store, wanted: &format::Range) -> format::Ranged {
+fn range(store: &Store, wanted: &format::Range) -> format::RangeResponse {
     let span = span(wanted);
     let count = store.items(&span).count();
     let limit = match usize::try_from(wanted.limit) {
         Ok(0) | Err(_) => usize::MAX,
         Ok(limit) => limit,
     };
-    format::Ranged {
+    format::RangeResponse {
         header: header(store),
         kvs: store.items(&span).take(limit).map(pair).collect(),
         more: count > limit,
@@ -196,29 +196,33 @@
     Ok(())
 }
 
-fn put(store: &mut Store, put: &format::Put, _now: Millis) -> Outcome<format::Stored> {
+fn put(store: &mut Store, put: &format::Put, _now: Millis) -> Outcome<format::PutResponse> {
     check_put(store, put)?;
     store.advance();
     store.put(put.key.0.clone(), put.value.0.clone(), put.lease);
-    Ok(format::Stored {
+    Ok(format::PutResponse {
         header: header(store),
     })
 }
 
 #[allow(clippy::unnecessary_wraps)] // has the type of the other writes
-fn delete(store: &mut Store, range: &format::Range, _now: Millis) -> Outcome<format::Deleted> {
+fn delete(
+    store: &mut Store,
+    range: &format::Range,
+    _now: Millis,
+) -> Outcome<format::DeleteResponse> {
     let span = span(range);
     if store.items(&span).next().is_some() {
         store.advance();
     }
     let deleted = store.delete(&span) as u64;
-    Ok(format::Deleted {
+    Ok(format::DeleteResponse {
         header: header(store),
         deleted,
     })
 }
 
-fn transact(store: &mut Store, txn: &format::Txn, _now: Millis) -> Outcome<format::Ended> {
+fn transact(store: &mut Store, txn: &format::Txn, _now: Millis) -> Outcome<format::TxnResponse> {
     let succeeded = txn.compare.iter().all(|compare| holds(store, compare));
     let ops = if succeeded {
         &txn.success
@@ -234,7 +238,7 @@
         store.advance();
     }
     let responses = ops.iter().map(|op| run(store, op)).collect();
-    Ok(format::Ended {
+    Ok(format::TxnResponse {
         header: header(store),
         succeeded,
         responses,
@@ -249,18 +253,18 @@
     }
 }
 
-fn run(store: &mut Store, op: &format::Op) -> format::Done {
+fn run(store: &mut Store, op: &format::Op) -> format::OpResponse {
     match op {
-        format::Op::Range(wanted) => format::Done::Range(range(store, wanted)),
+        format::Op::Range(wanted) => format::OpResponse::Range(range(store, wanted)),
         format::Op::Put(put) => {
             store.put(put.key.0.clone(), put.value.0.clone(), put.lease);
-            format::Done::Put(format::Stored {
+            format::OpResponse::Put(format::PutResponse {
                 header: header(store),
             })
         }
         format::Op::Delete(range) => {
             let deleted = store.delete(&span(range)) as u64;
-            format::Done::Delete(format::Deleted {
+            format::OpResponse::Delete(format::DeleteResponse {
                 header: header(store),
                 deleted,
             })
@@ -309,20 +313,20 @@
     store: &mut Store,
     held: &format::Lease,
     now: Millis,
-) -> Outcome<format::Part<format::Lease>> {
+) -> Outcome<format::StreamItem<format::Lease>> {
     let ttl = store.renew(held.id, now);
     let result = format::Lease {
         id: held.id,
         ttl: ttl.map_or(0, |ttl| ttl.as_u64() / 1000),
     };
-    Ok(format::Part { result })
+    Ok(format::StreamItem { result })
 }
 
-fn revoke(store: &mut Store, held: &format::Lease, _now: Millis) -> Outcome<format::Stored> {
+fn revoke(store: &mut Store, held: &format::Lease, _now: Millis) -> Outcome<format::PutResponse> {
     if !store.revoke(held.id) {
         return Err(NO_LEASE);
     }
-    Ok(format::Stored {
+    Ok(format::PutResponse {
         header: header(store),
     })
 }
--- a/crates/standin/src/platform/gateway/watch.rs
+++ b/crates/standin/src/platform/gateway/watch.rs
@@ -40,10 +40,10 @@
     let (changes, first) = {
         let mut state = platform.lock();
         let changes = state.store.watch(span, create.start_revision);
-        let first = format::Seen {
+        let first = format::WatchResponse {
             header: header(&state.store),
             created: true,
-            ..format::Seen::default()
+            ..format::WatchResponse::default()
         };
         (changes, first)
     };
@@ -53,7 +53,7 @@
 }
 
 async fn tell(
-    first: format::Seen,
+    first: format::WatchResponse,
     changes: Result<mpsc::Receiver<Change>, u64>,
     sender: mpsc::Sender<http::Result<Bytes>>,
 ) {
@@ -63,10 +63,10 @@
     let mut changes = match changes {
         Ok(changes) => changes,
         Err(oldest) => {
-            let end = format::Seen {
+            let end = format::WatchResponse {
                 canceled: true,
                 compact_revision: oldest,
-                ..format::Seen::default()
+                ..format::WatchResponse::default()
             };
             let _gone = sender.send(Ok(line(end))).await;
             return;
@@ -87,13 +87,13 @@
     }
 }
 
-fn line(seen: format::Seen) -> Bytes {
-    let mut text = serde_json::to_vec(&format::Part { result: seen }).unwrap_or_default();
+fn line(seen: format::WatchResponse) -> Bytes {
+    let mut text = serde_json::to_vec(&format::StreamItem { result: seen }).unwrap_or_default();
     text.push(b'\n');
     Bytes::from(text)
 }
 
-fn seen(change: &Change) -> format::Seen {
+fn seen(change: &Change) -> format::WatchResponse {
     let (kind, kv, revision) = match change {
         Change::Put(item) => (format::Kind::Put, pair(item), item.modified),
         Change::Delete { key, revision } => {
@@ -105,9 +105,9 @@
             (format::Kind::Delete, kv, *revision)
         }
     };
-    format::Seen {
+    format::WatchResponse {
         header: format::Header { revision },
         events: vec![format::Event { kind, kv }],
-        ..format::Seen::default()
+        ..format::WatchResponse::default()
     }
 }
