--- a/crates/chestnutyoke/tests/role_stop.rs
+++ b/crates/chestnutyoke/tests/role_stop.rs
@@ -146,11 +146,11 @@
 /// Asks a VM with a disk, for as long as it takes; `None` where the connection breaks off.
 async fn ask(address: SocketAddr, version: u64, body: Body) -> Option<Answer> {
     let client = Client::new(Limits {
-        connect: Duration::from_secs(1),
-        silence: Duration::from_secs(5),
-        keep: Duration::ZERO,
-        rest: Duration::ZERO,
-        idle: 1,
+        connect_timeout: Duration::from_secs(1),
+        unacked_timeout: Duration::from_secs(5),
+        idle_timeout: Duration::ZERO,
+        reuse_delay: Duration::ZERO,
+        max_idle: 1,
     });
     let request = Request::post(message::PATH).header("host", "store");
     let request = request.body(Payload::from(call::encode(version, body).unwrap()));
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -51,17 +51,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// How long a connection may take to be made.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How long sent bytes may go unacknowledged.
-    pub silence: Duration,
+    pub unacked_timeout: Duration,
     /// How long an unused connection is kept.
-    pub keep: Duration,
+    pub idle_timeout: Duration,
     /// How long a connection rests after an answer before it is used again. A faulty runner sends
     /// a second answer some milliseconds after the first; on a connection in use it would meet the
     /// next request, on a resting one it closes the connection.
-    pub rest: Duration,
+    pub reuse_delay: Duration,
     /// The most unused connections that are kept for an address.
-    pub idle: usize,
+    pub max_idle: usize,
 }
 
 /// A client with pooled connections.
@@ -109,7 +109,7 @@
     connection: Option<Connection>,
     client: Arc<Client>,
     address: SocketAddr,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
 impl Client {
@@ -160,7 +160,7 @@
     /// Fails where no connection is made.
     pub async fn probe(&self, address: SocketAddr) -> Result<()> {
         let connection = self.connect(address).await?;
-        self.checkin(address, connection, self.limits.keep);
+        self.checkin(address, connection, self.limits.idle_timeout);
         Ok(())
     }
 
@@ -184,7 +184,7 @@
 
     fn checkout(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
-        let rested = now.checked_sub(self.limits.rest).unwrap_or(now);
+        let rested = now.checked_sub(self.limits.reuse_delay).unwrap_or(now);
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         let at = pools.binary_search_by_key(&address, |(key, _)| *key).ok()?;
         let idle = &mut pools[at].1;
@@ -194,7 +194,7 @@
         Some(idle.remove(at).connection)
     }
 
-    fn checkin(&self, address: SocketAddr, connection: Connection, keep: Duration) {
+    fn checkin(&self, address: SocketAddr, connection: Connection, idle_timeout: Duration) {
         if connection.sender.is_closed() {
             return;
         }
@@ -202,7 +202,7 @@
         let kept = Idle {
             connection,
             since,
-            until: since + keep,
+            until: since + idle_timeout,
         };
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         let found = pools.binary_search_by_key(&address, |(key, _)| *key);
@@ -211,7 +211,7 @@
             at
         });
         let idle = &mut pools[at].1;
-        if idle.len() >= self.limits.idle {
+        if idle.len() >= self.limits.max_idle {
             idle.remove(0);
         }
         idle.push(kept);
@@ -219,13 +219,14 @@
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection> {
         let not_sent = |text: String| Fault::NotSent(format!("{address}: {text}"));
-        let connected = tokio::time::timeout(self.limits.connect, TcpStream::connect(address));
+        let connected =
+            tokio::time::timeout(self.limits.connect_timeout, TcpStream::connect(address));
         let stream = match connected.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(fault)) => return Err(not_sent(fault.to_string())),
             Err(_) => return Err(Fault::Silent(address)),
         };
-        if let Err(fault) = socket::prepare(&stream, self.limits.silence) {
+        if let Err(fault) = socket::prepare(&stream, self.limits.unacked_timeout) {
             log::debug!("socket options of {address}: {fault}");
         }
         self.made.fetch_add(1, Ordering::Relaxed);
@@ -267,7 +268,7 @@
                 connection: Some(connection),
                 client: self.clone(),
                 address,
-                keep: self.limits.keep,
+                idle_timeout: self.limits.idle_timeout,
             },
         })
     }
@@ -275,8 +276,8 @@
 
 impl Body {
     /// Sets how long the connection is kept unused, where the peer tells how long it does.
-    pub fn keep_for(&mut self, span: Duration) {
-        self.keep = span;
+    pub fn set_idle_timeout(&mut self, timeout: Duration) {
+        self.idle_timeout = timeout;
     }
 
     /// Yields the next bytes; `None` at the end of a whole body.
@@ -288,7 +289,8 @@
         loop {
             let Some(frame) = self.incoming.frame().await else {
                 if let Some(connection) = self.connection.take() {
-                    self.client.checkin(self.address, connection, self.keep);
+                    self.client
+                        .checkin(self.address, connection, self.idle_timeout);
                 }
                 return Ok(None);
             };
--- a/crates/link/src/listen.rs
+++ b/crates/link/src/listen.rs
@@ -27,18 +27,18 @@
 
 /// A listener's state that its process looks at.
 #[derive(Debug, Default)]
-pub struct Door {
+pub struct Connections {
     open: AtomicUsize,
     /// Cancelled when the process stops: a connection that is made from now on gets one answer.
-    pub closing: CancellationToken,
+    pub stopping: CancellationToken,
     /// Cancelled some time later: kept connections are closed after the answer under way. Closed at
     /// once, an idle one could meet its caller's next request, which would be lost.
-    pub leaving: CancellationToken,
+    pub draining: CancellationToken,
     /// Cancelled when nobody may connect any more: the listener is closed.
-    pub shut: CancellationToken,
+    pub closed: CancellationToken,
 }
 
-impl Door {
+impl Connections {
     /// Yields how many connections are open.
     #[must_use]
     pub fn open(&self) -> usize {
@@ -46,7 +46,7 @@
     }
 }
 
-struct Pass(Arc<Door>);
+struct Pass(Arc<Connections>);
 
 impl Drop for Pass {
     fn drop(&mut self) {
@@ -63,19 +63,23 @@
     TcpListener::bind(address).await
 }
 
-/// Accepts connections until `door` is shut, and answers each request with `handler`. A
+/// Accepts connections until `connections` is shut, and answers each request with `handler`. A
 /// connection may be idle for `idle`.
-pub async fn run<H, F>(listener: TcpListener, door: Arc<Door>, idle: Duration, handler: H)
-where
+pub async fn run<H, F>(
+    listener: TcpListener,
+    connections: Arc<Connections>,
+    idle: Duration,
+    handler: H,
+) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let enter = |stream| {
-        door.open.fetch_add(1, Ordering::Relaxed);
-        let pass = Pass(door.clone());
+        connections.open.fetch_add(1, Ordering::Relaxed);
+        let pass = Pass(connections.clone());
         tokio::spawn(connection(stream, pass, idle, handler.clone()));
     };
-    accept::run(listener, &door.shut, enter).await;
+    accept::run(listener, &connections.closed, enter).await;
 }
 
 async fn connection<H, F>(stream: TcpStream, pass: Pass, idle: Duration, handler: H)
@@ -86,10 +90,10 @@
     if let Err(fault) = socket::prepare(&stream, SILENCE) {
         log::debug!("socket options of a caller: {fault}");
     }
-    let door = &pass.0;
+    let connections = &pass.0;
     // One that comes while the process stops gets one answer: closing it unread would send its
     // caller away although there is time to serve it.
-    let stopping = door.closing.is_cancelled();
+    let stopping = connections.stopping.is_cancelled();
     let idle = if stopping {
         idle.min(connection::FIRST)
     } else {
@@ -100,7 +104,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
         .keep_alive(!stopping);
-    if let Err(fault) = connection::serve(stream, &protocol, &door.leaving, handler).await {
+    if let Err(fault) = connection::serve(stream, &protocol, &connections.draining, handler).await {
         log::debug!("a caller's connection ended: {fault}");
     }
 }
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use link::listen::Door;
+use link::listen::Connections;
 use policy::stop::Activity;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -23,36 +23,36 @@
 
 /// Runs the stop and returns when the process may end. `listener` is the task of the clients'
 /// listener.
-pub async fn run(node: &Arc<Node>, door: &Arc<Door>, listener: JoinHandle<()>) {
+pub async fn run(node: &Arc<Node>, connections: &Arc<Connections>, listener: JoinHandle<()>) {
     let stop = node.begin_stop();
     log::info!(
         "event=E{} text=\"{}\" under_way={} connections={}",
         Event::NodeStopping.number(),
         Event::NodeStopping.text(),
         node.work.count(),
-        door.open()
+        connections.open()
     );
-    door.closing.cancel();
+    connections.stopping.cancel();
     wait_until(|| stop.is_over(node.clock.now(), Activity::Idle)).await;
-    door.leaving.cancel();
+    connections.draining.cancel();
     // Open connections alone don't count: with callers that connect and send nothing, or are
     // refused, the listener would stay open to the last moment and keep the next process from
     // serving.
     wait_until(|| stop.closes_listener(node.clock.now(), requests(node))).await;
     // A request that is accepted after the last check would be cut off, so nobody may connect by
     // then.
-    door.shut.cancel();
+    connections.closed.cancel();
     if timeout(LISTENER_CLOSE_TIMEOUT, listener).await.is_err() {
         log::warn!("text=\"the listener for clients did not close in time\"");
     }
-    wait_until(|| stop.is_over(node.clock.now(), activity(node, door))).await;
+    wait_until(|| stop.is_over(node.clock.now(), activity(node, connections))).await;
     log_cut(&node.work.entries());
     log::info!(
         "event=E{} text=\"{}\" under_way={} connections={} ms={}",
         Event::NodeStopped.number(),
         Event::NodeStopped.text(),
         node.work.count(),
-        door.open(),
+        connections.open(),
         node.clock.now().since(stop.begun()).as_u64()
     );
 }
@@ -72,8 +72,8 @@
 }
 
 /// Returns whether work for requests is in progress or callers are connected.
-fn activity(node: &Node, door: &Door) -> Activity {
-    match door.open() {
+fn activity(node: &Node, connections: &Connections) -> Activity {
+    match connections.open() {
         0 => requests(node),
         _ => Activity::Busy,
     }
--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -11,7 +11,7 @@
 /// A stopping process that consists only of its listener for clients.
 struct Stopping {
     node: Arc<Node>,
-    door: Arc<Door>,
+    connections: Arc<Connections>,
     drained: JoinHandle<()>,
     address: std::net::SocketAddr,
 }
@@ -19,17 +19,18 @@
 async fn stopping(grace: Millis) -> Stopping {
     let settings = settings::parse(&fakes::settings::alone()).unwrap();
     let node = Node::new(Settings { grace, ..settings }, Clock::System);
-    let door = Arc::new(Door::default());
+    let connections = Arc::new(Connections::default());
     let listener = listen::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let address = listener.local_addr().unwrap();
     let handler = |_request| std::future::ready(hyper::Response::new(Body::whole("")));
     let idle = Duration::from_mins(1);
-    let listening = tokio::spawn(listen::run(listener, door.clone(), idle, handler));
-    let (stopping_node, stopping_door) = (node.clone(), door.clone());
-    let drained = tokio::spawn(async move { run(&stopping_node, &stopping_door, listening).await });
+    let listening = tokio::spawn(listen::run(listener, connections.clone(), idle, handler));
+    let (stopping_node, stopping_connections) = (node.clone(), connections.clone());
+    let drained =
+        tokio::spawn(async move { run(&stopping_node, &stopping_connections, listening).await });
     Stopping {
         node,
-        door,
+        connections,
         drained,
         address,
     }
@@ -43,7 +44,7 @@
 async fn listener_closes_while_there_is_time_to_answer() {
     let process = stopping(Millis::new(2_000)).await;
     let _busy = process.node.work.begin(work::Kind::Answer, "q-1");
-    process.door.shut.cancelled().await;
+    process.connections.closed.cancelled().await;
     let shut = process.node.clock.now();
     process.drained.await.unwrap();
     let stop = process.node.stop().unwrap();
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -10,7 +10,7 @@
 use derive_more::Error;
 use derive_more::From;
 use link::listen;
-use link::listen::Door;
+use link::listen::Connections;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 use tokio::task::JoinHandle;
@@ -86,10 +86,10 @@
     let ready = settings.ready.ok_or(Fault::Missing("ready"))?;
     let ip = callers.ip();
     let peer_address = SocketAddr::new(ip, settings.first_port);
-    let door = Arc::new(Door::default());
+    let connections = Arc::new(Connections::default());
     let listener = listen_all(
         &node,
-        &door,
+        &connections,
         callers,
         ready,
         peer_address,
@@ -111,14 +111,14 @@
     tokio::spawn(check_members(node.clone()));
     tokio::spawn(sweep(node.clone()));
     stop.await?;
-    drain::run(&node, &door, listener).await;
+    drain::run(&node, &connections, listener).await;
     Ok(())
 }
 
 /// Opens all listeners; returns the task of the listener for callers.
 async fn listen_all(
     node: &Arc<Node>,
-    door: &Arc<Door>,
+    connections: &Arc<Connections>,
     callers: SocketAddr,
     ready: SocketAddr,
     peer_address: SocketAddr,
@@ -129,7 +129,7 @@
     let listener = listen::bind(callers).await?;
     let listening = tokio::spawn(listen::run(
         listener,
-        door.clone(),
+        connections.clone(),
         CALLER_IDLE_TIMEOUT,
         handler,
     ));
@@ -155,7 +155,7 @@
     ));
 
     let shared = node.clone();
-    let counted = door.clone();
+    let counted = connections.clone();
     let handler = move |_request| std::future::ready(probe::metrics(&shared, &counted));
     let listener = listen::bind(metrics).await?;
     tokio::spawn(listen::run(
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -274,7 +274,7 @@
             // Closed a second earlier than the runner closes it, so that no request is sent on a
             // connection that the runner is closing.
             let span = Millis::new(span.as_u64().saturating_sub(1_000)).min(MAX_IDLE_TIME);
-            reply.body.keep_for(span.as_duration());
+            reply.body.set_idle_timeout(span.as_duration());
         }
         if let Some(runner) = self.node.fleet().runner(&attempt.runner.id) {
             runner.note_answer(now);
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -110,15 +110,15 @@
     #[must_use]
     pub fn new(settings: Settings, clock: Clock) -> Arc<Self> {
         let limits = Limits {
-            connect: CONNECT_TIMEOUT,
-            silence: UNACKED_TIMEOUT,
-            keep: IDLE_TIMEOUT,
-            rest: REUSE_DELAY,
-            idle: MAX_IDLE_CONNECTIONS,
+            connect_timeout: CONNECT_TIMEOUT,
+            unacked_timeout: UNACKED_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
+            reuse_delay: REUSE_DELAY,
+            max_idle: MAX_IDLE_CONNECTIONS,
         };
         let runner_client = Client::new(limits);
         let vm_client = Client::new(Limits {
-            rest: Duration::ZERO,
+            reuse_delay: Duration::ZERO,
             ..limits
         });
         let kv = Kv::new(vm_client.clone(), settings.store, STORE_TIMEOUT);
--- a/crates/relay/src/probe.rs
+++ b/crates/relay/src/probe.rs
@@ -3,7 +3,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use link::body::Body;
-use link::listen::Door;
+use link::listen::Connections;
 
 use crate::answer;
 use crate::memory;
@@ -20,7 +20,7 @@
 
 /// Answers with the metrics.
 #[must_use]
-pub fn metrics(node: &Node, door: &Door) -> Response<Body> {
+pub fn metrics(node: &Node, connections: &Connections) -> Response<Body> {
     // Taken before the array is built: otherwise the lock would be held until the array is
     // complete, and `is_ready` locks it again.
     let load = node.fleet().load(node.clock.now());
@@ -34,7 +34,7 @@
         ("requests_at_runners", load.own_requests),
         ("slots", load.slots),
         ("slots_occupied", load.occupied),
-        ("connections", door.open() as u64),
+        ("connections", connections.open() as u64),
         ("runners", load.runners),
         ("runners_age_ms", node.runners_age().as_u64()),
         ("revision", node.table().version),
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -13,7 +13,7 @@
 use link::client::Client;
 use link::client::Limits;
 use link::listen;
-use link::listen::Door;
+use link::listen::Connections;
 use platform::edge::Change;
 use platform::edge::Platform;
 use platform::edge::Priority;
@@ -69,14 +69,20 @@
 pub async fn run(settings: Settings, metrics_port: u16) -> Result<()> {
     let clock = Clock::System;
     let grace = settings.grace;
-    let door = Arc::new(Door::default());
+    let connections = Arc::new(Connections::default());
     let folder = settings.data.clone().ok_or(Fault::Missing("data folder"))?;
     let new_disk_id = rand::rng().random::<u64>();
     let member = server::open(&folder, settings.disk_bytes, new_disk_id, clock.clone()).await?;
     let ip = settings.ip.parse();
     let ip = ip.map_err(|_| Fault::Missing("IP address"))?;
     let address = SocketAddr::new(ip, settings.first_port);
-    listen_all(&member, &door, address, SocketAddr::new(ip, metrics_port)).await?;
+    listen_all(
+        &member,
+        &connections,
+        address,
+        SocketAddr::new(ip, metrics_port),
+    )
+    .await?;
     log::info!(
         "event=E{} text=\"{}\" vm={} role=store vms={address}",
         Event::NodeStarted.number(),
@@ -84,11 +90,11 @@
         settings.vm
     );
     let http = Client::new(Limits {
-        connect: CONNECT_TIMEOUT,
-        silence: ACK_TIMEOUT,
-        keep: KEEP_UNUSED,
-        rest: Duration::ZERO,
-        idle: MAX_UNUSED_CONNECTIONS,
+        connect_timeout: CONNECT_TIMEOUT,
+        unacked_timeout: ACK_TIMEOUT,
+        idle_timeout: KEEP_UNUSED,
+        reuse_delay: Duration::ZERO,
+        max_idle: MAX_UNUSED_CONNECTIONS,
     });
     let kv = Kv::new(http.clone(), settings.store, node::STORE_TIMEOUT);
     let (phase, phases) = watch::channel(Phase::Member);
@@ -117,7 +123,7 @@
         Event::NodeStopping.text()
     );
     let stop = Stop::new(clock.now(), grace);
-    drain(&member, &door, stop, &clock).await;
+    drain(&member, &connections, stop, &clock).await;
     log::info!(
         "event=E{} text=\"{}\"",
         Event::NodeStopped.number(),
@@ -128,17 +134,17 @@
 
 /// Finishes what the member has accepted: writes that a writer may rely on, and the bytes of their
 /// answers.
-async fn drain(member: &Member, door: &Door, stop: Stop, clock: &Clock) {
+async fn drain(member: &Member, connections: &Connections, stop: Stop, clock: &Clock) {
     member.refuse_writes();
     let left = stop.left(clock.now()).as_duration();
     if timeout(left, member.wait_for_writes()).await.is_err() {
         log::warn!("text=\"disk writes did not finish before the process has to end\"");
     }
-    door.closing.cancel();
-    door.leaving.cancel();
-    door.shut.cancel();
+    connections.stopping.cancel();
+    connections.draining.cancel();
+    connections.closed.cancel();
     let all_closed = async {
-        while door.open() > 0 {
+        while connections.open() > 0 {
             sleep(FLUSH_POLL_INTERVAL).await;
         }
     };
@@ -147,7 +153,7 @@
 
 async fn listen_all(
     member: &Arc<Member>,
-    door: &Arc<Door>,
+    connections: &Arc<Connections>,
     address: SocketAddr,
     metrics_address: SocketAddr,
 ) -> Result<()> {
@@ -156,7 +162,7 @@
     let listener = listen::bind(address).await?;
     tokio::spawn(listen::run(
         listener,
-        door.clone(),
+        connections.clone(),
         INCOMING_IDLE_TIMEOUT,
         handler,
     ));
--- a/crates/replica/tests/list_changes.rs
+++ b/crates/replica/tests/list_changes.rs
@@ -35,11 +35,11 @@
 
 fn replicas() -> Replicas {
     let http = Client::new(Limits {
-        connect: Duration::from_secs(1),
-        silence: Duration::from_secs(1),
-        keep: Duration::from_secs(1),
-        rest: Duration::ZERO,
-        idle: 4,
+        connect_timeout: Duration::from_secs(1),
+        unacked_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(1),
+        reuse_delay: Duration::ZERO,
+        max_idle: 4,
     });
     Replicas::new(http, "a", 1)
 }
