--- a/crates/link/src/accept.rs
+++ b/crates/link/src/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts connections until a listener closes, without resetting one that a caller has already.
+//! Accepts connections until a listener closes, without resetting connections that callers have
+//! already made.
 
 use std::io;
 use std::net;
@@ -8,50 +9,51 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// How long the listener pauses after a failed accept (no file descriptors left, say), so that it
-/// doesn't spin.
-const PAUSE: Duration = Duration::from_millis(50);
-/// The most connections that a closing listener still takes of those that wait to be accepted: a
-/// flood of them can't keep it open. As many as the kernel lets wait.
+/// How long the listener waits after a failed accept, such as when no file descriptors are left, to
+/// avoid a busy loop.
+const FAILED_ACCEPT_DELAY: Duration = Duration::from_millis(50);
+/// The most pending connections that a closing listener still accepts, so that a flood of them can't
+/// keep it open. Equals the number that the kernel queues.
 const BACKLOG: usize = 1_024;
 
-/// Passes each connection to `enter` until `shut` is cancelled, and then those that wait to be
-/// accepted.
+/// Passes each accepted connection to `enter` until `closed` is cancelled, then those that are still
+/// pending.
 pub async fn run(
     listener: TcpListener,
-    shut: &CancellationToken,
+    closed: &CancellationToken,
     mut enter: impl FnMut(TcpStream),
 ) {
     loop {
         let accepted = tokio::select! {
             biased;
-            () = shut.cancelled() => break,
+            () = closed.cancelled() => break,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok((stream, _from)) => enter(stream),
             Err(fault) => {
                 log::warn!("accept failed: {fault}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(FAILED_ACCEPT_DELAY).await;
             }
         }
     }
-    let taken = listener
+    let outcome = listener
         .into_std()
-        .and_then(|listener| take_waiting(|| Ok(listener.accept()?.0), enter));
-    if let Err(fault) = taken {
-        log::warn!("connections that waited to be accepted are lost: {fault}");
+        .and_then(|listener| accept_pending(|| Ok(listener.accept()?.0), enter));
+    if let Err(fault) = outcome {
+        log::warn!("pending connections were lost: {fault}");
     }
 }
 
-/// Takes the connections that wait to be accepted. The kernel is asked itself: the event loop may not
-/// have heard of the last ones. One that can't be taken (its caller has gone, or no file descriptor is
-/// left for a moment) is passed over: the listener's close would reset those behind it unread.
+/// Accepts all pending connections. Asks the kernel directly because the event loop may not yet know
+/// of the latest ones. Skips a connection that can't be accepted (its caller has gone, or no file
+/// descriptor is free for a moment), because closing the listener would reset those queued behind it
+/// unread.
 ///
 /// # Errors
 ///
-/// Yields the last failure, once all others are taken.
-fn take_waiting(
+/// Returns the last failure, after all other connections have been accepted.
+fn accept_pending(
     mut accept: impl FnMut() -> io::Result<net::TcpStream>,
     mut enter: impl FnMut(TcpStream),
 ) -> io::Result<()> {
--- a/crates/link/src/accept/tests.rs
+++ b/crates/link/src/accept/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// The listener closes while three callers wait to be accepted, and the first accept fails, as a caller has
-/// gone or no file descriptor is left for a moment. Were the others left where they are, they would be
-/// reset with their requests unread. They are taken all the same.
+/// The listener closes while three connections are pending, and the first accept fails because a caller
+/// has gone or no file descriptor is free for a moment. If the listener stopped accepting there, the
+/// other connections would be reset with their requests unread.
 #[tokio::test]
-async fn a_failed_accept_loses_nobody_else() {
+async fn a_failed_accept_loses_no_other_connection() {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let _callers: Vec<_> = (0..3)
@@ -18,19 +18,20 @@
         }
         Ok(listener.accept()?.0)
     };
-    let mut taken = 0;
-    let _noted = take_waiting(accept, |_stream| taken += 1);
-    assert_eq!(taken, 3);
+    let mut accepted = 0;
+    let _last_failure = accept_pending(accept, |_stream| accepted += 1);
+    assert_eq!(accepted, 3);
 }
 
-/// Accepts fail for good while the listener closes. Its process has to end all the same.
+/// Every accept fails while the listener closes. The listener still has to close, so that its process
+/// can exit.
 #[tokio::test]
-async fn accepts_that_fail_for_good_hold_no_listener_open() {
-    let mut asked = 0;
+async fn permanently_failing_accepts_do_not_keep_the_listener_open() {
+    let mut attempts = 0;
     let accept = || {
-        asked += 1;
+        attempts += 1;
         Err(io::Error::from_raw_os_error(24))
     };
-    let _noted = take_waiting(accept, |_stream| {});
-    assert!(asked <= BACKLOG);
+    let _last_failure = accept_pending(accept, |_stream| {});
+    assert!(attempts <= BACKLOG);
 }
--- a/crates/link/src/body.rs
+++ b/crates/link/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or sent in parts as they come.
+//! Message bodies: complete ones, and ones that are sent in parts as they are produced.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -17,32 +17,33 @@
 use hyper::body::SizeHint;
 use tokio::sync::mpsc;
 
-/// An answer that ends before it is whole; the connection is closed without the end of the body.
+/// The response ended before it was complete. The connection is closed without the end of the
+/// body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("the answer broke off")]
 pub struct Broken;
 
-/// A step of an answer that is sent in parts.
+/// A step of a response that is sent in parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// More bytes.
+    /// The next bytes.
     Data(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     End,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it.
+    /// A complete body. `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// Parts as they come. A sender that goes away before [`Part::End`] breaks the answer off, so
-    /// that a task that dies can't pass half an answer for a whole one.
+    /// Parts as they are produced. If the sender is dropped before [`Part::End`], the response
+    /// breaks off, so that half a response from a task that died never looks complete.
     Parts(mpsc::Receiver<Part>),
 }
 
 impl Body {
-    /// Makes a body of these bytes.
+    /// Creates a complete body from `bytes`.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
@@ -84,12 +85,13 @@
     }
 }
 
-/// The body of a request: pieces that are sent one after the other under one length, so that a
-/// long history is never copied into one buffer on a small VM.
+/// The body of a request: pieces that are sent one after the other under one content length, so
+/// that a long history is never copied into one buffer on a small VM.
 #[derive(Clone, Debug, Default)]
 pub struct Payload {
-    /// The pieces left to be sent.
+    /// The pieces still to be sent.
     pieces: VecDeque<Bytes>,
+    /// Bytes still to be sent.
     left: u64,
 }
 
@@ -100,7 +102,7 @@
 }
 
 impl Payload {
-    /// Makes a body of these pieces.
+    /// Creates a body from `pieces`.
     #[must_use]
     pub fn of(pieces: Vec<Bytes>) -> Self {
         let pieces: VecDeque<Bytes> = pieces.into_iter().filter(|p| !p.is_empty()).collect();
@@ -131,39 +133,39 @@
     }
 }
 
-/// Why a body could not be read.
+/// The reason that a body could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[display("the body is over the limit")]
     TooLong,
-    /// It broke off.
+    /// The body broke off.
     #[display("the body broke off: {_0}")]
     Broken(#[error(not(source))] String),
 }
 
-/// Reads on to the end of a body that nobody wants, for at most `limit` bytes.
+/// Reads and discards the rest of a body, up to `limit` bytes.
 ///
-/// A connection that is closed with bytes unread is reset, and its peer may never see the answer that
-/// was sent before.
+/// Closing a connection that has unread bytes resets it, and the peer may never see the response
+/// that was sent before.
 pub async fn discard(body: Incoming, limit: usize) {
     let mut body = Limited::new(body, limit);
-    // One that is longer or breaks off isn't read any further.
+    // Stops reading if the body exceeds the limit or breaks off.
     while let Some(Ok(_frame)) = body.frame().await {}
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails where the body is longer or breaks off.
+/// Fails if the body is longer or breaks off.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, Fault>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     match Limited::new(body, limit).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(fault) if fault.is::<LengthLimitError>() => Err(Fault::TooLong),
         Err(fault) => Err(Fault::Broken(fault.to_string())),
     }
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,9 +1,9 @@
-//! Connections out: pooled by address, one request at a time on each.
+//! An HTTP client that pools connections by address and sends one request at a time on each.
 //!
-//! `hyper_util`'s pooled client doesn't tell whether a request was written, and leaves an
-//! abandoned exchange to its own task; both matter to a scheduler. A request that never left may
-//! go elsewhere even where it must not run twice, and an exchange that is dropped closes its
-//! connection at once, which is how a runner learns that nobody waits any more.
+//! `hyper_util`'s pooled client doesn't report whether a request was written, and leaves an
+//! abandoned exchange to its own task. Both matter to a scheduler: a request that was never written
+//! may be sent elsewhere even if it must not run twice, and dropping an exchange closes its
+//! connection at once, which is how a runner learns that nobody waits for its response any more.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,16 +30,17 @@
 use crate::body::Payload;
 use crate::socket;
 
-/// Why a request has no answer.
+/// The reason that a request has no response.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// Nobody answered in time: the request wasn't written. A partition shows so.
+    /// The connection wasn't established in time, as in a network partition. The request wasn't
+    /// written.
     #[display("no connection in time: {_0}")]
     Silent(#[error(not(source))] SocketAddr),
-    /// No byte of the request was written: it can't have arrived.
+    /// No byte of the request was written, so it can't have arrived.
     #[display("not sent: {_0}")]
     NotSent(#[error(not(source))] String),
-    /// The connection broke off: the request may have arrived.
+    /// The connection broke off. The request may have arrived.
     #[display("the connection broke off: {_0}")]
     Broken(#[error(not(source))] String),
 }
@@ -47,20 +48,21 @@
 /// The outcome of a request.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// How connections are made and kept.
+/// Limits on making and keeping connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How long a connection may take to be made.
+    /// How long establishing a connection may take.
     pub connect_timeout: Duration,
     /// How long sent bytes may go unacknowledged.
     pub unacked_timeout: Duration,
     /// How long an unused connection is kept.
     pub idle_timeout: Duration,
-    /// How long a connection rests after an answer before it is used again. A faulty runner sends
-    /// a second answer some milliseconds after the first; on a connection in use it would meet the
-    /// next request, on a resting one it closes the connection.
+    /// How long a connection stays unused after a response before it is reused. A faulty runner
+    /// sends a second response some milliseconds after the first. On a connection already in use
+    /// that response would be taken for the answer to the next request; on an unused connection it
+    /// closes the connection.
     pub reuse_delay: Duration,
-    /// The most unused connections that are kept for an address.
+    /// The most unused connections that are kept for each address.
     pub max_idle: usize,
 }
 
@@ -68,7 +70,7 @@
 #[derive(Debug)]
 pub struct Client {
     limits: Limits,
-    /// By address; a few tens.
+    /// Unused connections, sorted by address; a few tens of addresses.
     pools: Mutex<Vec<(SocketAddr, Vec<Idle>)>>,
     made: AtomicU64,
 }
@@ -76,11 +78,11 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
-/// An open connection; closed when dropped.
+/// An open connection, which is closed when dropped.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Payload>,
@@ -93,7 +95,7 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 #[derive(Debug)]
 pub struct Reply {
     /// Status and headers.
@@ -102,7 +104,7 @@
     pub body: Body,
 }
 
-/// The body of an answer. Dropped before its end, it closes the connection.
+/// The body of a response. Dropping it before its end closes the connection.
 #[derive(Debug)]
 pub struct Body {
     incoming: Incoming,
@@ -113,7 +115,7 @@
 }
 
 impl Client {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(limits: Limits) -> Arc<Self> {
         Arc::new(Self {
@@ -123,17 +125,17 @@
         })
     }
 
-    /// Yields how many connections were made so far.
+    /// Returns how many connections were made so far.
     #[must_use]
     pub fn made(&self) -> u64 {
         self.made.load(Ordering::Relaxed)
     }
 
-    /// Sends a request and yields the answer once its headers are there.
+    /// Sends a request and returns the response once its headers have arrived.
     ///
     /// # Errors
     ///
-    /// Fails where no connection is made or it breaks off before the headers.
+    /// Fails if no connection can be made or it breaks off before the headers.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -143,7 +145,7 @@
         while let Some(connection) = self.checkout(address) {
             match self.exchange(address, connection, request).await {
                 Ok(reply) => return Ok(reply),
-                // The kept connection had been closed; the request comes back unsent.
+                // The pooled connection had been closed and the request was returned unsent.
                 Err((Some(unsent), _)) => request = unsent,
                 Err((None, fault)) => return Err(fault),
             }
@@ -153,18 +155,18 @@
         sent.map_err(|(_, fault)| fault)
     }
 
-    /// Makes a connection and keeps it for the next request, to learn whether that is possible.
+    /// Checks whether a connection can be made, and keeps it for the next request.
     ///
     /// # Errors
     ///
-    /// Fails where no connection is made.
+    /// Fails if no connection can be made.
     pub async fn probe(&self, address: SocketAddr) -> Result<()> {
         let connection = self.connect(address).await?;
         self.checkin(address, connection, self.limits.idle_timeout);
         Ok(())
     }
 
-    /// Drops the connections to an address, for a peer that is gone.
+    /// Closes the unused connections to the address of a peer that is gone.
     pub fn forget(&self, address: SocketAddr) {
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         if let Ok(at) = pools.binary_search_by_key(&address, |(key, _)| *key) {
@@ -172,24 +174,25 @@
         }
     }
 
-    /// Closes connections that were unused for too long.
+    /// Closes connections that have been unused for too long.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         for (_, idle) in pools.iter_mut() {
-            idle.retain(|kept| kept.until > now && !kept.connection.sender.is_closed());
+            idle.retain(|kept| kept.expires_at > now && !kept.connection.sender.is_closed());
         }
         pools.retain(|(_, idle)| !idle.is_empty());
     }
 
     fn checkout(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
-        let rested = now.checked_sub(self.limits.reuse_delay).unwrap_or(now);
+        let reusable_since = now.checked_sub(self.limits.reuse_delay).unwrap_or(now);
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         let at = pools.binary_search_by_key(&address, |(key, _)| *key).ok()?;
         let idle = &mut pools[at].1;
-        idle.retain(|kept| kept.until > now && !kept.connection.sender.is_closed());
-        let usable = |kept: &Idle| kept.since <= rested && kept.connection.sender.is_ready();
+        idle.retain(|kept| kept.expires_at > now && !kept.connection.sender.is_closed());
+        let usable =
+            |kept: &Idle| kept.idle_since <= reusable_since && kept.connection.sender.is_ready();
         let at = idle.iter().rposition(usable)?;
         Some(idle.remove(at).connection)
     }
@@ -198,11 +201,11 @@
         if connection.sender.is_closed() {
             return;
         }
-        let since = Instant::now();
+        let idle_since = Instant::now();
         let kept = Idle {
             connection,
-            since,
-            until: since + idle_timeout,
+            idle_since,
+            expires_at: idle_since + idle_timeout,
         };
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         let found = pools.binary_search_by_key(&address, |(key, _)| *key);
@@ -230,8 +233,8 @@
             log::debug!("socket options of {address}: {fault}");
         }
         self.made.fetch_add(1, Ordering::Relaxed);
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|fault| not_sent(fault.to_string()))?;
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|fault| not_sent(fault.to_string()))?;
         let task = tokio::spawn(async move {
             if let Err(fault) = connection.await {
                 log::debug!("connection to {address} ended: {fault}");
@@ -240,7 +243,7 @@
         Ok(Connection { sender, task })
     }
 
-    /// Sends over a connection; a request that was not written comes back.
+    /// Sends a request on a connection. The error contains the request if it was not written.
     async fn exchange(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -275,16 +278,16 @@
 }
 
 impl Body {
-    /// Sets how long the connection is kept unused, where the peer tells how long it does.
+    /// Overrides how long the connection is kept unused, for peers that announce their own time-out.
     pub fn set_idle_timeout(&mut self, timeout: Duration) {
         self.idle_timeout = timeout;
     }
 
-    /// Yields the next bytes; `None` at the end of a whole body.
+    /// Returns the next bytes, or `None` at the end of a complete body.
     ///
     /// # Errors
     ///
-    /// Fails where the connection breaks off before the end.
+    /// Fails if the connection breaks off before the end.
     pub async fn data(&mut self) -> Result<Option<Bytes>> {
         loop {
             let Some(frame) = self.incoming.frame().await else {
@@ -301,18 +304,18 @@
         }
     }
 
-    /// Reads the whole body, of at most `limit` bytes.
+    /// Reads the complete body, of at most `limit` bytes.
     ///
     /// # Errors
     ///
-    /// Fails where it breaks off or is longer.
+    /// Fails if the body is longer or breaks off.
     pub async fn whole(mut self, limit: usize) -> Result<Bytes> {
         let mut all = Vec::new();
         while let Some(bytes) = self.data().await? {
             if all.len() + bytes.len() > limit {
                 return Err(Fault::Broken(format!("more than {limit} bytes")));
             }
-            if all.is_empty() && self.ended() {
+            if all.is_empty() && self.has_ended() {
                 self.data().await?;
                 return Ok(bytes);
             }
@@ -321,7 +324,7 @@
         Ok(Bytes::from(all))
     }
 
-    fn ended(&self) -> bool {
+    fn has_ended(&self) -> bool {
         hyper::body::Body::is_end_stream(&self.incoming)
     }
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection in: serves its requests, and ends it without cutting one off.
+//! Serves the requests of one connection, and closes it without cutting off a request.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -19,26 +19,26 @@
 use tokio::time::sleep_until;
 use tokio_util::sync::CancellationToken;
 
-/// How long a new connection may take to bring its first request where it is to end.
-pub const FIRST: Duration = Duration::from_secs(1);
-/// How long an older one may: for a request that is on its way.
-const ON_THE_WAY: Duration = Duration::from_millis(100);
+/// How long after it was made a connection may bring its first request once the server drains.
+pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long an older connection without a request may still take, for a request in transit.
+const IN_TRANSIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Serves a connection as `protocol` tells until it ends, or until its last answer once `leaving` is
-/// cancelled.
+/// Serves a connection with the options of `protocol` until it ends or, once `draining` is cancelled,
+/// until its last response.
 ///
-/// A connection that has brought no request by then gets a while for its first one. Closed at once,
-/// it would take a request with it that its caller has just sent, and the caller couldn't tell
-/// whether it ran. One that brings nothing, or half a request, is closed when that while is over:
-/// it would hold a stop up.
+/// A connection that has brought no request by then gets some time for its first one. If it were
+/// closed at once, a request that the caller has just sent would be lost, and the caller couldn't
+/// tell whether it ran. A connection that brings nothing, or half a request, in that time is closed,
+/// because it would delay the shutdown.
 ///
 /// # Errors
 ///
-/// Fails where the connection breaks or brings what can't be read.
+/// Fails if the connection breaks or brings something that can't be parsed.
 pub async fn serve<H, F, B>(
     stream: TcpStream,
     protocol: &http1::Builder,
-    leaving: &CancellationToken,
+    draining: &CancellationToken,
     handler: H,
 ) -> hyper::Result<()>
 where
@@ -47,34 +47,34 @@
     B: Body + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let made = Instant::now();
-    let asked = CancellationToken::new();
+    let connected_at = Instant::now();
+    let requested = CancellationToken::new();
     let service = service_fn(|request| {
-        asked.cancel();
-        let answer = handler(request);
+        requested.cancel();
+        let response = handler(request);
         async {
-            let mut answer = answer.await;
-            if leaving.is_cancelled() {
+            let mut response = response.await;
+            if draining.is_cancelled() {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(CONNECTION, close);
+                response.headers_mut().insert(CONNECTION, close);
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut served = std::pin::pin!(protocol.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
         biased;
         ended = served.as_mut() => return ended,
-        () = leaving.cancelled() => {}
+        () = draining.cancelled() => {}
     }
-    let last = (made + FIRST).max(Instant::now() + ON_THE_WAY);
+    let deadline = (connected_at + FIRST_REQUEST_TIMEOUT).max(Instant::now() + IN_TRANSIT_TIMEOUT);
     tokio::select! {
         biased;
         ended = served.as_mut() => return ended,
-        () = asked.cancelled() => {}
-        () = sleep_until(last) => return Ok(()),
+        () = requested.cancelled() => {}
+        () = sleep_until(deadline) => return Ok(()),
     }
-    // Only now: hyper closes a connection at once that has had no request.
+    // Not earlier, because hyper closes a connection at once if it has had no request.
     served.as_mut().graceful_shutdown();
     served.await
 }
--- a/crates/link/src/connection/tests.rs
+++ b/crates/link/src/connection/tests.rs
@@ -14,10 +14,10 @@
     Response::new(Full::new(Bytes::from_static(b"hello")))
 }
 
-/// A connection whose server leaves when told to.
+/// A connection to a server that drains when `draining` is cancelled.
 struct Pair {
     caller: TcpStream,
-    leaving: CancellationToken,
+    draining: CancellationToken,
     served: JoinHandle<()>,
 }
 
@@ -25,28 +25,28 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let caller = TcpStream::connect(listener.local_addr().unwrap());
     let (caller, accepted) = tokio::join!(caller, listener.accept());
-    let leaving = CancellationToken::new();
+    let draining = CancellationToken::new();
     let (stream, _from) = accepted.unwrap();
-    let told = leaving.clone();
+    let server_draining = draining.clone();
     let served = tokio::spawn(async move {
-        let _ended = serve(stream, &http1::Builder::new(), &told, hello).await;
+        let _ended = serve(stream, &http1::Builder::new(), &server_draining, hello).await;
     });
     Pair {
         caller: caller.unwrap(),
-        leaving,
+        draining,
         served,
     }
 }
 
-async fn rest(caller: &mut TcpStream) -> String {
-    let mut answer = String::new();
-    caller.read_to_string(&mut answer).await.unwrap();
-    answer
+async fn read_rest(caller: &mut TcpStream) -> String {
+    let mut response = String::new();
+    caller.read_to_string(&mut response).await.unwrap();
+    response
 }
 
-/// A caller has just connected, and the listener closes before its request is there. Closed at once,
-/// the connection ends without a word and the caller can't tell whether its request ran. It gets its
-/// answer, whether it was served before the listener closed or not.
+/// A caller has just connected, and the server drains before its request arrives. If the connection
+/// were closed at once, the caller would get no response and couldn't tell whether its request ran.
+/// The request is answered, whether or not the connection was being served before the drain began.
 #[rstest]
 #[case::made_before(true)]
 #[case::made_after(false)]
@@ -56,17 +56,17 @@
     if served_before {
         tokio::task::yield_now().await;
     }
-    pair.leaving.cancel();
-    tokio::time::sleep(ON_THE_WAY * 2).await;
+    pair.draining.cancel();
+    tokio::time::sleep(IN_TRANSIT_TIMEOUT * 2).await;
     pair.caller.write_all(REQUEST).await.unwrap();
-    let answer = rest(&mut pair.caller).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
-    assert!(answer.contains("connection: close"), "{answer:?}");
+    let response = read_rest(&mut pair.caller).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
+    assert!(response.contains("connection: close"), "{response:?}");
     pair.served.await.unwrap();
 }
 
-/// Callers keep connections open that bring nothing, or half a request. Waiting for the rest would
-/// hold a stop up until the process is killed.
+/// Callers hold connections open that bring nothing, or half a request. Waiting for the rest would
+/// delay the shutdown until the process is killed.
 #[rstest]
 #[case::nothing(b"")]
 #[case::half_a_request(b"GET / HT")]
@@ -74,20 +74,20 @@
 async fn a_connection_without_a_request_ends(#[case] sent: &[u8]) {
     let mut pair = pair().await;
     pair.caller.write_all(sent).await.unwrap();
-    pair.leaving.cancel();
-    let ended = tokio::time::timeout(FIRST * 2, pair.served).await;
+    pair.draining.cancel();
+    let ended = tokio::time::timeout(FIRST_REQUEST_TIMEOUT * 2, pair.served).await;
     ended.expect("still open").unwrap();
 }
 
-/// A kept connection is idle after an answer: it ends at once.
+/// A keep-alive connection that is idle after a response is closed at once.
 #[tokio::test]
-async fn a_kept_connection_ends() {
+async fn an_idle_keep_alive_connection_ends() {
     let mut pair = pair().await;
     pair.caller.write_all(REQUEST).await.unwrap();
     let mut first = [0; 16];
     pair.caller.read_exact(&mut first).await.unwrap();
-    tokio::time::sleep(ON_THE_WAY).await;
-    pair.leaving.cancel();
-    let ended = tokio::time::timeout(FIRST / 2, pair.served).await;
+    tokio::time::sleep(IN_TRANSIT_TIMEOUT).await;
+    pair.draining.cancel();
+    let ended = tokio::time::timeout(FIRST_REQUEST_TIMEOUT / 2, pair.served).await;
     ended.expect("still open").unwrap();
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,8 +1,8 @@
-//! The traffic of the processes on small VMs: connections out and in, bodies, the log's writer.
+//! HTTP client and server for processes on small VMs, their message bodies, and the log writer.
 //!
-//! What `hyper` brings is used on both sides; this crate adds what a scheduler has to know of a
-//! connection: whether a request can have arrived, that an abandoned exchange closes its
-//! connection at once, and that a broken answer never looks whole.
+//! Both sides are built on `hyper`. This crate adds what a scheduler needs: the client reports
+//! whether a request can have arrived, an abandoned exchange closes its connection at once, and a
+//! response that broke off never looks complete.
 
 pub mod accept;
 pub mod body;
--- a/crates/link/src/listen.rs
+++ b/crates/link/src/listen.rs
@@ -1,4 +1,4 @@
-//! Connections in: accepted, served, and closed without cutting a request off.
+//! Accepts and serves connections, and closes them without cutting off a request.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,34 +21,37 @@
 use crate::connection;
 use crate::socket;
 
-/// How long bytes sent to a caller may go unacknowledged: longer than any partition that a caller
-/// would outwait.
-const SILENCE: Duration = Duration::from_secs(10);
+/// How long bytes sent to a caller may go unacknowledged. This is longer than any partition that a
+/// caller would wait out.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A listener's state that its process looks at.
+/// The connections of a listener, and the signals by which the process shuts it down.
 #[derive(Debug, Default)]
 pub struct Connections {
     open: AtomicUsize,
-    /// Cancelled when the process stops: a connection that is made from now on gets one answer.
+    /// Cancelled when the process begins to stop. A connection that is made from then on gets one
+    /// response.
     pub stopping: CancellationToken,
-    /// Cancelled some time later: kept connections are closed after the answer under way. Closed at
-    /// once, an idle one could meet its caller's next request, which would be lost.
+    /// Cancelled some time after `stopping`. Keep-alive connections are then closed after the
+    /// response in progress. If they were closed as soon as the process stops, an idle one could be
+    /// closed just as its caller sends the next request, which would be lost.
     pub draining: CancellationToken,
-    /// Cancelled when nobody may connect any more: the listener is closed.
+    /// Cancelled when no more connections are accepted, and the listener is closed.
     pub closed: CancellationToken,
 }
 
 impl Connections {
-    /// Yields how many connections are open.
+    /// Returns how many connections are open.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 }
 
-struct Pass(Arc<Connections>);
+/// Counts one connection as open until dropped.
+struct OpenGuard(Arc<Connections>);
 
-impl Drop for Pass {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
@@ -58,13 +61,13 @@
 ///
 /// # Errors
 ///
-/// Fails where the address can't be bound.
+/// Fails if the address can't be bound.
 pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Accepts connections until `connections` is shut, and answers each request with `handler`. A
-/// connection may be idle for `idle`.
+/// Accepts connections until `connections.closed` is cancelled, and answers each request with
+/// `handler`. A connection may be idle for `idle`.
 pub async fn run<H, F>(
     listener: TcpListener,
     connections: Arc<Connections>,
@@ -74,28 +77,28 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let enter = |stream| {
+    let spawn = |stream| {
         connections.open.fetch_add(1, Ordering::Relaxed);
-        let pass = Pass(connections.clone());
-        tokio::spawn(connection(stream, pass, idle, handler.clone()));
+        let guard = OpenGuard(connections.clone());
+        tokio::spawn(connection(stream, guard, idle, handler.clone()));
     };
-    accept::run(listener, &connections.closed, enter).await;
+    accept::run(listener, &connections.closed, spawn).await;
 }
 
-async fn connection<H, F>(stream: TcpStream, pass: Pass, idle: Duration, handler: H)
+async fn connection<H, F>(stream: TcpStream, guard: OpenGuard, idle: Duration, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    if let Err(fault) = socket::prepare(&stream, SILENCE) {
+    if let Err(fault) = socket::prepare(&stream, UNACKED_TIMEOUT) {
         log::debug!("socket options of a caller: {fault}");
     }
-    let connections = &pass.0;
-    // One that comes while the process stops gets one answer: closing it unread would send its
-    // caller away although there is time to serve it.
+    let connections = &guard.0;
+    // A connection that arrives while the process stops gets one response. Closing it unread would
+    // turn its caller away although there is time to serve it.
     let stopping = connections.stopping.is_cancelled();
     let idle = if stopping {
-        idle.min(connection::FIRST)
+        idle.min(connection::FIRST_REQUEST_TIMEOUT)
     } else {
         idle
     };
--- a/crates/link/src/output.rs
+++ b/crates/link/src/output.rs
@@ -1,13 +1,14 @@
-//! The log's way out: structured lines on standard output, bounded and never blocking.
+//! Writes structured log lines to standard output through a bounded queue, without blocking.
 //!
-//! A reader of standard output that stops would else stop the process. Lines go through a queue to
-//! a thread of their own; where the queue is full, or one event floods, they are dropped and counted
-//! by event, and that thread writes the counts, once a second at most. Lines about refusals and losses
-//! may use all of the queue, routine ones three quarters of it, so that a flood of routine lines hides
-//! no failure.
+//! With blocking writes, a reader of standard output that stops reading would stop the process.
+//! Lines go through a queue to a writer thread. If the queue is full or one event exceeds its rate,
+//! lines are dropped and counted by event, and the writer thread logs the counts at most once a
+//! second. Lines of level warning and above may use the whole queue, other lines three quarters of
+//! it, so that a flood of routine lines hides no failure.
 //!
-//! A process that ends waits for its last lines: the one that says when it ended, and what it cut off,
-//! is logged just before, and on one core the writing thread has had no turn by then.
+//! A process that exits waits for its last lines to be written. The line that says when it ended and
+//! what it cut off is logged just before the exit, and on one core the writer thread has not yet run
+//! by then.
 
 mod limit;
 
@@ -36,34 +37,35 @@
 use log::Record;
 use wire::event::Event;
 
-use crate::output::limit::Dropped;
 use crate::output::limit::Limit;
+use crate::output::limit::Report;
 use crate::output::limit::Room;
 use crate::output::limit::Verdict;
 
-/// Lines that wait to be written at most: some seconds of a busy VM's lines, about a megabyte.
-const DEPTH: usize = 4096;
-/// Lines that routine events may have waiting.
-const ROUTINE_DEPTH: usize = DEPTH / 4 * 3;
-/// How long the end of a process waits for its last lines to be written: a reader that has stopped
-/// mustn't hold it for longer.
-const LAST_LINES: Duration = Duration::from_millis(200);
-/// Bytes of a usual line.
-const USUAL: usize = 256;
-/// How often it looks whether they are.
-const LOOK: Duration = Duration::from_millis(2);
-
-/// A log that is open; dropped, it waits for its last lines to be written.
+/// The largest number of queued lines: a few seconds of a busy VM's lines, about a megabyte.
+const MAX_QUEUED_LINES: usize = 4096;
+/// The largest number of queued lines at which a line below warning level is still accepted.
+const MAX_ROUTINE_LINES: usize = MAX_QUEUED_LINES / 4 * 3;
+/// How long an exiting process waits for its last lines to be written. A reader that has stopped
+/// reading must not delay the exit any longer.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// The length of a typical line in bytes.
+const TYPICAL_LINE_BYTES: usize = 256;
+/// How often an exiting process checks whether all lines have been written.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// An open log. Dropping it waits for its last lines to be written.
 pub struct Output {
     _logger: LoggerHandle,
+    /// Lines that have been queued and not yet written.
     waiting: Arc<AtomicUsize>,
 }
 
 impl Drop for Output {
     fn drop(&mut self) {
-        let until = Instant::now() + LAST_LINES;
-        while self.waiting.load(Ordering::Relaxed) > 0 && Instant::now() < until {
-            thread::sleep(LOOK);
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.waiting.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
@@ -74,13 +76,13 @@
     limit: Arc<Mutex<Limit>>,
 }
 
-/// Starts the log on standard output; `RUST_LOG` isn't looked at, as the platform passes none on.
+/// Starts logging to standard output. Ignores `RUST_LOG` because the platform doesn't pass it on.
 ///
 /// # Errors
 ///
-/// Fails where a logger is set already.
+/// Fails if a logger is already set.
 pub fn start(level: LevelFilter) -> Result<Output, FlexiLoggerError> {
-    let (lines, written) = mpsc::sync_channel(DEPTH);
+    let (lines, queued) = mpsc::sync_channel(MAX_QUEUED_LINES);
     let waiting = Arc::new(AtomicUsize::new(0));
     let limit = Arc::<Mutex<Limit>>::default();
     let queue = Queue {
@@ -88,8 +90,8 @@
         waiting: waiting.clone(),
         limit: limit.clone(),
     };
-    let left = waiting.clone();
-    thread::spawn(move || write_all(&written, &left, &limit));
+    let still_waiting = waiting.clone();
+    thread::spawn(move || run_writer(&queued, &still_waiting, &limit));
     let spec = LogSpecification::builder().default(level).build();
     let logger = Logger::with(spec).log_to_writer(Box::new(queue)).start()?;
     Ok(Output {
@@ -98,9 +100,9 @@
     })
 }
 
-/// Writes all lines, and once a second what was dropped. Only while something is left to tell it wakes
-/// up by itself: no line may come for long after those that were dropped.
-fn write_all(queue: &mpsc::Receiver<Vec<u8>>, waiting: &AtomicUsize, limit: &Mutex<Limit>) {
+/// Writes the queued lines, and at most once a second a line that reports dropped lines. While a
+/// report is pending, wakes up without a new line because the next one may come much later.
+fn run_writer(queue: &mpsc::Receiver<Vec<u8>>, waiting: &AtomicUsize, limit: &Mutex<Limit>) {
     let mut out = io::stdout();
     loop {
         let pending = lock(limit).is_pending();
@@ -118,24 +120,24 @@
             batch.extend_from_slice(&more);
             lines += 1;
         }
-        let dropped = lock(limit).take(Instant::now());
-        // Nobody is left to tell where standard output is closed.
-        let told = out.write_all(told(&dropped).as_bytes());
-        let _closed = told.and_then(|()| out.write_all(&batch));
+        let report = lock(limit).take_report(Instant::now());
+        // Errors are ignored: if standard output is closed, there is nowhere to report them.
+        let written = out.write_all(report_line(&report).as_bytes());
+        let _closed = written.and_then(|()| out.write_all(&batch));
         let _closed = out.flush();
         waiting.fetch_sub(lines, Ordering::Relaxed);
     }
 }
 
-/// Renders the line that tells what was dropped; nothing where nothing was.
-fn told(dropped: &Dropped) -> String {
-    if dropped.is_empty() {
+/// Formats the line that reports the dropped lines. Returns an empty string if none were dropped.
+fn report_line(report: &Report) -> String {
+    if report.is_empty() {
         return String::new();
     }
     let mut now = DeferredNow::new();
     let at = now.format("%Y-%m-%dT%H:%M:%S%.3f");
     format!(
-        "at={at} level=WARN event=E{} text=\"{}\" {dropped}\n",
+        "at={at} level=WARN event=E{} text=\"{}\" {report}\n",
         Event::LinesDropped.number(),
         Event::LinesDropped.text()
     )
@@ -147,18 +149,18 @@
 
 impl Queue {
     fn room(&self, level: Level) -> Room {
-        let depth = if level <= Level::Warn {
-            DEPTH
+        let capacity = if level <= Level::Warn {
+            MAX_QUEUED_LINES
         } else {
-            ROUTINE_DEPTH
+            MAX_ROUTINE_LINES
         };
-        if self.waiting.load(Ordering::Relaxed) >= depth {
+        if self.waiting.load(Ordering::Relaxed) >= capacity {
             return Room::Full;
         }
         Room::Free
     }
 
-    /// Hands a line to the writing thread; tells whether it found room.
+    /// Queues a line for the writer thread. Returns `false` if the queue is full.
     fn send(&self, line: Vec<u8>) -> bool {
         self.waiting.fetch_add(1, Ordering::Relaxed);
         let sent = self.lines.try_send(line).is_ok();
@@ -169,8 +171,8 @@
     }
 }
 
-/// Yields the number of the event that a line's text begins with; zero where it names none.
-fn event(text: &[u8]) -> u16 {
+/// Parses the event number at the start of a line's text. Returns 0 if the text names no event.
+fn event_number(text: &[u8]) -> u16 {
     let text = text.strip_prefix(b"event=").unwrap_or(text);
     let digits = text.strip_prefix(b"E").and_then(|text| text.get(..4));
     let digits = digits.and_then(|digits| std::str::from_utf8(digits).ok());
@@ -179,31 +181,31 @@
 
 impl LogWriter for Queue {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        let mut line = Vec::with_capacity(USUAL);
+        let mut line = Vec::with_capacity(TYPICAL_LINE_BYTES);
         let at = now.format("%Y-%m-%dT%H:%M:%S%.3f");
         write!(line, "at={at} level={} ", record.level())?;
-        let text = line.len();
+        let text_start = line.len();
         writeln!(line, "{}", record.args())?;
-        let event = event(&line[text..]);
-        let moment = Instant::now();
+        let event = event_number(&line[text_start..]);
+        let instant = Instant::now();
         {
             let mut limit = lock(&self.limit);
             let room = self.room(record.level());
             let pending = limit.is_pending();
-            if limit.judge(event, room, moment) == Verdict::Dropped {
+            if limit.decide(event, room, instant) == Verdict::Dropped {
                 if !pending {
-                    // Wakes the writing thread; where that finds no room, it is awake.
+                    // Wakes the writer thread. If the queue is full, the thread is already awake.
                     self.send(Vec::new());
                 }
                 return Ok(());
             }
             if event == Event::NodeStopped.number() {
-                // The process ends with this line; what is told after it would be lost.
-                limit.hurry();
+                // This is the last line of the process: a later report would be lost.
+                limit.allow_report();
             }
         }
         if !self.send(line) {
-            lock(&self.limit).judge(event, Room::Full, moment);
+            lock(&self.limit).decide(event, Room::Full, instant);
         }
         Ok(())
     }
--- a/crates/link/src/output/limit.rs
+++ b/crates/link/src/output/limit.rs
@@ -1,73 +1,77 @@
-//! How many lines of each event pass, and what was dropped.
+//! Limits the rate of log lines of each event, and counts the dropped lines.
 //!
-//! One event that floods would else fill the queue for all others; its lines beyond a rate are
-//! dropped, as are those that find no room, and both are counted by event.
+//! Without a limit, one event that floods would fill the queue for all others. Lines of an event
+//! beyond its rate are dropped, as are lines for which the queue has no room. Both are counted by
+//! event.
 
 use std::fmt;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Lines of one event that pass within a [`WINDOW`]: about as many as a VM writes that does nothing but
-/// serve turns on a whole core, so that only what turns in circles is held back.
-pub const RATE: u32 = 2_000;
-/// The span over which a rate counts, and the pause between two lines that tell what was dropped.
+/// The most lines of one event that are written within a [`WINDOW`]: about as many as a VM writes
+/// that uses a whole core to serve turns, so that only events that repeat in a loop are limited.
+pub const MAX_LINES_PER_WINDOW: u32 = 2_000;
+/// The span over which lines count towards the rate, and the shortest time between two reports.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
 /// Whether the queue has room for a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Room {
-    /// It has.
+    /// The queue has room.
     Free,
-    /// It hasn't.
+    /// The queue is full.
     Full,
 }
 
-/// What becomes of a line.
+/// What happens to a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is written.
+    /// The line is written.
     Passes,
-    /// It is dropped, and has been counted.
+    /// The line is dropped, and has been counted.
     Dropped,
 }
 
-/// The lines of each event, in the order of the events' numbers.
+/// The rate limits of all events.
 #[derive(Debug, Default)]
 pub struct Limit {
-    events: Vec<Count>,
-    /// Lines that were dropped for want of room, not for their rate.
+    /// Sorted by event number.
+    events: Vec<Counter>,
+    /// Lines that were dropped because the queue was full, not because of their rate.
     full: u64,
-    /// When a line last told what was dropped.
-    told: Option<Instant>,
+    /// When dropped lines were last reported.
+    reported: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Count {
+struct Counter {
     event: u16,
-    /// When its window began.
-    since: Instant,
+    /// The start of the event's current window.
+    window_start: Instant,
+    /// Lines written within the current window.
     passed: u32,
+    /// Lines dropped since the last report.
     dropped: u64,
 }
 
-/// What was dropped since it was told last.
+/// The lines that were dropped since the last report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
-    /// How many lines of each event.
+pub struct Report {
+    /// Each event's number and how many of its lines were dropped.
     events: Vec<(u16, u64)>,
-    /// How many of them for want of room.
+    /// How many of them were dropped because the queue was full.
     full: u64,
 }
 
 impl Limit {
-    /// Decides on a line of an event; zero stands for lines that name none.
-    pub fn judge(&mut self, event: u16, room: Room, now: Instant) -> Verdict {
+    /// Decides on a line of `event`, which is 0 for lines that name no event.
+    pub fn decide(&mut self, event: u16, room: Room, now: Instant) -> Verdict {
         let count = self.count(event, now);
-        if now.saturating_duration_since(count.since) >= WINDOW {
-            count.since = now;
+        if now.saturating_duration_since(count.window_start) >= WINDOW {
+            count.window_start = now;
             count.passed = 0;
         }
-        let floods = count.passed >= RATE;
+        let floods = count.passed >= MAX_LINES_PER_WINDOW;
         if room == Room::Free && !floods {
             count.passed += 1;
             return Verdict::Passes;
@@ -77,44 +81,44 @@
         Verdict::Dropped
     }
 
-    /// Takes the counts that are to be told now: nothing where none are, or where some were told
-    /// within the last [`WINDOW`].
-    pub fn take(&mut self, now: Instant) -> Dropped {
-        let told = self.told;
-        if told.is_some_and(|told| now.saturating_duration_since(told) < WINDOW) {
-            return Dropped::default();
+    /// Takes the counts of dropped lines to report now. The report is empty if no lines were dropped
+    /// or the last report was taken less than a [`WINDOW`] ago.
+    pub fn take_report(&mut self, now: Instant) -> Report {
+        let reported = self.reported;
+        if reported.is_some_and(|reported| now.saturating_duration_since(reported) < WINDOW) {
+            return Report::default();
         }
-        let some = self.events.iter_mut().filter(|count| count.dropped > 0);
-        let taken = some.map(|count| (count.event, std::mem::take(&mut count.dropped)));
-        let taken = Dropped {
+        let dropped = self.events.iter_mut().filter(|count| count.dropped > 0);
+        let taken = dropped.map(|count| (count.event, std::mem::take(&mut count.dropped)));
+        let report = Report {
             events: taken.collect(),
             full: std::mem::take(&mut self.full),
         };
-        if !taken.is_empty() {
-            self.told = Some(now);
+        if !report.is_empty() {
+            self.reported = Some(now);
         }
-        taken
+        report
     }
 
-    /// Tells whether there is anything to tell.
+    /// Returns whether there are dropped lines to report.
     #[must_use]
     pub fn is_pending(&self) -> bool {
         self.events.iter().any(|count| count.dropped > 0)
     }
 
-    /// Has the next counts told however soon after the last ones.
-    pub const fn hurry(&mut self) {
-        self.told = None;
+    /// Lets the next report be taken however soon after the last one.
+    pub const fn allow_report(&mut self) {
+        self.reported = None;
     }
 
-    fn count(&mut self, event: u16, now: Instant) -> &mut Count {
+    fn count(&mut self, event: u16, now: Instant) -> &mut Counter {
         let found = self
             .events
             .binary_search_by_key(&event, |known| known.event);
         let at = found.unwrap_or_else(|at| {
-            let new = Count {
+            let new = Counter {
                 event,
-                since: now,
+                window_start: now,
                 passed: 0,
                 dropped: 0,
             };
@@ -125,21 +129,21 @@
     }
 }
 
-impl Dropped {
-    /// Tells whether nothing was dropped.
+impl Report {
+    /// Returns whether no lines were dropped.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// Yields how many lines were dropped.
+    /// Returns how many lines were dropped.
     #[must_use]
     pub fn lines(&self) -> u64 {
         self.events.iter().map(|(_, lines)| lines).sum()
     }
 }
 
-impl fmt::Display for Dropped {
+impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "lines={} full={} events=", self.lines(), self.full)?;
         for (at, (event, lines)) in self.events.iter().enumerate() {
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of TCP sockets: how soon a silent connection is noticed.
+//! TCP socket options that decide how soon a dead connection is noticed.
 
 use std::io;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 use socket2::TcpKeepalive;
 use tokio::net::TcpStream;
 
-/// After this much silence a connection is probed. A partition, a VM without power and a dropped
-/// flow all look like an idle connection; without probes an open watch would hang for good.
+/// How long a connection is idle before it is probed. A partition, a VM without power and a dropped
+/// flow all look like an idle connection: without probes an open watch would hang forever.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// The pause between two probes.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// How many probes go unanswered before the connection ends.
-const PROBES: u32 = 2;
+/// The time between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// How many unanswered probes end the connection.
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
-/// Sets a connection up: no delay of small packets, and an end after `silence` without an
-/// acknowledgement of what was sent.
+/// Turns off Nagle's algorithm, turns on keep-alive probes, and ends the connection if sent bytes
+/// stay unacknowledged for `unacked_timeout`.
 ///
 /// # Errors
 ///
-/// Fails where the system refuses an option.
-pub fn prepare(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// Fails if the system rejects an option.
+pub fn prepare(stream: &TcpStream, unacked_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_AFTER)
-        .with_interval(PROBE_PAUSE)
-        .with_retries(PROBES);
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(silence))
+    socket.set_tcp_user_timeout(Some(unacked_timeout))
 }
