--- a/crates/link/src/output.rs
+++ b/crates/link/src/output.rs
@@ -44,7 +44,7 @@
 
 /// The largest number of queued lines: a few seconds of a busy VM's lines, about a megabyte.
 const MAX_QUEUED_LINES: usize = 4096;
-/// The largest number of queued lines at which a line below warning level is still accepted.
+/// The number of queued lines from which on lines below warning level are dropped.
 const MAX_ROUTINE_LINES: usize = MAX_QUEUED_LINES / 4 * 3;
 /// How long an exiting process waits for its last lines to be written. A reader that has stopped
 /// reading must not delay the exit any longer.
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Keeps all calls of a VM within its rate budget.
+//! Keeps a VM's platform calls within its rate budget.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -22,32 +22,33 @@
 use crate::limit::Rate;
 use crate::limit::Verdict;
 
-/// A platform whose calls wait for the rate budget. Waiting work of more importance goes first,
-/// as it needs less in the bucket.
+/// A platform whose calls wait for the rate budget. Among waiting writes, those of higher priority go
+/// first because they need fewer tokens in the bucket.
 pub struct Client<P> {
     inner: P,
     clock: Clock,
     budget: Mutex<Budget>,
-    patience: Millis,
+    max_wait: Millis,
 }
 
 impl<P: Platform> Client<P> {
-    /// Wraps `inner`; a call that would wait for longer than `patience` fails at once.
-    pub fn new(inner: P, rate: Rate, patience: Millis, clock: Clock) -> Self {
+    /// Wraps `inner`. A call that would have to wait longer than `max_wait` in all fails at once.
+    pub fn new(inner: P, rate: Rate, max_wait: Millis, clock: Clock) -> Self {
         let budget = Mutex::new(Budget::new(rate, clock.now()));
         Self {
             inner,
             clock,
             budget,
-            patience,
+            max_wait,
         }
     }
 
-    async fn pass<F>(&self, decide: F) -> Result<()>
+    /// Waits until `decide` lets the call be sent.
+    async fn admit<F>(&self, decide: F) -> Result<()>
     where
         F: Fn(&mut Budget, Millis) -> Verdict + Send,
     {
-        let mut left = self.patience;
+        let mut wait_left = self.max_wait;
         loop {
             let verdict = {
                 let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
@@ -56,20 +57,20 @@
             let Verdict::Wait(span) = verdict else {
                 return Ok(());
             };
-            if span > left {
+            if span > wait_left {
                 return Err(Fault::Limited(span));
             }
-            left = left.since(span);
+            wait_left = wait_left.since(span);
             tokio::time::sleep(span.as_duration()).await;
         }
     }
 
-    async fn pass_read(&self) -> Result<()> {
-        self.pass(Budget::read).await
+    async fn admit_read(&self) -> Result<()> {
+        self.admit(Budget::read).await
     }
 
-    async fn pass_write(&self, priority: Priority) -> Result<()> {
-        self.pass(move |budget, now| budget.write(priority, now))
+    async fn admit_write(&self, priority: Priority) -> Result<()> {
+        self.admit(move |budget, now| budget.write(priority, now))
             .await
     }
 }
@@ -77,17 +78,17 @@
 #[async_trait]
 impl<P: Platform> Platform for Client<P> {
     async fn range(&self, prefix: &str, from: &str, limit: usize) -> Result<Vec<Entry>> {
-        self.pass_read().await?;
+        self.admit_read().await?;
         self.inner.range(prefix, from, limit).await
     }
 
     async fn read(&self, key: &str) -> Result<Option<Entry>> {
-        self.pass_read().await?;
+        self.admit_read().await?;
         self.inner.read(key).await
     }
 
     async fn commit(&self, txn: &Txn, priority: Priority) -> Result<Outcome> {
-        self.pass_write(priority).await?;
+        self.admit_write(priority).await?;
         self.inner.commit(txn, priority).await
     }
 
@@ -105,27 +106,27 @@
     }
 
     async fn grant(&self, ttl: Millis) -> Result<Lease> {
-        self.pass_write(Priority::Claim).await?;
+        self.admit_write(Priority::Claim).await?;
         self.inner.grant(ttl).await
     }
 
     async fn renew(&self, lease: Lease) -> Result<bool> {
-        self.pass_write(Priority::Claim).await?;
+        self.admit_write(Priority::Claim).await?;
         self.inner.renew(lease).await
     }
 
     async fn revoke(&self, lease: Lease) -> Result<()> {
-        self.pass_write(Priority::Claim).await?;
+        self.admit_write(Priority::Claim).await?;
         self.inner.revoke(lease).await
     }
 
     async fn watch(&self, prefix: &str, revision: u64) -> Result<mpsc::Receiver<Change>> {
-        self.pass_read().await?;
+        self.admit_read().await?;
         self.inner.watch(prefix, revision).await
     }
 
     async fn machines(&self) -> Result<Vec<Machine>> {
-        self.pass_read().await?;
+        self.admit_read().await?;
         self.inner.machines().await
     }
 }
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -1,4 +1,4 @@
-//! The trait that each adapter of the platform implements, and its data.
+//! The trait that every platform adapter implements, and its data types.
 
 use async_trait::async_trait;
 use derive_more::Display;
@@ -9,30 +9,31 @@
 use wire::clock::Millis;
 use wire::id;
 
-/// The largest value in bytes that the platform holds.
+/// The largest value that the platform stores, in bytes.
 pub const MAX_VALUE: usize = 1024 * 1024;
 
-/// Why a call of the platform failed.
+/// The reason that a platform call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// The call had no effect: it never reached the platform, or the platform refused it.
+    /// The call had no effect because it never reached the platform, or the platform refused it.
     #[display("the platform doesn't answer: {_0}")]
     Down(#[error(not(source))] String),
     /// The call may have taken effect, or may still do so later.
     #[display("the outcome isn't known: {_0}")]
     Unknown(#[error(not(source))] String),
-    /// The call had no effect, as the rate budget of this VM or the platform's limit is used up.
+    /// The call had no effect because this VM's rate budget or the platform's limit is used up. Holds
+    /// the time after which to retry.
     #[display("over the rate limit, again in {_0}")]
     Limited(#[error(not(source))] Millis),
-    /// The call had no effect, as the platform doesn't take it: a value over [`MAX_VALUE`], say.
+    /// The call had no effect because it is invalid, for example a value over [`MAX_VALUE`].
     #[display("the platform doesn't take the call: {_0}")]
     Invalid(#[error(not(source))] String),
 }
 
-/// The outcome of a call of the platform.
+/// The result of a platform call.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// How much a call matters when the rate budget is short; the first goes first.
+/// The priority of a call when the rate budget is short, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Intents of calls that may run at most once, and commits that a caller waits for.
@@ -41,7 +42,7 @@
     Change,
     /// Claims and leases.
     Claim,
-    /// Snapshots, sweeps and other work that can wait.
+    /// Snapshots, sweeps and other deferrable work.
     Background,
 }
 
@@ -52,7 +53,7 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The revision of the platform at which the key last changed; never 0.
+    /// The platform's revision at which the key was last changed; never 0.
     pub revision: u64,
 }
 
@@ -61,7 +62,7 @@
 pub struct Compare {
     /// The key.
     pub key: String,
-    /// The revision at which the key must have changed last; 0 demands that it is absent.
+    /// The revision at which the key must have been last changed; 0 requires that it is absent.
     pub revision: u64,
 }
 
@@ -74,14 +75,14 @@
         key: String,
         /// The value.
         value: Vec<u8>,
-        /// The lease whose end removes the key.
+        /// The lease whose end removes the key, if any.
         lease: Option<Lease>,
     },
-    /// Removes a key; an absent one is no fault.
+    /// Removes a key. It is no error if the key is absent.
     Delete(String),
 }
 
-/// Writes that take effect together, or not at all, where every condition holds.
+/// Writes that take effect together if every condition holds, and else not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// The conditions.
@@ -90,12 +91,12 @@
     pub writes: Vec<Write>,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect at this revision of the platform.
+    /// The transaction took effect at this revision of the platform.
     Applied(u64),
-    /// A condition failed; the present entries of the compared keys that exist.
+    /// A condition failed. Holds the current entries of the compared keys that exist.
     Refused(Vec<Entry>),
 }
 
@@ -117,7 +118,7 @@
     },
 }
 
-/// Where a VM stands, as far as the platform's list knows; the list lags.
+/// A VM's state according to the platform's list, which lags behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
@@ -127,26 +128,26 @@
     Leaving,
 }
 
-/// A line of the platform's list. A VM that is absent from the list is gone.
+/// An entry of the platform's list. A VM that is absent from the list is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// The VM's or endpoint's name.
     pub name: String,
     /// Its data centre.
     pub centre: id::Centre,
-    /// Whether it stays.
+    /// Whether it runs or is about to leave.
     pub standing: Standing,
 }
 
-/// The platform as the system sees it.
+/// The platform's operations that the system uses.
 ///
 /// # Errors
 ///
-/// Every call fails with a [`Fault`] that tells whether it can have taken effect.
+/// Every call fails with a [`Fault`] that says whether the call can have taken effect.
 #[async_trait]
 pub trait Platform: Send + Sync + 'static {
-    /// Lists up to `limit` entries whose keys begin with `prefix` and are not below `from`, in
-    /// the order of their keys. An empty `from` lists from the start.
+    /// Lists up to `limit` entries whose keys begin with `prefix` and are not below `from`, in key
+    /// order. An empty `from` lists from the start.
     async fn range(&self, prefix: &str, from: &str, limit: usize) -> Result<Vec<Entry>>;
 
     /// Reads one key.
@@ -155,23 +156,23 @@
     /// Runs a transaction.
     async fn commit(&self, txn: &Txn, priority: Priority) -> Result<Outcome>;
 
-    /// Waits until a write of this priority fits the VM's rate budget, and takes nothing of it. Who
-    /// gathers work for one write gathers it until then.
+    /// Waits until a write of this priority fits the VM's rate budget, without consuming any of it.
+    /// A caller that batches work into one write keeps collecting until this returns.
     async fn wait_for_budget(&self, _weight: Priority) {}
 
-    /// Makes a lease that ends after `ttl` without a renewal.
+    /// Grants a lease that expires after `ttl` without a renewal.
     async fn grant(&self, ttl: Millis) -> Result<Lease>;
 
-    /// Renews a lease; `false` where it has ended.
+    /// Renews a lease. Returns `false` if it has ended.
     async fn renew(&self, lease: Lease) -> Result<bool>;
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     async fn revoke(&self, lease: Lease) -> Result<()>;
 
-    /// Watches the keys that begin with `prefix`, from `revision` on or, where that is older, from
-    /// the oldest that the platform still knows. The caller lists before it watches, and passes
-    /// one more than the highest revision listed. The channel closes when the watch breaks off;
-    /// the caller then lists again and watches anew.
+    /// Watches the keys that begin with `prefix`, starting at `revision`, or at the oldest revision
+    /// that the platform still keeps if that is later. The caller lists the keys first, and passes
+    /// one more than the highest revision listed. The channel closes when the watch breaks off; the
+    /// caller then lists and watches again.
     async fn watch(&self, prefix: &str, revision: u64) -> Result<mpsc::Receiver<Change>>;
 
     /// Reads the list of VMs and endpoints.
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -1,9 +1,8 @@
 //! The adapter to a platform that speaks the etcd v3 JSON gateway format over HTTP.
 //!
-//! The difference between [`Fault::Down`] and [`Fault::Unknown`] is what the promises of the
-//! system rest on: a write fails as `Down` only where no connection was made, or where the
-//! platform said that it took no effect. Everything that fails once the request may have been
-//! written is `Unknown`.
+//! The system's guarantees depend on the difference between [`Fault::Down`] and [`Fault::Unknown`]:
+//! a write fails as `Down` only if no connection was made, or the platform said that the write had no
+//! effect. Any failure after the request may have been written is `Unknown`.
 
 pub mod format;
 mod watch;
@@ -50,19 +49,19 @@
 use crate::edge::Write;
 use crate::etcd::format::Blob;
 
-/// What the platform says where it refuses a call before it takes any effect.
+/// The platform's message for a call that it refuses before the call has any effect.
 const NO_LEADER: &str = "etcdserver: no leader";
-/// When a call that the platform's own limit refused is worth another try: a tenth of the second
-/// over which the platform counts.
-const LIMITED_PAUSE: Millis = Millis::new(100);
-/// The longest answer in bytes: a full list of values of a megabyte has to come in parts.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
-/// After this much silence a connection is probed, so that a watch over a cut network ends.
+/// How long to wait before retrying a call that exceeded the platform's own limit: a tenth of the
+/// second over which the platform counts.
+const LIMITED_RETRY_DELAY: Millis = Millis::new(100);
+/// The longest response in bytes. A long list of values of a megabyte each has to be read in parts.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// How long a connection is idle before it is probed, so that a watch ends if the network is cut.
 const PROBE_AFTER: Duration = Duration::from_secs(5);
-/// The pause between two probes; three without an answer end the connection.
-const PROBE_PAUSE: Duration = Duration::from_secs(2);
-/// How many probes go unanswered before a connection ends.
-const PROBES: u32 = 3;
+/// The time between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
+/// How many unanswered probes end a connection.
+const MAX_UNANSWERED_PROBES: u32 = 3;
 
 type Http = legacy::Client<HttpConnector, Full<Bytes>>;
 
@@ -71,14 +70,15 @@
 pub struct Etcd {
     http: Http,
     addresses: Vec<SocketAddr>,
-    /// The address that answered last.
+    /// The index of the address that answered last.
     preferred: AtomicUsize,
-    /// The oldest revision that can still be watched, as far as a watch was told.
+    /// The oldest revision that can still be watched, as last reported to a watch.
     compacted: Arc<AtomicU64>,
+    /// The time-out of a call at each address.
     timeout: Millis,
 }
 
-/// Whether a call may change something at the platform.
+/// Whether a call may change data at the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
     Read,
@@ -86,17 +86,17 @@
 }
 
 impl Etcd {
-    /// Makes an adapter that uses the first of `addresses` that answers, and gives each call
-    /// `timeout`. Without an address every call is [`Fault::Down`].
+    /// Creates an adapter that uses the first of `addresses` that answers. A call times out after
+    /// `timeout` for each address. Without an address every call fails with [`Fault::Down`].
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>, timeout: Millis) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_keepalive(Some(PROBE_AFTER));
-        connector.set_keepalive_interval(Some(PROBE_PAUSE));
-        connector.set_keepalive_retries(Some(PROBES));
-        // Shorter than a call's time-out: a failure to connect must show as such, not as a
-        // timed-out call whose effect isn't known.
+        connector.set_keepalive_interval(Some(PROBE_INTERVAL));
+        connector.set_keepalive_retries(Some(MAX_UNANSWERED_PROBES));
+        // Shorter than a call's time-out, so that a failure to connect is reported as such and not
+        // as a timed-out call whose effect isn't known.
         connector.set_connect_timeout(Some(timeout.as_duration() / 2));
         let http = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
@@ -124,31 +124,32 @@
     where
         R: DeserializeOwned,
     {
-        let answer = async {
+        let response = async {
             let response = self.open(method, path, body, effect).await?;
             let body = response.into_body();
-            let whole = Limited::new(body, MAX_ANSWER).collect().await;
-            let whole = whole.map_err(|fault| broken(effect, &fault.to_string()))?;
-            serde_json::from_slice(&whole.to_bytes())
-                .map_err(|fault| broken(effect, &fault.to_string()))
+            let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+            let collected = collected.map_err(|fault| failure(effect, &fault.to_string()))?;
+            serde_json::from_slice(&collected.to_bytes())
+                .map_err(|fault| failure(effect, &fault.to_string()))
         };
-        self.timed(answer, effect).await
+        self.timed(response, effect).await
     }
 
     async fn timed<T>(
         &self,
-        answer: impl Future<Output = Result<T>> + Send,
+        response: impl Future<Output = Result<T>> + Send,
         effect: Effect,
     ) -> Result<T> {
         let rounds = u32::try_from(self.addresses.len()).unwrap_or(1).max(1);
         let limit = self.timeout.as_duration() * rounds;
-        match tokio::time::timeout(limit, answer).await {
+        match tokio::time::timeout(limit, response).await {
             Ok(result) => result,
-            Err(_) => Err(broken(effect, "no answer in time")),
+            Err(_) => Err(failure(effect, "no answer in time")),
         }
     }
 
-    /// Sends a call to the first address that can be connected to.
+    /// Sends a call to the first address that accepts a connection. Reads are also retried at the next
+    /// address after any other failure to get a response.
     async fn open(
         &self,
         method: Method,
@@ -157,7 +158,7 @@
         effect: Effect,
     ) -> Result<Response<Incoming>> {
         let first = self.preferred.load(Ordering::Relaxed);
-        let mut last = "no address is set".to_owned();
+        let mut last_failure = "no address is set".to_owned();
         for step in 0..self.addresses.len() {
             let at = (first + step) % self.addresses.len();
             let request = request(&method, self.addresses[at], path, body.clone())?;
@@ -167,12 +168,12 @@
                     return accept(response, effect).await;
                 }
                 Err(fault) if fault.is_connect() || effect == Effect::Read => {
-                    last = format!("{}: {fault}", self.addresses[at]);
+                    last_failure = format!("{}: {fault}", self.addresses[at]);
                 }
-                Err(fault) => return Err(broken(effect, &fault.to_string())),
+                Err(fault) => return Err(failure(effect, &fault.to_string())),
             }
         }
-        Err(Fault::Down(last))
+        Err(Fault::Down(last_failure))
     }
 }
 
@@ -190,13 +191,15 @@
         .map_err(|fault| Fault::Invalid(fault.to_string()))
 }
 
-fn broken(effect: Effect, reason: &str) -> Fault {
+/// Returns the fault of a call that failed after it may have been sent.
+fn failure(effect: Effect, reason: &str) -> Fault {
     match effect {
         Effect::Read => Fault::Down(reason.to_owned()),
         Effect::Write => Fault::Unknown(reason.to_owned()),
     }
 }
 
+/// Returns a successful response, or else the fault that it reports.
 async fn accept(response: Response<Incoming>, effect: Effect) -> Result<Response<Incoming>> {
     let status = response.status();
     if status.is_success() {
@@ -209,14 +212,15 @@
     let fault: format::Fault = serde_json::from_slice(&text).unwrap_or_default();
     let reason = format!("{status}: {}", fault.message);
     Err(match status {
-        StatusCode::TOO_MANY_REQUESTS => Fault::Limited(LIMITED_PAUSE),
+        StatusCode::TOO_MANY_REQUESTS => Fault::Limited(LIMITED_RETRY_DELAY),
         _ if status.is_client_error() => Fault::Invalid(reason),
         _ if fault.message == NO_LEADER => Fault::Down(reason),
-        _ => broken(effect, &reason),
+        _ => failure(effect, &reason),
     })
 }
 
-/// The end of the keys that begin with `prefix`; a zero byte stands for the end of all keys.
+/// Returns the exclusive end of the range of keys that begin with `prefix`. A zero byte stands for
+/// the end of all keys.
 fn prefix_end(prefix: &str) -> Blob {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -228,7 +232,8 @@
     Blob::of(&[0])
 }
 
-/// The first key of a range; the empty key can't be named, a zero byte stands for it.
+/// Returns the first key of a range. A zero byte stands for the empty key, which the format can't
+/// express.
 fn first_key(key: &str) -> Blob {
     if key.is_empty() {
         return Blob::of(&[0]);
@@ -255,21 +260,21 @@
     }
 }
 
-fn one(key: &str) -> format::Range {
+fn single_key(key: &str) -> format::Range {
     format::Range {
         key: Blob::of(key.as_bytes()),
         ..format::Range::default()
     }
 }
 
-fn op(write: &Write) -> format::Op {
+fn operation(write: &Write) -> format::Op {
     match write {
         Write::Put { key, value, lease } => format::Op::Put(format::Put {
             key: Blob::of(key.as_bytes()),
             value: Blob::of(value),
             lease: lease.map_or(0, |lease| lease.0),
         }),
-        Write::Delete(key) => format::Op::Delete(one(key)),
+        Write::Delete(key) => format::Op::Delete(single_key(key)),
     }
 }
 
@@ -279,21 +284,24 @@
     if txn.writes.iter().any(too_long) {
         return Err(Fault::Invalid("a value is over the limit".to_owned()));
     }
-    let present = txn.compares.iter().map(|c| format::Op::Range(one(&c.key)));
+    let present = txn
+        .compares
+        .iter()
+        .map(|c| format::Op::Range(single_key(&c.key)));
     Ok(format::Txn {
         compare: txn.compares.iter().map(compare).collect(),
-        success: txn.writes.iter().map(op).collect(),
+        success: txn.writes.iter().map(operation).collect(),
         failure: present.collect(),
     })
 }
 
-fn outcome(ended: format::TxnResponse) -> Result<Outcome> {
-    if ended.succeeded {
-        return Ok(Outcome::Applied(ended.header.revision));
+fn outcome(response: format::TxnResponse) -> Result<Outcome> {
+    if response.succeeded {
+        return Ok(Outcome::Applied(response.header.revision));
     }
     let mut present = Vec::new();
-    for done in ended.responses {
-        let format::OpResponse::Range(ranged) = done else {
+    for operation in response.responses {
+        let format::OpResponse::Range(ranged) = operation else {
             continue;
         };
         for pair in &ranged.kvs {
@@ -321,24 +329,27 @@
     }
 
     async fn read(&self, key: &str) -> Result<Option<Entry>> {
-        let ranged: format::RangeResponse =
-            self.post("/v3/kv/range", &one(key), Effect::Read).await?;
+        let ranged: format::RangeResponse = self
+            .post("/v3/kv/range", &single_key(key), Effect::Read)
+            .await?;
         ranged.kvs.first().map(entry).transpose()
     }
 
     async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
         let txn = transaction(txn)?;
-        let ended: format::TxnResponse = self.post("/v3/kv/txn", &txn, Effect::Write).await?;
-        outcome(ended)
+        let response: format::TxnResponse = self.post("/v3/kv/txn", &txn, Effect::Write).await?;
+        outcome(response)
     }
 
     async fn grant(&self, ttl: Millis) -> Result<Lease> {
-        // The format knows whole seconds only; rounded up, a lease never ends early.
-        let wanted = format::Lease {
+        // The format has only whole seconds. Rounding up never lets a lease end early.
+        let request = format::Lease {
             id: 0,
             ttl: ttl.as_u64().div_ceil(1000),
         };
-        let lease: format::Lease = self.post("/v3/lease/grant", &wanted, Effect::Write).await?;
+        let lease: format::Lease = self
+            .post("/v3/lease/grant", &request, Effect::Write)
+            .await?;
         Ok(Lease(lease.id))
     }
 
@@ -361,30 +372,30 @@
         let revoked: Result<serde_json::Value> =
             self.post("/v3/lease/revoke", &held, Effect::Write).await;
         match revoked {
-            // It isn't known there: it has ended, as wished.
+            // `Invalid` means that the platform doesn't know the lease: it has already response.
             Ok(_) | Err(Fault::Invalid(_)) => Ok(()),
             Err(fault) => Err(fault),
         }
     }
 
     async fn watch(&self, prefix: &str, revision: u64) -> Result<mpsc::Receiver<Change>> {
-        // Older changes are gone, and the caller, who lists first, doesn't need them. Without this
-        // a prefix that rarely changes could never be watched again.
+        // Changes before `oldest` are no longer kept, and the caller doesn't need them because it
+        // lists first. Without this, a prefix that rarely changes could never be watched again.
         let oldest = self.compacted.load(Ordering::Relaxed).max(1);
-        let wanted = format::Watch {
+        let request = format::Watch {
             create_request: format::WatchCreate {
                 key: first_key(prefix),
                 range_end: prefix_end(prefix),
                 start_revision: revision.max(oldest),
             },
         };
-        let text = serde_json::to_vec(&wanted).map_err(|f| Fault::Invalid(f.to_string()))?;
-        let begin = async {
+        let text = serde_json::to_vec(&request).map_err(|f| Fault::Invalid(f.to_string()))?;
+        let opening = async {
             let path = "/v3/watch";
             let opened = self.open(Method::POST, path, Bytes::from(text), Effect::Read);
             watch::Lines::begin(opened.await?.into_body()).await
         };
-        let lines = self.timed(begin, Effect::Read).await?;
+        let lines = self.timed(opening, Effect::Read).await?;
         Ok(watch::follow(lines, self.compacted.clone()))
     }
 
--- a/crates/platform/src/etcd/format.rs
+++ b/crates/platform/src/etcd/format.rs
@@ -1,7 +1,7 @@
-//! The messages of the etcd v3 JSON gateway, as far as the system uses them.
+//! The messages of the etcd v3 JSON gateway that the system uses.
 //!
-//! Keys and values are base64, 64-bit numbers are strings, and fields that hold their default are
-//! left out of answers; names are taken in both the snake and the camel form.
+//! Keys and values are base64, 64-bit numbers are strings, and responses omit fields that hold their
+//! default. Field names are read in snake case and camel case.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -16,21 +16,21 @@
 use serde_with::Same;
 use serde_with::serde_as;
 
-/// A 64-bit number, written as a string and also read as a number.
+/// A 64-bit number, which is written as a string and read from a string or a number.
 type Int = PickFirst<(DisplayFromStr, Same)>;
 
-/// Bytes that stand in JSON as base64.
+/// Bytes, which are base64 in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blob(pub Bytes);
 
 impl Blob {
-    /// Copies some bytes.
+    /// Copies `bytes`.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(Bytes::copy_from_slice(bytes))
     }
 
-    /// Tells whether there are no bytes.
+    /// Returns whether there are no bytes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -51,12 +51,12 @@
     }
 }
 
-/// What stands before each answer.
+/// The header of each response.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The store's revision when it answered.
+    /// The store's revision at the time of the response.
     #[serde_as(as = "Int")]
     pub revision: u64,
 }
@@ -71,53 +71,53 @@
     /// The value.
     #[serde(skip_serializing_if = "Blob::is_empty")]
     pub value: Blob,
-    /// The revision that made the key.
+    /// The revision that created the key.
     #[serde(alias = "createRevision")]
     #[serde_as(as = "Int")]
     pub create_revision: u64,
-    /// The revision that changed it last.
+    /// The revision that last changed the key.
     #[serde(alias = "modRevision")]
     #[serde_as(as = "Int")]
     pub mod_revision: u64,
-    /// Its changes since it was made.
+    /// The number of changes since the key was created.
     #[serde_as(as = "Int")]
     pub version: u64,
-    /// Its lease, or 0.
+    /// The key's lease, or 0.
     #[serde(skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub lease: u64,
 }
 
-/// Asks for a range of keys; also names the keys to delete.
+/// Requests or deletes a range of keys.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Range {
     /// The first key.
     pub key: Blob,
-    /// The end, not itself asked for; empty asks for the one key.
+    /// The exclusive end. If empty, the range is the one key.
     #[serde(alias = "rangeEnd", skip_serializing_if = "Blob::is_empty")]
     pub range_end: Blob,
-    /// The most keys to answer; 0 for all.
+    /// The most keys to return; 0 for all.
     #[serde(skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub limit: u64,
 }
 
-/// The keys of a range.
+/// The response to a range request.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
     /// The header.
     pub header: Header,
-    /// The keys in their order.
+    /// The keys in key order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub kvs: Vec<Pair>,
-    /// Whether the limit left keys out.
+    /// Whether keys were left out because of the limit.
     #[serde(skip_serializing_if = "is_false")]
     pub more: bool,
-    /// How many keys there are without the limit.
+    /// How many keys there would be without the limit.
     #[serde(skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub count: u64,
@@ -138,7 +138,7 @@
     pub lease: u64,
 }
 
-/// The answer to [`Put`].
+/// The response to [`Put`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutResponse {
@@ -146,29 +146,29 @@
     pub header: Header,
 }
 
-/// The answer to a deletion.
+/// The response to a deletion.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteResponse {
     /// The header.
     pub header: Header,
-    /// How many keys went.
+    /// How many keys were deleted.
     #[serde(skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub deleted: u64,
 }
 
-/// What a condition looks at.
+/// The property of a key that a condition compares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
-    /// The count of changes.
+    /// The number of changes.
     #[default]
     Version,
-    /// The revision that made the key.
+    /// The revision that created the key.
     Create,
-    /// The revision that changed it last.
+    /// The revision that last changed the key.
     Mod,
     /// The value.
     Value,
@@ -178,41 +178,41 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Relation {
-    /// The store has the same.
+    /// The stored one is equal.
     #[default]
     Equal,
-    /// The store has more.
+    /// The stored one is greater.
     Greater,
-    /// The store has less.
+    /// The stored one is less.
     Less,
-    /// The store has something else.
+    /// The stored one differs.
     NotEqual,
 }
 
-/// A condition of a transaction. An absent key has 0 everywhere.
+/// A condition of a transaction. For an absent key, all numbers are 0.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// How it compares.
+    /// How the stored property must compare.
     pub result: Relation,
-    /// What it looks at.
+    /// The property to compare.
     pub target: Target,
     /// The key.
     pub key: Blob,
-    /// For [`Target::Version`].
+    /// The operand of [`Target::Version`].
     #[serde(skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub version: u64,
-    /// For [`Target::Create`].
+    /// The operand of [`Target::Create`].
     #[serde(alias = "createRevision", skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub create_revision: u64,
-    /// For [`Target::Mod`].
+    /// The operand of [`Target::Mod`].
     #[serde(alias = "modRevision", skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub mod_revision: u64,
-    /// For [`Target::Value`].
+    /// The operand of [`Target::Value`].
     #[serde(skip_serializing_if = "Blob::is_empty")]
     pub value: Blob,
 }
@@ -220,47 +220,47 @@
 /// One operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
-    /// Reads.
+    /// Reads keys.
     #[serde(rename = "request_range", alias = "requestRange")]
     Range(Range),
-    /// Sets.
+    /// Sets a key.
     #[serde(rename = "request_put", alias = "requestPut")]
     Put(Put),
-    /// Deletes.
+    /// Deletes keys.
     #[serde(rename = "request_delete_range", alias = "requestDeleteRange")]
     Delete(Range),
 }
 
-/// The answer to one operation.
+/// The response to one operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OpResponse {
-    /// To a read.
+    /// The response to a read.
     #[serde(rename = "response_range", alias = "responseRange")]
     Range(RangeResponse),
-    /// To a put.
+    /// The response to a put.
     #[serde(rename = "response_put", alias = "responsePut")]
     Put(PutResponse),
-    /// To a deletion.
+    /// The response to a deletion.
     #[serde(rename = "response_delete_range", alias = "responseDeleteRange")]
     Delete(DeleteResponse),
 }
 
-/// A transaction: `success` where every condition holds, else `failure`.
+/// A transaction: runs `success` if every condition holds, and `failure` otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Txn {
     /// The conditions.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub compare: Vec<Compare>,
-    /// Run where all hold.
+    /// The operations to run if all conditions hold.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub success: Vec<Op>,
-    /// Run where one fails.
+    /// The operations to run if a condition fails.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub failure: Vec<Op>,
 }
 
-/// What became of a transaction.
+/// The response to a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
@@ -269,27 +269,27 @@
     /// Whether every condition held.
     #[serde(skip_serializing_if = "is_false")]
     pub succeeded: bool,
-    /// The answers to the operations that ran.
+    /// The responses to the operations that ran.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub responses: Vec<OpResponse>,
 }
 
-/// Makes, renews or ends a lease; the answer has the same fields.
+/// Grants, renews or revokes a lease. The response has the same fields.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Lease {
-    /// The lease; 0 asks for a new id.
+    /// The lease's id. In a grant, 0 requests a new one.
     #[serde(rename = "ID")]
     #[serde_as(as = "Int")]
     pub id: u64,
-    /// Its span in seconds; 0 in an answer says that it has ended.
+    /// The time to live in seconds. In a response, 0 means that the lease has ended.
     #[serde(rename = "TTL", skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub ttl: u64,
 }
 
-/// Asks for a watch.
+/// Requests a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Watch {
@@ -298,60 +298,61 @@
     pub create_request: WatchCreate,
 }
 
-/// What to watch, and from when on.
+/// The keys to watch, and from which revision on.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
     /// The first key.
     pub key: Blob,
-    /// The end, not itself watched; empty watches the one key.
+    /// The exclusive end. If empty, only the one key is watched.
     #[serde(alias = "rangeEnd", skip_serializing_if = "Blob::is_empty")]
     pub range_end: Blob,
-    /// The first revision to tell of; 0 for the next.
+    /// The first revision to report; 0 for the next one.
     #[serde(alias = "startRevision", skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub start_revision: u64,
 }
 
-/// The wrapper of each answer of a stream.
+/// The wrapper of each response in a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StreamItem<T> {
-    /// The answer.
+    /// The response.
     pub result: T,
 }
 
-/// One answer of a watch.
+/// One response of a watch.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
     /// The header.
     pub header: Header,
-    /// Whether this answer says that the watch began.
+    /// Whether this response confirms that the watch has begun.
     #[serde(skip_serializing_if = "is_false")]
     pub created: bool,
     /// Whether the watch has ended.
     #[serde(skip_serializing_if = "is_false")]
     pub canceled: bool,
-    /// The oldest revision that can still be watched, where the watch ended for its age.
+    /// The oldest revision that can still be watched, if the watch ended because its start revision is
+    /// no longer kept.
     #[serde(alias = "compactRevision", skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub compact_revision: u64,
-    /// What happened.
+    /// The changes.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<Event>,
 }
 
-/// What happened to a key.
+/// The kind of change to a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Kind {
-    /// It was set.
+    /// The key was set.
     #[default]
     Put,
-    /// It was removed.
+    /// The key was removed.
     Delete,
 }
 
@@ -359,18 +360,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
-    /// What happened.
+    /// The kind of change.
     #[serde(rename = "type", skip_serializing_if = "is_put")]
     pub kind: Kind,
-    /// The key; of a removed one only name and revision.
+    /// The key. For a removed key, only its name and revision are set.
     pub kv: Pair,
 }
 
-/// Why a call failed.
+/// The body of an error response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// The reason in words.
+    /// The error message.
     pub message: String,
     /// The gRPC status code.
     pub code: u32,
--- a/crates/platform/src/etcd/format/tests.rs
+++ b/crates/platform/src/etcd/format/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-// The texts are what an etcd gateway takes and answers, written out by hand.
+// The texts are requests and responses of an etcd gateway, written out by hand.
 #[rstest]
 #[case::snake(r#"{"key":"Zm9v","target":"MOD","result":"EQUAL","mod_revision":"7"}"#)]
 #[case::camel(r#"{"key":"Zm9v","target":"MOD","modRevision":"7"}"#)]
@@ -42,10 +42,10 @@
 fn an_answer_without_defaults_is_read() {
     let text = r#"{"header":{"cluster_id":"1","revision":"5"},
         "responses":[{"response_range":{"kvs":[{"key":"Zm9v","mod_revision":"4"}],"count":"1"}}]}"#;
-    let ended: TxnResponse = serde_json::from_str(text).unwrap();
-    assert!(!ended.succeeded);
-    let OpResponse::Range(ranged) = &ended.responses[0] else {
-        panic!("not a range")
+    let response: TxnResponse = serde_json::from_str(text).unwrap();
+    assert!(!response.succeeded);
+    let OpResponse::Range(ranged) = &response.responses[0] else {
+        panic!("the response isn't a range")
     };
     assert_eq!(ranged.kvs[0].mod_revision, 4);
     assert!(ranged.kvs[0].value.is_empty());
@@ -55,7 +55,7 @@
 fn a_removal_is_read() {
     let text =
         r#"{"result":{"events":[{"type":"DELETE","kv":{"key":"Zm9v","mod_revision":"9"}}]}}"#;
-    let part: StreamItem<WatchResponse> = serde_json::from_str(text).unwrap();
-    assert_eq!(part.result.events[0].kind, Kind::Delete);
-    assert_eq!(part.result.events[0].kv.mod_revision, 9);
+    let item: StreamItem<WatchResponse> = serde_json::from_str(text).unwrap();
+    assert_eq!(item.result.events[0].kind, Kind::Delete);
+    assert_eq!(item.result.events[0].kv.mod_revision, 9);
 }
--- a/crates/platform/src/etcd/watch.rs
+++ b/crates/platform/src/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! A watch's stream of answers, one JSON object a line.
+//! A watch's response stream, one JSON object per line.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -19,26 +19,27 @@
 use crate::etcd::format::StreamItem;
 use crate::etcd::format::WatchResponse;
 
-/// How many changes wait for a slow reader; the connection's flow control holds the rest back.
-const DEPTH: usize = 1024;
-/// The longest line in bytes: a batch of a few of the largest values in base64.
-const MAX_LINE: usize = 16 * MAX_VALUE;
+/// How many changes are buffered for a slow reader. The connection's flow control holds back the
+/// rest.
+const BUFFERED_CHANGES: usize = 1024;
+/// The longest line in bytes: enough for a batch of several of the largest values in base64.
+const MAX_LINE_BYTES: usize = 16 * MAX_VALUE;
 
-/// The answers of a watch that has begun.
+/// The responses of a watch that has begun.
 pub(super) struct Lines {
     body: Incoming,
     buffer: BytesMut,
 }
 
 impl Lines {
-    /// Waits for the answer that says that the watch has begun.
+    /// Waits for the response that confirms that the watch has begun.
     pub(super) async fn begin(body: Incoming) -> Result<Self> {
         let mut lines = Self {
             body,
             buffer: BytesMut::new(),
         };
         match lines.next().await {
-            Some(seen) if seen.created && !seen.canceled => Ok(lines),
+            Some(response) if response.created && !response.canceled => Ok(lines),
             _ => Err(Fault::Down("the watch didn't begin".to_owned())),
         }
     }
@@ -49,11 +50,11 @@
             let end = self.buffer[searched..].iter().position(|b| *b == b'\n');
             if let Some(end) = end {
                 let line = self.buffer.split_to(searched + end + 1);
-                let part: StreamItem<WatchResponse> = serde_json::from_slice(&line).ok()?;
-                return Some(part.result);
+                let item: StreamItem<WatchResponse> = serde_json::from_slice(&line).ok()?;
+                return Some(item.result);
             }
             searched = self.buffer.len();
-            if searched > MAX_LINE {
+            if searched > MAX_LINE_BYTES {
                 return None;
             }
             let frame = self.body.frame().await?.ok()?;
@@ -64,21 +65,21 @@
     }
 }
 
-/// Passes the changes on until the watch ends or nobody listens any more. Raises `compacted` where
-/// the watch ends as it began at a revision that is no longer kept.
+/// Forwards the changes until the watch ends or the receiver is dropped. Raises `compacted` if the
+/// watch ends because it began at a revision that is no longer kept.
 pub(super) fn follow(mut lines: Lines, compacted: Arc<AtomicU64>) -> mpsc::Receiver<Change> {
-    let (sender, receiver) = mpsc::channel(DEPTH);
+    let (sender, receiver) = mpsc::channel(BUFFERED_CHANGES);
     tokio::spawn(async move {
         loop {
-            let seen = tokio::select! {
-                seen = lines.next() => seen,
+            let response = tokio::select! {
+                response = lines.next() => response,
                 () = sender.closed() => return,
             };
-            let Some(seen) = seen else {
+            let Some(response) = response else {
                 return;
             };
-            compacted.fetch_max(seen.compact_revision, Ordering::Relaxed);
-            for event in seen.events {
+            compacted.fetch_max(response.compact_revision, Ordering::Relaxed);
+            for event in response.events {
                 let Ok(change) = change(&event) else {
                     return;
                 };
@@ -86,7 +87,7 @@
                     return;
                 }
             }
-            if seen.canceled {
+            if response.canceled {
                 return;
             }
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The edge to the platform's key-value service and its list of VMs.
+//! The interface to the platform's key-value service and its list of VMs.
 //!
-//! What the VMs of the system agree on or keep goes through [`edge::Platform`]. The trait says
-//! what the system relies on: compare-and-swap over several keys, leases, watches, and an honest
-//! difference between "did not happen" and "not known whether it happened".
+//! The VMs agree on shared state, and store it, through [`edge::Platform`]. The trait states what the
+//! system relies on: compare-and-swap over several keys, leases, watches, and errors that reliably
+//! distinguish "had no effect" from "may have had an effect".
 
 pub mod client;
 pub mod edge;
--- a/crates/platform/src/limit/tests.rs
+++ b/crates/platform/src/limit/tests.rs
@@ -25,8 +25,8 @@
     assert_eq!(drain(&mut budget, priority, START), expected);
 }
 
-// Snapshots use up what they may. A commit that comes at the same moment is sent at once, as the
-// snapshots had to leave half of the bucket.
+// Background writes use up their part of the bucket. A commit at the same moment is sent at once,
+// because background work has to leave half of the bucket.
 #[test]
 fn background_work_leaves_room_for_commits() {
     let mut budget = Budget::new(RATE, START);
@@ -38,10 +38,10 @@
     assert_eq!(budget.write(Priority::Commit, START), Verdict::Go);
 }
 
-// Commits come without end and take every free write. A lease renewal is still sent within a
-// second, as claims have a bucket of their own; otherwise the VM would lose its shards.
+// Continuous commits take every free write. A lease renewal is still sent each second, because
+// claims have a reserved bucket. Without it the VM would lose its shards.
 #[test]
-fn endless_commits_dont_hold_renewals_up() {
+fn continuous_commits_do_not_delay_renewals() {
     let mut budget = Budget::new(RATE, START);
     let mut renewed = 0;
     for step in 0..10_000 {
@@ -75,18 +75,18 @@
 }
 
 #[test]
-fn a_wait_is_long_enough() {
+fn a_write_fits_after_its_wait() {
     let mut budget = Budget::new(RATE, START);
     drain(&mut budget, Priority::Background, START);
     let Verdict::Wait(span) = budget.write(Priority::Background, START) else {
-        panic!("not used up")
+        panic!("the bucket is not used up")
     };
     let later = START.plus(span);
     assert_eq!(budget.write(Priority::Background, later), Verdict::Go);
 }
 
 #[test]
-fn a_clock_that_steps_back_gives_nothing() {
+fn a_clock_that_steps_back_refills_nothing() {
     let mut budget = Budget::new(RATE, START);
     drain(&mut budget, Priority::Commit, START);
     let earlier = Millis::new(START.as_u64() - 5_000);
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -1,4 +1,4 @@
-//! A platform in memory for tests of what stands on it, with the faults that the real one has.
+//! An in-memory platform for tests, with injection of the faults that the real platform has.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -23,21 +23,21 @@
 use crate::edge::Txn;
 use crate::edge::Write;
 
-/// How many undelivered changes a watch holds before it breaks off.
+/// How many undelivered changes a watch buffers before it breaks off.
 const WATCH_DEPTH: usize = 1024;
 
-/// A fault to play on the next write.
+/// A fault to inject into a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Injection {
-    /// The write takes effect and its answer is lost.
+    /// The write takes effect, and its response is lost.
     LoseAnswer,
-    /// The write is lost before it takes effect, and the caller can't tell.
+    /// The write is lost before it takes effect. The caller can't tell whether it did.
     LoseWrite,
-    /// The write is held back and takes effect at [`Memory::deliver`]; the caller can't tell.
+    /// The write is delayed until [`Memory::deliver`]. The caller can't tell whether it took effect.
     Delay,
 }
 
-/// A platform in memory. Clones share their state.
+/// An in-memory platform. Clones share their state.
 #[derive(Clone, Default)]
 pub struct Memory {
     clock: Clock,
@@ -46,19 +46,24 @@
 
 #[derive(Default)]
 struct State {
+    /// Sorted by key, each with its lease.
     entries: Vec<(Entry, Option<Lease>)>,
     revision: u64,
+    /// Each lease with its expiry and its duration.
     leases: Vec<(Lease, Millis, Millis)>,
+    /// Each watch's prefix and where to send its changes.
     watches: Vec<(String, mpsc::Sender<Change>)>,
     machines: Vec<Machine>,
     down: bool,
+    /// The faults to inject, the next one last.
     injections: Vec<Injection>,
     delayed: Vec<Txn>,
+    /// Write calls so far.
     writes: u64,
 }
 
 impl Memory {
-    /// Makes an empty platform whose leases follow `clock`.
+    /// Creates an empty platform whose leases expire by `clock`.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -72,16 +77,16 @@
         self.lock().down = down;
     }
 
-    /// Plays a fault on the next write that nothing was planned for yet.
+    /// Injects a fault into the next write that has none planned yet.
     pub fn inject(&self, injection: Injection) {
         self.lock().injections.insert(0, injection);
     }
 
-    /// Lets every delayed write take effect or be refused, as its conditions say.
+    /// Applies every delayed write whose conditions hold and whose leases have not ended.
     pub fn deliver(&self) {
         let mut state = self.lock();
         for txn in std::mem::take(&mut state.delayed) {
-            if state.holds_leases(&txn) {
+            if state.has_live_leases(&txn) {
                 state.apply(&txn);
             }
         }
@@ -92,7 +97,7 @@
         self.lock().machines = machines;
     }
 
-    /// Counts the writes that were tried.
+    /// Returns the number of writes that were tried.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.lock().writes
@@ -104,7 +109,7 @@
         state
     }
 
-    fn reach(&self) -> Result<MutexGuard<'_, State>> {
+    fn connect(&self) -> Result<MutexGuard<'_, State>> {
         let state = self.lock();
         if state.down {
             return Err(Fault::Down("outage".to_owned()));
@@ -123,9 +128,9 @@
         self.find(key).map_or(0, |at| self.entries[at].0.revision)
     }
 
-    /// Tells whether every lease of a transaction lasts; a key put under one that has ended would
-    /// never go.
-    fn holds_leases(&self, txn: &Txn) -> bool {
+    /// Returns whether no lease of a transaction has ended. A key put under an ended lease would never
+    /// be removed.
+    fn has_live_leases(&self, txn: &Txn) -> bool {
         txn.writes.iter().all(|write| match write {
             Write::Put { lease, .. } => {
                 lease.is_none_or(|lease| self.leases.iter().any(|(id, ..)| *id == lease))
@@ -162,7 +167,7 @@
                     Ok(at) => self.entries[at] = (entry.clone(), *lease),
                     Err(at) => self.entries.insert(at, (entry.clone(), *lease)),
                 }
-                self.tell(&Change::Set(entry));
+                self.notify(&Change::Set(entry));
             }
             Write::Delete(key) => self.remove(key),
         }
@@ -171,14 +176,14 @@
     fn remove(&mut self, key: &str) {
         if let Ok(at) = self.find(key) {
             self.entries.remove(at);
-            self.tell(&Change::Removed {
+            self.notify(&Change::Removed {
                 key: key.to_owned(),
                 revision: self.revision,
             });
         }
     }
 
-    fn tell(&mut self, change: &Change) {
+    fn notify(&mut self, change: &Change) {
         let key = match change {
             Change::Set(entry) => &entry.key,
             Change::Removed { key, .. } => key,
@@ -202,11 +207,11 @@
 
     fn end(&mut self, lease: Lease) {
         self.leases.retain(|(id, ..)| *id != lease);
-        let held = self
+        let attached = self
             .entries
             .iter()
             .filter(|(_, holder)| *holder == Some(lease));
-        let keys: Vec<String> = held.map(|(entry, _)| entry.key.clone()).collect();
+        let keys: Vec<String> = attached.map(|(entry, _)| entry.key.clone()).collect();
         self.revision += 1;
         for key in keys {
             self.remove(&key);
@@ -217,19 +222,19 @@
 #[async_trait]
 impl Platform for Memory {
     async fn range(&self, prefix: &str, from: &str, limit: usize) -> Result<Vec<Entry>> {
-        let state = self.reach()?;
+        let state = self.connect()?;
         let entries = state.entries.iter().map(|(entry, _)| entry);
         let listed = entries.filter(|e| e.key.starts_with(prefix) && e.key.as_str() >= from);
         Ok(listed.take(limit).cloned().collect())
     }
 
     async fn read(&self, key: &str) -> Result<Option<Entry>> {
-        let state = self.reach()?;
+        let state = self.connect()?;
         Ok(state.find(key).ok().map(|at| state.entries[at].0.clone()))
     }
 
     async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
-        let mut state = self.reach()?;
+        let mut state = self.connect()?;
         state.writes += 1;
         let too_long =
             |write: &Write| matches!(write, Write::Put { value, .. } if value.len() > MAX_VALUE);
@@ -237,7 +242,7 @@
             return Err(Fault::Invalid("a value is over the limit".to_owned()));
         }
         let lost = || Fault::Unknown("the answer was lost".to_owned());
-        if !state.holds_leases(txn) {
+        if !state.has_live_leases(txn) {
             return Err(Fault::Invalid("a lease has ended".to_owned()));
         }
         match state.injections.pop() {
@@ -256,7 +261,7 @@
 
     async fn grant(&self, ttl: Millis) -> Result<Lease> {
         let now = self.clock.now();
-        let mut state = self.reach()?;
+        let mut state = self.connect()?;
         state.revision += 1;
         let lease = Lease(state.revision);
         state.leases.push((lease, now.plus(ttl), ttl));
@@ -265,7 +270,7 @@
 
     async fn renew(&self, lease: Lease) -> Result<bool> {
         let now = self.clock.now();
-        let mut state = self.reach()?;
+        let mut state = self.connect()?;
         let Some(held) = state.leases.iter_mut().find(|(id, ..)| *id == lease) else {
             return Ok(false);
         };
@@ -274,15 +279,15 @@
     }
 
     async fn revoke(&self, lease: Lease) -> Result<()> {
-        self.reach()?.end(lease);
+        self.connect()?.end(lease);
         Ok(())
     }
 
     async fn watch(&self, prefix: &str, revision: u64) -> Result<mpsc::Receiver<Change>> {
-        let mut state = self.reach()?;
+        let mut state = self.connect()?;
         let (sender, receiver) = mpsc::channel(WATCH_DEPTH);
-        let missed = state.entries.iter().map(|(entry, _)| entry);
-        for entry in missed.filter(|e| e.key.starts_with(prefix) && e.revision >= revision) {
+        let all = state.entries.iter().map(|(entry, _)| entry);
+        for entry in all.filter(|e| e.key.starts_with(prefix) && e.revision >= revision) {
             let _full = sender.try_send(Change::Set(entry.clone()));
         }
         state.watches.push((prefix.to_owned(), sender));
@@ -290,7 +295,7 @@
     }
 
     async fn machines(&self) -> Result<Vec<Machine>> {
-        Ok(self.reach()?.machines.clone())
+        Ok(self.connect()?.machines.clone())
     }
 }
 
--- a/crates/platform/src/memory/tests.rs
+++ b/crates/platform/src/memory/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_leaves_its_write() {
+async fn a_write_takes_effect_although_its_response_is_lost() {
     let memory = Memory::default();
     memory.inject(Injection::LoseAnswer);
     let first = memory.commit(&create("a"), Priority::Commit).await;
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_delayed_write_lands_later_only_where_its_conditions_hold() {
+async fn a_delayed_write_takes_effect_only_if_its_conditions_hold() {
     let memory = Memory::default();
     memory.inject(Injection::Delay);
     assert!(memory.commit(&create("a"), Priority::Commit).await.is_err());
@@ -38,14 +38,14 @@
 }
 
 #[tokio::test]
-async fn a_write_under_an_ended_lease_never_lands() {
-    // An owner's record is written late, after its lease has ended. If it landed, nothing would
-    // ever remove it, and the shard would have an owner for good that is long gone.
+async fn a_write_under_an_ended_lease_never_takes_effect() {
+    // An owner's record is written after its lease has ended. If it took effect, nothing would ever
+    // remove it, and the shard would stay assigned to an owner that is gone.
     let memory = Memory::default();
     let lease = memory.grant(Millis::new(60_000)).await.unwrap();
     let mut txn = create("a");
     let Write::Put { lease: held, .. } = &mut txn.writes[0] else {
-        panic!("isn't a put");
+        panic!("the write isn't a put");
     };
     *held = Some(lease);
     memory.inject(Injection::Delay);
