--- a/crates/link/src/accept.rs
+++ b/crates/link/src/accept.rs
@@ -12,12 +12,12 @@
 /// How long the listener waits after a failed accept, such as when no file descriptors are left, to
 /// avoid a busy loop.
 const FAILED_ACCEPT_DELAY: Duration = Duration::from_millis(50);
-/// The most pending connections that a closing listener still accepts, so that a flood of them can't
-/// keep it open. Equals the number that the kernel queues.
+/// The most pending connections that a closing listener still accepts, so that a flood of them
+/// can't keep it open. Equals the number that the kernel queues.
 const BACKLOG: usize = 1_024;
 
-/// Passes each accepted connection to `enter` until `closed` is cancelled, then those that are still
-/// pending.
+/// Passes each accepted connection to `enter` until `closed` is cancelled, then those that are
+/// still pending.
 pub async fn run(
     listener: TcpListener,
     closed: &CancellationToken,
@@ -45,10 +45,10 @@
     }
 }
 
-/// Accepts all pending connections. Asks the kernel directly because the event loop may not yet know
-/// of the latest ones. Skips a connection that can't be accepted (its caller has gone, or no file
-/// descriptor is free for a moment), because closing the listener would reset those queued behind it
-/// unread.
+/// Accepts all pending connections. Asks the kernel directly because the event loop may not yet
+/// know of the latest ones. Skips a connection that can't be accepted (its caller has gone, or no
+/// file descriptor is free for a moment), because closing the listener would reset those queued
+/// behind it unread.
 ///
 /// # Errors
 ///
--- a/crates/link/src/accept/tests.rs
+++ b/crates/link/src/accept/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// The listener closes while three connections are pending, and the first accept fails because a caller
-/// has gone or no file descriptor is free for a moment. If the listener stopped accepting there, the
-/// other connections would be reset with their requests unread.
+/// The listener closes while three connections are pending, and the first accept fails because a
+/// caller has gone or no file descriptor is free for a moment. If the listener stopped accepting
+/// there, the other connections would be reset with their requests unread.
 #[tokio::test]
 async fn a_failed_accept_loses_no_other_connection() {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -23,8 +23,8 @@
     assert_eq!(accepted, 3);
 }
 
-/// Every accept fails while the listener closes. The listener still has to close, so that its process
-/// can exit.
+/// Every accept fails while the listener closes. The listener still has to close, so that its
+/// process can exit.
 #[tokio::test]
 async fn permanently_failing_accepts_do_not_keep_the_listener_open() {
     let mut attempts = 0;
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -278,7 +278,8 @@
 }
 
 impl Body {
-    /// Overrides how long the connection is kept unused, for peers that announce their own time-out.
+    /// Overrides how long the connection is kept unused, for peers that announce their own
+    /// time-out.
     pub fn set_idle_timeout(&mut self, timeout: Duration) {
         self.idle_timeout = timeout;
     }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -24,13 +24,13 @@
 /// How long an older connection without a request may still take, for a request in transit.
 const IN_TRANSIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Serves a connection with the options of `protocol` until it ends or, once `draining` is cancelled,
-/// until its last response.
+/// Serves a connection with the options of `protocol` until it ends or, once `draining` is
+/// cancelled, until its last response.
 ///
 /// A connection that has brought no request by then gets some time for its first one. If it were
 /// closed at once, a request that the caller has just sent would be lost, and the caller couldn't
-/// tell whether it ran. A connection that brings nothing, or half a request, in that time is closed,
-/// because it would delay the shutdown.
+/// tell whether it ran. A connection that brings nothing, or half a request, in that time is
+/// closed, because it would delay the shutdown.
 ///
 /// # Errors
 ///
--- a/crates/link/src/output.rs
+++ b/crates/link/src/output.rs
@@ -6,9 +6,9 @@
 //! second. Lines of level warning and above may use the whole queue, other lines three quarters of
 //! it, so that a flood of routine lines hides no failure.
 //!
-//! A process that exits waits for its last lines to be written. The line that says when it ended and
-//! what it cut off is logged just before the exit, and on one core the writer thread has not yet run
-//! by then.
+//! A process that exits waits for its last lines to be written. The line that says when it ended
+//! and what it cut off is logged just before the exit, and on one core the writer thread has not
+//! yet run by then.
 
 mod limit;
 
--- a/crates/link/src/output/limit.rs
+++ b/crates/link/src/output/limit.rs
@@ -81,8 +81,8 @@
         Verdict::Dropped
     }
 
-    /// Takes the counts of dropped lines to report now. The report is empty if no lines were dropped
-    /// or the last report was taken less than a [`WINDOW`] ago.
+    /// Takes the counts of dropped lines to report now. The report is empty if no lines were
+    /// dropped or the last report was taken less than a [`WINDOW`] ago.
     pub fn take_report(&mut self, now: Instant) -> Report {
         let reported = self.reported;
         if reported.is_some_and(|reported| now.saturating_duration_since(reported) < WINDOW) {
--- a/crates/link/src/output/limit/tests.rs
+++ b/crates/link/src/output/limit/tests.rs
@@ -34,8 +34,8 @@
     assert!(limit.take_report(later + WINDOW).is_empty());
 }
 
-/// Lines of several events are dropped because the queue is full. The report counts them by event, and
-/// is written at most once a second.
+/// Lines of several events are dropped because the queue is full. The report counts them by event,
+/// and is written at most once a second.
 #[test]
 fn drops_are_reported_by_event_at_most_once_a_second() {
     let now = Instant::now();
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -22,8 +22,8 @@
 use crate::limit::Rate;
 use crate::limit::Verdict;
 
-/// A platform whose calls wait for the rate budget. Among waiting writes, those of higher priority go
-/// first because they need fewer tokens in the bucket.
+/// A platform whose calls wait for the rate budget. Among waiting writes, those of higher priority
+/// go first because they need fewer tokens in the bucket.
 pub struct Client<P> {
     inner: P,
     clock: Clock,
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -21,8 +21,8 @@
     /// The call may have taken effect, or may still do so later.
     #[display("the outcome isn't known: {_0}")]
     Unknown(#[error(not(source))] String),
-    /// The call had no effect because this VM's rate budget or the platform's limit is used up. Holds
-    /// the time after which to retry.
+    /// The call had no effect because this VM's rate budget or the platform's limit is used up.
+    /// Holds the time after which to retry.
     #[display("over the rate limit, again in {_0}")]
     Limited(#[error(not(source))] Millis),
     /// The call had no effect because it is invalid, for example a value over [`MAX_VALUE`].
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -1,8 +1,8 @@
 //! The adapter to a platform that speaks the etcd v3 JSON gateway format over HTTP.
 //!
 //! The system's guarantees depend on the difference between [`Fault::Down`] and [`Fault::Unknown`]:
-//! a write fails as `Down` only if no connection was made, or the platform said that the write had no
-//! effect. Any failure after the request may have been written is `Unknown`.
+//! a write fails as `Down` only if no connection was made, or the platform said that the write had
+//! no effect. Any failure after the request may have been written is `Unknown`.
 
 pub mod format;
 mod watch;
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Sends a call to the first address that accepts a connection. Reads are also retried at the next
-    /// address after any other failure to get a response.
+    /// Sends a call to the first address that accepts a connection. Reads are also retried at the
+    /// next address after any other failure to get a response.
     async fn open(
         &self,
         method: Method,
--- a/crates/platform/src/etcd/format.rs
+++ b/crates/platform/src/etcd/format.rs
@@ -1,7 +1,7 @@
 //! The messages of the etcd v3 JSON gateway that the system uses.
 //!
-//! Keys and values are base64, 64-bit numbers are strings, and responses omit fields that hold their
-//! default. Field names are read in snake case and camel case.
+//! Keys and values are base64, 64-bit numbers are strings, and responses omit fields that hold
+//! their default. Field names are read in snake case and camel case.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -335,8 +335,8 @@
     /// Whether the watch has ended.
     #[serde(skip_serializing_if = "is_false")]
     pub canceled: bool,
-    /// The oldest revision that can still be watched, if the watch ended because its start revision is
-    /// no longer kept.
+    /// The oldest revision that can still be watched, if the watch ended because its start revision
+    /// is no longer kept.
     #[serde(alias = "compactRevision", skip_serializing_if = "is_zero")]
     #[serde_as(as = "Int")]
     pub compact_revision: u64,
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -33,7 +33,8 @@
     LoseAnswer,
     /// The write is lost before it takes effect. The caller can't tell whether it did.
     LoseWrite,
-    /// The write is delayed until [`Memory::deliver`]. The caller can't tell whether it took effect.
+    /// The write is delayed until [`Memory::deliver`]. The caller can't tell whether it took
+    /// effect.
     Delay,
 }
 
@@ -128,8 +129,8 @@
         self.find(key).map_or(0, |at| self.entries[at].0.revision)
     }
 
-    /// Returns whether no lease of a transaction has ended. A key put under an ended lease would never
-    /// be removed.
+    /// Returns whether no lease of a transaction has ended. A key put under an ended lease would
+    /// never be removed.
     fn has_live_leases(&self, txn: &Txn) -> bool {
         txn.writes.iter().all(|write| match write {
             Write::Put { lease, .. } => {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,6 +1,6 @@
-//! Finds every fault of a settings file in one go.
+//! Finds all faults of a settings file in one pass.
 //!
-//! A check that stops at the first fault costs the person on call one restart for each.
+//! A check that stops at the first fault would cost the person on call one restart per fault.
 
 use std::net::SocketAddr;
 
@@ -24,20 +24,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("line {line}: {message}")]
 pub struct Fault {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
     /// The key, the value and what is allowed.
     pub message: String,
 }
 
-/// The outcome of a check: the settings, or every fault by line.
+/// The outcome of a check: the settings, or all faults sorted by line.
 pub type Result<T> = std::result::Result<T, Vec<Fault>>;
 
-/// Parses a settings file.
+/// Parses and checks a settings file.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the text, sorted by line.
+/// Fails with all faults in the text, sorted by line.
 pub fn parse(text: &str) -> Result<Settings> {
     let (root, broken) = DeTable::parse_recoverable(text);
     let mut report = Report {
@@ -58,16 +58,18 @@
             message: f.message,
         }]
     })?;
-    check_whole(&settings)?;
+    check_relations(&settings)?;
     Ok(settings)
 }
 
+/// The faults found so far in a text.
 struct Report<'a> {
     text: &'a str,
     faults: Vec<Fault>,
 }
 
 impl Report<'_> {
+    /// Adds a fault at a byte offset of the text.
     fn add(&mut self, offset: usize, message: String) {
         let before = self.text.get(..offset).unwrap_or_default();
         let line = before.bytes().filter(|b| *b == b'\n').count() + 1;
@@ -114,16 +116,16 @@
         }
         return;
     };
-    let many = matches!(table.count, Count::Some | Count::Any);
+    let is_array = matches!(table.count, Count::Some | Count::Any);
     match value.get_ref() {
-        DeValue::Table(keys) if !many => check_keys(report, table, value.span().start, keys),
-        DeValue::Array(items) if many => {
+        DeValue::Table(keys) if !is_array => check_keys(report, table, value.span().start, keys),
+        DeValue::Array(items) if is_array => {
             for item in items {
                 check_item(report, table, item);
             }
         }
         _ => {
-            let (open, close) = if many { ("[[", "]]") } else { ("[", "]") };
+            let (open, close) = if is_array { ("[[", "]]") } else { ("[", "]") };
             let message = format!("`{0}` is written {open}{0}{close}", table.name);
             report.add(value.span().start, message);
         }
@@ -173,13 +175,13 @@
 }
 
 fn check_value(report: &mut Report<'_>, table: &Table, key: &Key, value: &Spanned<DeValue<'_>>) {
-    let Err(why) = fits(key.kind, value.get_ref()) else {
+    let Err(reason) = validate(key.kind, value.get_ref()) else {
         return;
     };
     let span = value.span();
     let written = report.text.get(span.clone()).unwrap_or_default();
     let message = format!(
-        "`{}.{} = {written}`: {why}; allowed is {}",
+        "`{}.{} = {written}`: {reason}; allowed is {}",
         table.name,
         key.name,
         allowed(key.kind),
@@ -187,7 +189,7 @@
     report.add(span.start, message);
 }
 
-/// Says in words what a kind takes.
+/// Describes the values that a kind allows.
 #[must_use]
 pub fn allowed(kind: Kind) -> String {
     match kind {
@@ -208,26 +210,26 @@
     }
 }
 
-fn fits(kind: Kind, value: &DeValue<'_>) -> std::result::Result<(), String> {
+fn validate(kind: Kind, value: &DeValue<'_>) -> std::result::Result<(), String> {
     match kind {
         Kind::Id => id::Caller::parse(text(value)?)
             .map(drop)
             .map_err(|f| f.to_string()),
-        Kind::Address => address(value),
-        Kind::Addresses => addresses(value),
-        Kind::Number(low, high) => within(number(value)?, low, high),
-        Kind::Weight(high) => weight(value, high),
+        Kind::Address => check_address(value),
+        Kind::Addresses => check_addresses(value),
+        Kind::Number(low, high) => check_bounds(parse_number(value)?, low, high),
+        Kind::Weight(high) => check_weight(value, high),
         Kind::Span(low, high) => {
             let span = unit::Span::parse(text(value)?).map_err(|f| f.to_string())?;
-            within(span.as_u64(), low, high)
+            check_bounds(span.as_u64(), low, high)
         }
         Kind::Size(low, high) => {
             let size = unit::Size::parse(text(value)?).map_err(|f| f.to_string())?;
-            within(size, low, high)
+            check_bounds(size, low, high)
         }
         Kind::Rate(low, high) => {
             let rate = unit::Rate::parse(text(value)?).map_err(|f| f.to_string())?;
-            within(rate, low, high)
+            check_bounds(rate, low, high)
         }
     }
 }
@@ -238,14 +240,14 @@
         .ok_or_else(|| "it isn't a text in quotes".to_owned())
 }
 
-fn number(value: &DeValue<'_>) -> std::result::Result<u64, String> {
+fn parse_number(value: &DeValue<'_>) -> std::result::Result<u64, String> {
     let whole = value
         .as_integer()
         .and_then(|i| u64::from_str_radix(i.as_str(), i.radix()).ok());
     whole.ok_or_else(|| "it isn't a whole number".to_owned())
 }
 
-fn weight(value: &DeValue<'_>, high: u32) -> std::result::Result<(), String> {
+fn check_weight(value: &DeValue<'_>, high: u32) -> std::result::Result<(), String> {
     let float = value
         .as_float()
         .and_then(|f| f.as_str().parse::<f64>().ok());
@@ -261,32 +263,34 @@
     Err("it is out of bounds".to_owned())
 }
 
-fn within(amount: u64, low: u64, high: u64) -> std::result::Result<(), String> {
+fn check_bounds(amount: u64, low: u64, high: u64) -> std::result::Result<(), String> {
     if (low..=high).contains(&amount) {
         return Ok(());
     }
     Err("it is out of bounds".to_owned())
 }
 
-fn address(value: &DeValue<'_>) -> std::result::Result<(), String> {
+fn check_address(value: &DeValue<'_>) -> std::result::Result<(), String> {
     let parsed = text(value)?.parse::<SocketAddr>();
     parsed
         .map(drop)
         .map_err(|_| "it isn't an IP number and a port".to_owned())
 }
 
-fn addresses(value: &DeValue<'_>) -> std::result::Result<(), String> {
+fn check_addresses(value: &DeValue<'_>) -> std::result::Result<(), String> {
     let items = value
         .as_array()
         .ok_or_else(|| "it isn't a list".to_owned())?;
     if items.is_empty() {
         return Err("the list is empty".to_owned());
     }
-    items.iter().try_for_each(|item| address(item.get_ref()))
+    items
+        .iter()
+        .try_for_each(|item| check_address(item.get_ref()))
 }
 
-/// Checks what concerns several keys at once.
-fn check_whole(settings: &Settings) -> Result<()> {
+/// Checks the rules that concern several keys.
+fn check_relations(settings: &Settings) -> Result<()> {
     let mut faults = Vec::new();
     let known = |centre: &id::Centre| settings.centres.iter().any(|c| c.name == *centre);
     let mut add = |message: String| faults.push(Fault { line: 1, message });
--- a/crates/settings/src/check/tests.rs
+++ b/crates/settings/src/check/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const WHOLE: &str = r#"
+const COMPLETE: &str = r#"
 [vm]
 name = "tas-a-1"
 centre = "tas-a"
@@ -19,24 +19,24 @@
 "#;
 
 #[test]
-fn a_whole_file_is_taken_with_its_defaults() {
-    let settings = parse(WHOLE).unwrap();
+fn a_complete_file_is_accepted_with_its_defaults() {
+    let settings = parse(COMPLETE).unwrap();
     assert_eq!(settings.platform.timeout.as_u64(), 250);
     assert_eq!(settings.limits, vm::Limits::default());
 }
 
 #[test]
-fn what_is_printed_is_taken_again() {
-    let settings = parse(WHOLE).unwrap();
+fn printed_settings_are_accepted_again() {
+    let settings = parse(COMPLETE).unwrap();
     let printed = toml::to_string(&settings).unwrap();
     assert_eq!(parse(&printed), Ok(settings));
 }
 
-/// The table's defaults are those of the types: each key is left out in turn and given its
-/// documented default in turn, with the same outcome.
+/// The defaults in the schema equal those of the types: the settings that result from a file
+/// without the optional keys hold each key's documented default.
 #[test]
-fn the_documented_defaults_are_the_real_ones() {
-    let bare = parse(WHOLE).unwrap();
+fn the_documented_defaults_match_the_types() {
+    let bare = parse(COMPLETE).unwrap();
     let mut root: toml::Table = toml::from_str(&toml::to_string(&bare).unwrap()).unwrap();
     for table in schema::TABLES
         .iter()
@@ -88,15 +88,18 @@
 #[case("[listen]", "[lisen]", "unknown table `lisen`")]
 #[case("centre = \"tas-a\"", "centre = \"tas-b\"", "isn't one of `centres`")]
 #[case("centre = \"tas-a\"", "centre = ", "line 4:")]
-fn a_fault_is_named(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
-    let faults = parse(&WHOLE.replacen(from, to, 1)).unwrap_err();
+fn a_fault_is_reported(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    let faults = parse(&COMPLETE.replacen(from, to, 1)).unwrap_err();
     let report: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert!(report.iter().any(|line| line.contains(says)), "{report:#?}");
+    assert!(
+        report.iter().any(|line| line.contains(expected)),
+        "{report:#?}"
+    );
 }
 
 #[test]
-fn all_faults_come_in_one_go_by_line() {
-    let broken = WHOLE
+fn all_faults_are_reported_at_once_sorted_by_line() {
+    let broken = COMPLETE
         .replace("tas-a-1", "")
         .replace("8081", "x")
         .replace("250ms", "250")
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration: one document with one revision, changed by compare-and-swap, so
-//! that two operators who race can't both succeed and no change is ever undone by an older one.
+//! The operators' configuration: one document with one revision, changed by compare-and-swap. Of
+//! two operators who race, only one can succeed, and an older change never overwrites a newer one.
 
 use std::cmp::Reverse;
 
@@ -16,38 +16,39 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Config {
-    /// Grows by one with each accepted change.
+    /// Increases by one with each accepted change.
     pub revision: u64,
-    /// The nonce of the change that made this revision; settles a change whose answer was lost.
+    /// The nonce of the change that made this revision. It shows whether a change whose response
+    /// was lost has been accepted.
     pub nonce: u64,
-    /// The nonces of the revisions before this one, the latest first; they settle a change whose
-    /// answer was lost after others have built on it.
+    /// The nonces of earlier revisions, latest first. They show whether a change whose response was
+    /// lost has been accepted, even if other changes were accepted after it.
     pub recent: Vec<u64>,
-    /// Who may ask.
+    /// The callers whose requests are accepted.
     pub callers: Vec<Caller>,
-    /// The back ends.
+    /// The model runners and services.
     pub endpoints: Vec<Endpoint>,
-    /// Labels that operators put on programs.
+    /// Labels that operators gave to programs.
     pub programs: Vec<Program>,
-    /// Which labelled work may use which endpoints, and how.
+    /// The rules for which labelled work may use which endpoints, and how.
     pub selectors: Vec<Selector>,
-    /// Data centres that an operator has declared lost; others take their shards over.
+    /// Data centres that an operator has declared lost. Other data centres take over their shards.
     pub lost: Vec<id::Centre>,
 }
 
-/// Who may ask.
+/// A person or system that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
     /// The caller's name.
     pub name: id::Caller,
-    /// The digest of the caller's bearer token; the token itself isn't kept.
+    /// The digest of the caller's bearer token. The token itself isn't stored.
     pub token: id::Digest,
     /// The caller's labels.
     #[serde(default)]
     pub labels: label::Set,
 }
 
-/// The kinds of back end.
+/// The kinds of endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -57,25 +58,25 @@
     Service,
 }
 
-/// A back end.
+/// An endpoint: a model runner or a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     /// The endpoint's name, as in the platform's list.
     pub name: id::Endpoint,
-    /// What it is.
+    /// The kind of endpoint.
     pub kind: Kind,
-    /// IP number and port.
+    /// The IP address and port.
     pub address: String,
-    /// Its data centre.
+    /// The endpoint's data centre.
     pub centre: id::Centre,
-    /// The models that a runner serves, or the one service's name.
+    /// The models that a runner serves, or a service's name.
     pub serves: Vec<String>,
-    /// Whether it checks fencing numbers of orders.
+    /// Whether the endpoint checks the fencing numbers of orders.
     #[serde(default)]
     pub fences: bool,
-    /// How many calls it works on at once.
+    /// How many calls the endpoint handles concurrently.
     pub slots: u32,
-    /// Operations of a service that may run more than once; `*` for all.
+    /// The service's operations that may run more than once. `*` means all.
     #[serde(default)]
     pub repeatable: Vec<String>,
     /// The endpoint's labels.
@@ -83,36 +84,36 @@
     pub labels: label::Set,
 }
 
-/// Labels of one program.
+/// The labels of one program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Program {
-    /// The program.
+    /// The program's id.
     pub name: id::Program,
-    /// Its labels.
+    /// The program's labels.
     pub labels: label::Set,
 }
 
-/// How soon work is heard.
+/// The class of work, which decides what is served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Heard first, on every limit.
+    /// Served first at every limit.
     Urgent,
     /// All other work.
     #[default]
     Routine,
 }
 
-/// What a program may use in all.
+/// The limits on what a program may use.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Budget {
-    /// Tokens generated.
+    /// The most tokens generated.
     pub tokens: u64,
-    /// Turns.
+    /// The most turns.
     pub turns: u32,
     /// The longest pause between turns.
     #[serde_as(as = "unit::Span")]
@@ -120,8 +121,8 @@
 }
 
 impl Default for Budget {
-    /// Yields the budget of work for which no selector names one: the letter's largest program
-    /// (77 turns, 440,000 tokens) and a day's pause.
+    /// Returns the budget of work whose selector sets none: that of the largest expected program
+    /// (77 turns, 440,000 tokens), with at most a day between turns.
     fn default() -> Self {
         Self {
             tokens: 440_000,
@@ -131,12 +132,13 @@
     }
 }
 
-/// Says which labelled work may use which endpoints, at what priority and within what budget.
+/// A rule for which labelled work may use which endpoints, with which priority and budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Selector {
     /// The selector's name.
     pub name: id::Selector,
-    /// Within a class, selectors with a higher rank are tried first; equal ranks go by name.
+    /// Within a class, selectors with a higher rank take precedence; equal ranks are ordered by
+    /// name.
     #[serde(default)]
     pub rank: i32,
     /// Labels that the caller must have.
@@ -148,16 +150,16 @@
     /// Labels that an endpoint must have.
     #[serde(default)]
     pub endpoint: label::Set,
-    /// Models and services that it speaks for; empty for all.
+    /// The models and services that the selector applies to. Empty means all.
     #[serde(default)]
     pub serves: Vec<String>,
-    /// Whether the work is allowed at all.
+    /// Whether the work is allowed.
     #[serde(default = "yes")]
     pub allow: bool,
-    /// How soon it is heard.
+    /// The class of the work.
     #[serde(default)]
     pub class: Class,
-    /// What the program may use.
+    /// The budget of the program.
     #[serde(default)]
     pub budget: Budget,
 }
@@ -166,23 +168,23 @@
     true
 }
 
-/// What a selector grants to one piece of work.
+/// What a selector allows for one piece of work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant<'a> {
-    /// The selector that spoke.
+    /// The selector that applies.
     pub selector: &'a Selector,
     /// The endpoints that may be used, in all data centres.
     pub endpoints: Vec<&'a Endpoint>,
 }
 
 impl Config {
-    /// Looks a caller up by the digest of the token.
+    /// Returns the caller with the given token digest.
     #[must_use]
     pub fn caller_by_token(&self, token: id::Digest) -> Option<&Caller> {
         self.callers.iter().find(|caller| caller.token == token)
     }
 
-    /// Looks a caller up by name.
+    /// Returns the caller with the given name.
     #[must_use]
     pub fn caller(&self, name: &str) -> Option<&Caller> {
         let at = self
@@ -192,7 +194,7 @@
         Some(&self.callers[at])
     }
 
-    /// Looks an endpoint up by name.
+    /// Returns the endpoint with the given name.
     #[must_use]
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         let at = self
@@ -202,7 +204,7 @@
         Some(&self.endpoints[at])
     }
 
-    /// Looks the labels of a program up.
+    /// Returns the entry with a program's labels.
     #[must_use]
     pub fn program(&self, name: &str) -> Option<&Program> {
         let at = self
@@ -212,7 +214,7 @@
         Some(&self.programs[at])
     }
 
-    /// Tells whether any endpoint serves the model or service.
+    /// Returns whether any endpoint serves the model or service.
     #[must_use]
     pub fn serves(&self, kind: Kind, name: &str) -> bool {
         self.endpoints
@@ -220,12 +222,12 @@
             .any(|e| e.kind == kind && e.serves.iter().any(|s| s == name))
     }
 
-    /// Tells whether an operation of a service runs at most once. It does unless every endpoint
-    /// that serves it says that it may be repeated.
+    /// Returns whether an operation of a service runs at most once. It does unless every endpoint
+    /// that serves it lists it as repeatable.
     ///
-    /// The default is the safe one, and no selector decides on it: an operation that an operator
-    /// forgot to list, or a selector with a broader match that speaks for the work in place of
-    /// the one that was meant, would otherwise let a switching order go through twice.
+    /// The default is the safe choice, and selectors have no influence on it. Otherwise a switching
+    /// order could run twice because an operator forgot to list the operation, or because a
+    /// selector with a broader match applied in place of the intended one.
     #[must_use]
     pub fn runs_at_most_once(&self, service: &str, operation: &str) -> bool {
         let serving = self
@@ -236,13 +238,14 @@
         !serving.clone().all(listed) || serving.count() == 0
     }
 
-    /// Finds the selector that speaks for the work; `None` where none matches or the one that
-    /// does forbids it.
+    /// Finds the selector that applies to the work. Returns `None` if no selector matches, or the
+    /// one that applies forbids the work.
     ///
-    /// Selectors of urgent work go before all others, then the higher rank, then the name. If
-    /// rank alone decided, a broad selector that limits callers with overdue fees would sooner or
-    /// later be given a rank above the one for emergencies, and an emergency cutoff would wait
-    /// behind chatter. This way no selector of routine work can lower or forbid urgent work.
+    /// Selectors for urgent work take precedence, then those of higher rank, then the first by
+    /// name. If rank alone decided, a broad selector that limits callers with overdue fees would
+    /// sooner or later get a higher rank than the one for emergencies, and an emergency cutoff
+    /// would wait behind routine messages. With this order no selector for routine work can demote
+    /// or forbid urgent work.
     #[must_use]
     pub fn grant(
         &self,
--- a/crates/settings/src/config/tests.rs
+++ b/crates/settings/src/config/tests.rs
@@ -45,11 +45,11 @@
     Some((grant.selector.name.to_string(), grant.selector.class))
 }
 
-/// A tug master whose port account is overdue reports an emergency. Two selectors match him, and
-/// an operator gave the one for overdue accounts the higher rank. The one for emergencies speaks
-/// all the same: were rank to decide, his cutoff would wait behind routine chatter.
+/// A tug master whose port account is overdue reports an emergency. Two selectors match, and an
+/// operator gave the one for overdue accounts the higher rank. The one for emergencies still
+/// applies: if rank decided, the emergency cutoff would wait behind routine messages.
 #[test]
-fn overdue_fees_never_lower_urgent_work() {
+fn overdue_fees_never_demote_urgent_work() {
     let both = [("duty", "cutoff"), ("fees", "overdue")];
     assert_eq!(
         granted(&both, "m"),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_selector_that_forbids_ends_the_search() {
+fn a_forbidding_selector_ends_the_search() {
     assert_eq!(granted(&[], "secret"), None);
     assert_eq!(
         granted(&[], "m"),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_budget_names_only_what_it_changes() {
+fn a_budget_keeps_defaults_for_what_it_omits() {
     let budget = config().selectors[1].budget;
     assert_eq!(
         (budget.tokens, budget.turns),
@@ -80,11 +80,10 @@
     assert_eq!(budget.idle.as_u64(), 3_600_000);
 }
 
-/// The operator lists what may be repeated. A switching order isn't listed, nor is any operation
-/// of a service of which one endpoint says nothing: they run at most once, whichever selector
-/// speaks for the work.
+/// Operators list the repeatable operations. A switching order isn't listed, and one endpoint of
+/// `weather` lists none. These operations run at most once, whichever selector applies.
 #[test]
-fn an_operation_runs_once_unless_it_is_listed() {
+fn an_operation_runs_at_most_once_unless_every_endpoint_lists_it() {
     let text = r#"
         [[endpoints]]
         name = "a"
--- a/crates/settings/src/label.rs
+++ b/crates/settings/src/label.rs
@@ -1,17 +1,17 @@
-//! Labels and the selectors' matching of them.
+//! Labels, and how selectors match them.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A set of labels, sorted by name, each name once; a map of names to values in a document.
+/// A set of labels with unique names, sorted by name. Serialised as a map of names to values.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "BTreeMap<String, String>", into = "BTreeMap<String, String>")]
 pub struct Set(Vec<(String, String)>);
 
 impl Set {
-    /// Looks a label's value up.
+    /// Returns a label's value.
     #[must_use]
     pub fn value(&self, name: &str) -> Option<&str> {
         let at = self.find(name).ok()?;
@@ -26,22 +26,22 @@
         }
     }
 
-    /// Removes a label; an absent one is no fault.
+    /// Removes a label if it is present.
     pub fn remove(&mut self, name: &str) {
         if let Ok(at) = self.find(name) {
             self.0.remove(at);
         }
     }
 
-    /// Tells whether every label of `wanted` stands here with the same value.
+    /// Returns whether this set contains every label of `required` with the same value.
     #[must_use]
-    pub fn covers(&self, wanted: &Self) -> bool {
-        wanted
+    pub fn covers(&self, required: &Self) -> bool {
+        required
             .iter()
             .all(|(name, value)| self.value(name) == Some(value))
     }
 
-    /// Walks the labels by name.
+    /// Iterates over the labels in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! What people decide: a VM's own settings file, and the operators' configuration of callers,
-//! endpoints, labels and selectors that every VM shares.
+//! A VM's own settings file, and the operators' configuration of callers, endpoints, labels and
+//! selectors, which all VMs share.
 
 pub mod check;
 pub mod config;
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,48 +1,48 @@
-//! Each key of the settings file: what it takes, its default and what it is for.
+//! The schema of the settings file: each key's type, default and purpose.
 //!
-//! One table drives the check, the page `docs/SETTINGS.md` and its test, so that the three can't
-//! drift apart.
+//! The check, the page `docs/SETTINGS.md` and the page's test are all driven by these tables, so
+//! that they can't diverge.
 
-/// What a key takes.
+/// The type and bounds of a key's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// An id: letters, digits and `. _ : -`.
     Id,
-    /// An IP number and a port.
+    /// An IP address and a port.
     Address,
-    /// A list of IP numbers with ports, at least one.
+    /// A list of at least one IP address with a port.
     Addresses,
-    /// A whole number within bounds, both included.
+    /// A whole number between two inclusive bounds.
     Number(u64, u64),
-    /// A number from 0 up to a bound.
+    /// A number from 0 to an inclusive bound.
     Weight(u32),
-    /// A span with its unit, in milliseconds from and to.
+    /// A time span with its unit, between two inclusive bounds in milliseconds.
     Span(u64, u64),
-    /// A size with its unit, in bytes from and to.
+    /// A size with its unit, between two inclusive bounds in bytes.
     Size(u64, u64),
-    /// A rate a second, from and to.
+    /// A rate per second, between two inclusive bounds.
     Rate(u64, u64),
 }
 
 /// A key of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// Its name.
+    /// The key's name.
     pub name: &'static str,
-    /// What it takes.
+    /// The type and bounds of its value.
     pub kind: Kind,
-    /// Its default as written in a file; `None` where it must be given.
+    /// The default as written in a file. `None` if the key is required.
     pub default: Option<&'static str>,
-    /// What it is for.
+    /// The key's purpose.
     pub doc: &'static str,
 }
 
-/// How often a table stands in a file.
+/// How often a table may occur in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
     /// Exactly once.
     One,
-    /// Once or not at all.
+    /// At most once.
     Optional,
     /// At least once, as an array of tables.
     Some,
@@ -53,13 +53,13 @@
 /// A table of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Table {
-    /// Its name.
+    /// The table's name.
     pub name: &'static str,
-    /// How often it stands.
+    /// How often the table may occur.
     pub count: Count,
-    /// What it is for.
+    /// The table's purpose.
     pub doc: &'static str,
-    /// Its keys.
+    /// The table's keys.
     pub keys: &'static [Key],
 }
 
--- a/crates/settings/src/unit.rs
+++ b/crates/settings/src/unit.rs
@@ -1,7 +1,7 @@
-//! Spans, sizes and rates as people write them: a whole number with its unit.
+//! Parses and formats time spans, sizes and rates: a whole number with its unit.
 //!
-//! A bare number is refused: `timeout = 5` read as milliseconds by the program and as seconds by
-//! its writer would be found only under load.
+//! A number without a unit is rejected. If a writer meant `timeout = 5` in seconds and the program
+//! read it as milliseconds, the mistake would show only under load.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -13,18 +13,18 @@
 use serde_with::SerializeAs;
 use wire::clock::Millis;
 
-/// Why a text isn't a quantity.
+/// The reason that a text isn't a quantity.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// The text doesn't begin with a whole number that fits.
+    /// The text doesn't begin with a whole number, or the number is too large.
     #[display("`{_0}` doesn't begin with a whole number")]
     Number(#[error(not(source))] String),
-    /// The unit isn't one of those allowed.
+    /// The unit isn't one of the allowed units.
     #[display("the unit of `{text}` isn't one of {allowed}")]
     Unit {
         /// The text.
         text: String,
-        /// The units.
+        /// The allowed units.
         allowed: String,
     },
 }
@@ -32,6 +32,7 @@
 /// The outcome of parsing a quantity.
 pub type Result<T> = std::result::Result<T, Fault>;
 
+/// Each unit with its factor, in milliseconds.
 const SPANS: &[(&str, u64)] = &[
     ("ms", 1),
     ("s", 1_000),
@@ -39,6 +40,7 @@
     ("h", 3_600_000),
     ("d", 86_400_000),
 ];
+/// Each unit with its factor, in bytes.
 const SIZES: &[(&str, u64)] = &[
     ("B", 1),
     ("KiB", 1 << 10),
@@ -55,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Size;
 
-/// A rate a second: `30/s`.
+/// A rate per second: `30/s`.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate;
 
@@ -64,12 +66,12 @@
     ///
     /// # Errors
     ///
-    /// Fails where the number or the unit is wrong.
+    /// Fails if the number or the unit is wrong.
     pub fn parse(text: &str) -> Result<Millis> {
-        quantity(text, SPANS).map(Millis::new)
+        parse_quantity(text, SPANS).map(Millis::new)
     }
 
-    /// Renders a span in the largest unit that leaves no rest.
+    /// Formats a span in the largest unit that divides it without remainder.
     #[must_use]
     pub fn render(span: Millis) -> String {
         render(span.as_u64(), SPANS)
@@ -81,12 +83,12 @@
     ///
     /// # Errors
     ///
-    /// Fails where the number or the unit is wrong.
+    /// Fails if the number or the unit is wrong.
     pub fn parse(text: &str) -> Result<u64> {
-        quantity(text, SIZES)
+        parse_quantity(text, SIZES)
     }
 
-    /// Renders a size in the largest unit that leaves no rest.
+    /// Formats a size in the largest unit that divides it without remainder.
     #[must_use]
     pub fn render(bytes: u64) -> String {
         render(bytes, SIZES)
@@ -94,23 +96,23 @@
 }
 
 impl Rate {
-    /// Parses a rate a second.
+    /// Parses a rate per second.
     ///
     /// # Errors
     ///
-    /// Fails where the number or the unit is wrong.
+    /// Fails if the number or the unit is wrong.
     pub fn parse(text: &str) -> Result<u64> {
-        quantity(text, RATES)
+        parse_quantity(text, RATES)
     }
 
-    /// Renders a rate.
+    /// Formats a rate.
     #[must_use]
     pub fn render(rate: u64) -> String {
         render(rate, RATES)
     }
 }
 
-fn quantity(text: &str, units: &[(&str, u64)]) -> Result<u64> {
+fn parse_quantity(text: &str, units: &[(&str, u64)]) -> Result<u64> {
     let end = text
         .find(|c: char| !c.is_ascii_digit())
         .unwrap_or(text.len());
@@ -130,17 +132,18 @@
 }
 
 fn render(amount: u64, units: &[(&str, u64)]) -> String {
-    let whole = units
+    let exact = units
         .iter()
         .rev()
         .find(|(_, factor)| amount.is_multiple_of(*factor));
-    let (name, factor) = match whole {
+    let (name, factor) = match exact {
         Some(unit) if amount > 0 => *unit,
         _ => units[0],
     };
     format!("{}{name}", amount / factor)
 }
 
+/// Implements serialisation of a value type as a text with a unit.
 macro_rules! adapter {
     ($unit:ident, $value:ty, $from:expr, $into:expr) => {
         impl SerializeAs<$value> for $unit {
--- a/crates/settings/src/unit/tests.rs
+++ b/crates/settings/src/unit/tests.rs
@@ -19,7 +19,7 @@
 #[case("1.5s")]
 #[case("99999999999999999999s")]
 #[case("18446744073709551615d")]
-fn other_spans_are_refused(#[case] text: &str) {
+fn invalid_spans_are_rejected(#[case] text: &str) {
     assert!(Span::parse(text).is_err());
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_size_and_a_rate_carry_their_units() {
+fn sizes_and_rates_parse_with_their_units() {
     assert_eq!(Size::parse("2MiB"), Ok(2 << 20));
     assert_eq!(Rate::parse("30/s"), Ok(30));
     assert!(Rate::parse("30").is_err());
--- a/crates/settings/src/vm.rs
+++ b/crates/settings/src/vm.rs
@@ -12,38 +12,38 @@
 
 use crate::unit;
 
-/// Everything a VM learns from its file.
+/// The contents of a VM's settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM itself.
+    /// The VM's name, data centre and size.
     pub vm: Vm,
-    /// Where the VM listens.
+    /// The addresses on which the VM listens.
     pub listen: Listen,
-    /// The platform.
+    /// The platform's key-value service.
     pub platform: Platform,
     /// All data centres of the deployment.
     pub centres: Vec<Centre>,
-    /// Other VMs to begin with; the rest is learnt from them.
+    /// The VMs to contact at start. The VM learns about all other VMs from them.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Limits at the door.
+    /// Limits on connections, requests and waiting.
     #[serde(default)]
     pub limits: Limits,
-    /// What a decision weighs.
+    /// The weights of placement decisions.
     #[serde(default)]
     pub weights: Weights,
 }
 
-/// The VM itself.
+/// The VM's name, data centre and size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vm {
     /// The VM's name.
     pub name: id::Vm,
-    /// Its data centre.
+    /// The VM's data centre.
     pub centre: id::Centre,
-    /// Its size beside the others, in cores.
+    /// The VM's size in cores, relative to other VMs.
     #[serde(default = "one")]
     pub size: u32,
 }
@@ -52,7 +52,7 @@
     1
 }
 
-/// Where the VM listens.
+/// The addresses on which the VM listens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -64,22 +64,22 @@
     pub admin: SocketAddr,
 }
 
-/// The platform's service as this VM uses it.
+/// How this VM uses the platform's key-value service.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Where it answers; the first that does is used.
+    /// The service's addresses. The first that answers is used.
     pub addresses: Vec<SocketAddr>,
-    /// How long a call may take.
+    /// The time-out of a call.
     #[serde_as(as = "unit::Span")]
     #[serde(default = "platform_timeout")]
     pub timeout: Millis,
-    /// Writes that this VM may make.
+    /// The writes per second that this VM may make.
     #[serde_as(as = "unit::Rate")]
     #[serde(default = "writes")]
     pub writes: u32,
-    /// Reads that this VM may make.
+    /// The reads per second that this VM may make.
     #[serde_as(as = "unit::Rate")]
     #[serde(default = "reads")]
     pub reads: u32,
@@ -109,9 +109,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Centre {
-    /// Its name.
+    /// The data centre's name.
     pub name: id::Centre,
-    /// How many shards its programs are split into; never changed once set.
+    /// The number of shards that its programs are divided into. It must never change.
     pub shards: u16,
 }
 
@@ -119,38 +119,38 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its name.
+    /// The VM's name.
     pub name: id::Vm,
-    /// Its data centre.
+    /// The VM's data centre.
     pub centre: id::Centre,
-    /// Its listener for VMs.
+    /// The address of the VM's listener for other VMs.
     pub address: SocketAddr,
 }
 
-/// Limits at the door.
+/// Limits on connections, requests and waiting.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Connections of callers at once.
+    /// The most concurrent connections of callers.
     pub connections: u32,
-    /// Of these, how many are kept for urgent work.
+    /// How many of these are reserved for urgent work.
     pub connections_urgent: u32,
-    /// The largest body.
+    /// The largest request body, in bytes.
     #[serde_as(as = "unit::Size")]
     pub body: usize,
     /// How long a request may take to arrive.
     #[serde_as(as = "unit::Span")]
     pub receive: Millis,
-    /// Calls that wait for an endpoint at once.
+    /// The most calls that may wait for an endpoint at the same time.
     pub queue: usize,
     /// How long a call may wait for an endpoint.
     #[serde_as(as = "unit::Span")]
     pub wait: Millis,
-    /// How long a runner may be silent within an answer.
+    /// How long a runner may send nothing within a response.
     #[serde_as(as = "unit::Span")]
     pub silence: Millis,
-    /// How long a shutdown takes at most.
+    /// The longest duration of a shutdown.
     #[serde_as(as = "unit::Span")]
     pub grace: Millis,
 }
@@ -170,13 +170,13 @@
     }
 }
 
-/// What placement weighs against each other.
+/// The relative weights of the costs that placement compares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Weights {
     /// The weight of waiting time.
     pub latency: f64,
-    /// The weight of prompt tokens computed again.
+    /// The weight of prompt tokens that are recomputed.
     pub cache: f64,
 }
 
@@ -189,7 +189,7 @@
     }
 }
 
-/// Why a settings file isn't taken.
+/// The reason that a settings file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("{message}")]
 pub struct Fault {
@@ -204,7 +204,7 @@
 ///
 /// # Errors
 ///
-/// Fails with the first fault of the text.
+/// Fails with the first fault in the text.
 pub fn parse(text: &str) -> Result<Settings> {
     toml::from_str(text).map_err(|fault| Fault {
         message: fault.to_string(),
--- a/crates/wire/src/ask.rs
+++ b/crates/wire/src/ask.rs
@@ -1,4 +1,4 @@
-//! What an entry VM asks an owner to do, and the replies that stream back.
+//! The requests that an entry VM sends to a program's owner, and the replies that stream back.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -13,42 +13,42 @@
 /// A caller's request after the entry VM has authenticated the caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The program concerned; the entry VM mints one where the caller names none.
+    /// The program concerned. The entry VM creates an id if the caller names none.
     pub program: id::Program,
-    /// Who asks.
+    /// The caller that sent the request.
     pub caller: id::Caller,
-    /// The configuration revision that the entry VM acted on; an owner that is behind catches up
+    /// The configuration revision that the entry VM used. An owner with an older one catches up
     /// before it decides.
     pub revision: u64,
-    /// How long the caller waits, counted from the arrival at the entry VM.
+    /// How long the caller waits, counted from the request's arrival at the entry VM.
     pub deadline: Option<Millis>,
-    /// How often the request was forwarded; bounds loops between VMs that disagree on the owner.
+    /// How often the request was forwarded. Bounds loops between VMs that disagree on the owner.
     pub hops: u8,
-    /// What is asked.
+    /// The requested operation.
     pub body: Body,
 }
 
-/// What is asked of a program's owner.
+/// The operation requested of a program's owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// The next turn, or a committed one again.
+    /// Run the next turn, or repeat the response of a committed one.
     Chat(Chat),
-    /// A call of a plain service.
+    /// Call a plain service.
     Call(Call),
-    /// Make the program.
+    /// Create the program.
     Create,
     /// Show the program.
     Show,
     /// End the program.
     End,
-    /// Show the program to an operator, whoever its caller is.
+    /// Show the program to an operator, whichever caller it belongs to.
     Inspect,
 }
 
 /// A turn of a program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Chat {
-    /// The turn's number from 1; `None` takes the next.
+    /// The turn's number, from 1. `None` means the next turn.
     pub turn: Option<u32>,
     /// The new messages and the options.
     pub request: chat::Request,
@@ -63,12 +63,12 @@
     pub operation: String,
     /// The caller's idempotency key.
     pub key: Option<id::Key>,
-    /// The body, passed through.
+    /// The request body, passed through unchanged.
     pub body: Bytes,
 }
 
 /// One part of the reply to an [`Ask`]. A reply ends with exactly one of `Done`, `Called`,
-/// `Shown` and `Refused`; a stream that ends without it was cut off.
+/// `Shown` and `Refused`. A stream that ends without one was cut off.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// A piece of the assistant's message, in the chat format's `delta` form.
@@ -77,17 +77,17 @@
     Done {
         /// The turn's number.
         turn: u32,
-        /// The whole answer.
+        /// The complete answer.
         answer: chat::Answer,
     },
-    /// A service answered.
+    /// The service responded.
     Called {
-        /// The service's HTTP status.
+        /// The HTTP status of the service's response.
         status: u16,
-        /// The service's body.
+        /// The body of the service's response.
         body: Bytes,
     },
-    /// The program as it stands.
+    /// The program's current state.
     Shown(Value),
     /// The request is refused.
     Refused(Refusal),
--- a/crates/wire/src/chat.rs
+++ b/crates/wire/src/chat.rs
@@ -1,6 +1,6 @@
 //! The chat-completions format that callers and model runners speak.
 //!
-//! Only the fields that the system acts on are named; all others are passed through untouched.
+//! Only the fields that the system uses are named. All others are passed through unchanged.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,9 +10,9 @@
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks: `system`, `user`, `assistant` or `tool`.
+    /// The author's role: `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// What is said: text, parts or `null`.
+    /// The message's content: text, parts or `null`.
     #[serde(default)]
     pub content: Value,
     /// The fields that are passed through, such as `tool_calls`.
@@ -25,12 +25,12 @@
 pub struct Request {
     /// The model's name.
     pub model: String,
-    /// The conversation, or its new messages where the server holds the history.
+    /// The conversation, or only its new messages if the server keeps the history.
     pub messages: Vec<Message>,
-    /// Whether the answer comes in parts.
+    /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens that the answer may have.
+    /// The largest number of tokens in the answer.
     #[serde(
         default,
         alias = "max_completion_tokens",
@@ -42,19 +42,19 @@
     pub rest: Map<String, Value>,
 }
 
-/// Tokens used by one call.
+/// The tokens used by one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the conversation so far.
+    /// The tokens of the prompt: the conversation so far.
     pub prompt_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
-    /// Prompt tokens that the engine's cache had; absent from engines that don't tell.
+    /// The prompt tokens found in the engine's cache. Some engines omit the field.
     #[serde(default)]
     pub cached_tokens: u64,
 }
 
-/// A whole answer as the owner commits it.
+/// A complete answer, as the owner commits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// The assistant's message.
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -1,6 +1,7 @@
-//! The one type for points in time and spans of it, and the clock that yields it.
+//! The type for points in time and time spans, and the clock that provides the current time.
 //!
-//! Decisions take a [`Millis`] as an argument and never read a clock, so that tests play time.
+//! Decisions take the time as a [`Millis`] argument and never read a clock, so that tests control
+//! it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -32,25 +33,25 @@
         Self(millis)
     }
 
-    /// Yields the count of milliseconds.
+    /// Returns the count of milliseconds.
     #[must_use]
     pub const fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// Adds a span; the result stays at the largest value instead of overflowing.
+    /// Adds a span, saturating at the largest value.
     #[must_use]
     pub const fn plus(self, span: Self) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 
-    /// Yields the span since `earlier`, or [`Millis::ZERO`] where `earlier` is later.
+    /// Returns the span since `earlier`, or [`Millis::ZERO`] if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// Converts to the standard library's span, for timers.
+    /// Converts to a [`Duration`], for timers.
     #[must_use]
     pub const fn as_duration(self) -> Duration {
         Duration::from_millis(self.0)
@@ -72,16 +73,16 @@
 /// A source of the current time.
 #[derive(Clone, Debug, Default)]
 pub enum Clock {
-    /// The machine's time at process start plus the monotonic time since, so that a step of the
-    /// machine's clock never moves it back.
+    /// The system time at process start plus the monotonic time since then, so that it never goes
+    /// back when the system clock is changed.
     #[default]
     System,
-    /// A time that a test sets.
+    /// A time that a test sets, in milliseconds.
     Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// Yields the current time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Millis {
         match self {
--- a/crates/wire/src/code.rs
+++ b/crates/wire/src/code.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It did not run, and never will on account of this request. A promise.
+    /// The request did not run, and is guaranteed never to run later.
     No,
-    /// It may have run, or may still run.
+    /// The request may have run, or may still run.
     Unknown,
-    /// It ran.
+    /// The request ran.
     Yes,
 }
 
@@ -28,22 +28,22 @@
         pub enum Code { $(#[doc = $text] $name,)* }
 
         impl Code {
-            /// Every code, in the order of their numbers.
+            /// All codes, in numerical order.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Yields the code's number; it never changes its meaning.
+            /// Returns the code's number. The meaning of a number never changes.
             #[must_use]
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Yields the HTTP status that goes with the code.
+            /// Returns the HTTP status of responses with this code.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// Yields the fixed part of the message.
+            /// Returns the fixed part of the message.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
@@ -102,22 +102,22 @@
     Internal = 9001, 500, "an internal fault";
 }
 
-/// A refusal: the final answer to a request that doesn't get the answer it asked for.
+/// A refusal: the final response to a request that can't be answered as requested.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error, Serialize, Deserialize)]
 #[display("CY{}: {message}", code.number())]
 pub struct Refusal {
-    /// The reason.
+    /// The result code.
     pub code: Code,
-    /// The reason in words, with the values concerned.
+    /// The reason in words, with the relevant values.
     pub message: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When asking again makes sense; `None` where it never does.
+    /// The time after which to retry. `None` if a retry is of no use.
     pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// Builds a refusal of a request that did not run, for which asking again is of no use.
+    /// Creates a refusal of a request that did not run and need not be retried.
     #[must_use]
     pub fn new(code: Code, detail: &str) -> Self {
         let message = match detail {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Sets when asking again makes sense.
+    /// Sets the time after which to retry.
     #[must_use]
     pub fn retry_after(mut self, span: Millis) -> Self {
         self.retry_after = Some(span);
@@ -146,7 +146,7 @@
         self
     }
 
-    /// Renders the body that callers get.
+    /// Returns the response body for callers.
     #[must_use]
     pub fn to_json(&self) -> serde_json::Value {
         serde_json::json!({ "error": {
--- a/crates/wire/src/event.rs
+++ b/crates/wire/src/event.rs
@@ -11,16 +11,16 @@
         pub enum Event { $(#[doc = $text] $name,)* }
 
         impl Event {
-            /// Every event, in the order of their numbers.
+            /// All events, in numerical order.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Yields the event's number; it never changes its meaning.
+            /// Returns the event's number. The meaning of a number never changes.
             #[must_use]
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Yields the fixed part of the line.
+            /// Returns the fixed part of the log line.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,5 +1,6 @@
-//! Frames between VMs: a version, a length and a `MessagePack` body with named fields, so that
-//! a VM of a newer version can add a field without breaking an older one.
+//! The encoding of messages between VMs: frames of a version, a length and a `MessagePack` body.
+//!
+//! The body has named fields, so that a newer version can add a field without breaking older VMs.
 
 use bytes::Buf;
 use bytes::BufMut;
@@ -11,17 +12,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The version of the frame's layout; fields may be added to a body without a new version.
+/// The version of the frame layout. Adding fields to a body doesn't change it.
 pub const VERSION: u8 = 1;
-/// The longest body in bytes; a longer one is a fault, not a reason to allocate.
+/// The longest body in bytes. A longer one is an error, so that a wrong length causes no large
+/// allocation.
 pub const MAX_BODY: usize = 16 * 1024 * 1024;
-/// Version byte and body length.
-const HEAD: usize = 5;
+/// The length of the header in bytes: one byte of version and four of body length.
+const HEADER_LEN: usize = 5;
 
-/// Why bytes aren't a frame.
+/// The reason that a frame can't be encoded or decoded.
 #[derive(Debug, Display, Error, From)]
 pub enum Fault {
-    /// The frame has another version.
+    /// The frame has an unknown version.
     #[display("frame version {_0} isn't known")]
     #[from(ignore)]
     Version(#[error(not(source))] u8),
@@ -44,28 +46,28 @@
 ///
 /// # Errors
 ///
-/// Fails where the value can't be encoded or is longer than [`MAX_BODY`].
+/// Fails if the value can't be encoded or its encoding is longer than [`MAX_BODY`].
 pub fn encode<T: Serialize>(value: &T) -> Result<Bytes> {
     let body = rmp_serde::to_vec_named(value)?;
     let len = u32::try_from(body.len()).map_err(|_| Fault::TooLong(body.len()))?;
     if body.len() > MAX_BODY {
         return Err(Fault::TooLong(body.len()));
     }
-    let mut out = BytesMut::with_capacity(HEAD + body.len());
+    let mut out = BytesMut::with_capacity(HEADER_LEN + body.len());
     out.put_u8(VERSION);
     out.put_u32(len);
     out.put_slice(&body);
     Ok(out.freeze())
 }
 
-/// Takes one frame off the front of a buffer; `None` where the buffer doesn't hold all of it yet.
+/// Decodes and removes the first frame of a buffer. Returns `None` if the frame is incomplete.
 ///
 /// # Errors
 ///
-/// Fails on another version, a body over [`MAX_BODY`] or one that can't be decoded; the buffer is
-/// of no use afterwards.
+/// Fails if the version is unknown, or the body is longer than [`MAX_BODY`] or can't be decoded.
+/// The buffer can't be used afterwards.
 pub fn decode<T: DeserializeOwned>(buffer: &mut BytesMut) -> Result<Option<T>> {
-    if buffer.len() < HEAD {
+    if buffer.len() < HEADER_LEN {
         return Ok(None);
     }
     if buffer[0] != VERSION {
@@ -75,10 +77,10 @@
     if len > MAX_BODY {
         return Err(Fault::TooLong(len));
     }
-    if buffer.len() < HEAD + len {
+    if buffer.len() < HEADER_LEN + len {
         return Ok(None);
     }
-    buffer.advance(HEAD);
+    buffer.advance(HEADER_LEN);
     let body = buffer.split_to(len);
     Ok(Some(rmp_serde::from_slice(&body)?))
 }
--- a/crates/wire/src/id.rs
+++ b/crates/wire/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of the things that messages are about, each a type of its own so that none is taken for
+//! Ids of the things that messages refer to, each a separate type so that one can't be mistaken for
 //! another.
 
 use std::borrow::Borrow;
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest id in bytes; longer ones would let a caller fill a shard's index.
+/// The longest id in bytes. The limit keeps callers from filling a shard's index with long ids.
 pub const MAX_LEN: usize = 128;
 
-/// Why a text isn't an id.
+/// The reason that a text isn't an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
     /// The text is empty.
@@ -57,13 +57,13 @@
             ///
             /// # Errors
             ///
-            /// Fails with a [`Fault`] where the text is empty, too long or has a foreign byte.
+            /// Fails if the text is empty, too long or contains a byte that isn't allowed.
             pub fn parse(text: &str) -> Result<Self> {
                 check(text)?;
                 Ok(Self(text.into()))
             }
 
-            /// Yields the id's text.
+            /// Returns the id's text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -116,7 +116,7 @@
     Centre
 }
 text_id! {
-    /// A back end: a model runner or a plain service.
+    /// An endpoint: a model runner or a plain service.
     Endpoint
 }
 text_id! {
@@ -136,12 +136,12 @@
     Key
 }
 
-/// A part of the programs of one data centre, owned by one VM at a time.
+/// A subset of the programs of one data centre, owned by one VM at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Shard {
     /// The data centre whose VMs may own the shard.
     pub centre: Centre,
-    /// The shard's place among the centre's shards, from 0.
+    /// The shard's index among the data centre's shards, from 0.
     pub index: u16,
 }
 
@@ -151,7 +151,7 @@
     }
 }
 
-/// One try of one call at an endpoint; drawn at random by the owner, never used twice.
+/// The id of one attempt of a call at an endpoint. Drawn at random by the owner, and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Attempt(pub u64);
@@ -162,14 +162,15 @@
     }
 }
 
-/// A digest of a request's content (xxh3, 64 bits): tells the same request asked again from
-/// another one. It is no defence against a caller that builds collisions for itself.
+/// A digest of a request's content (xxh3, 64 bits), which distinguishes a repeated request from a
+/// different one. It doesn't protect against a caller that constructs collisions of its own
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(pub u64);
 
 impl Digest {
-    /// Computes the digest of some bytes.
+    /// Computes the digest of `bytes`.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(bytes))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary that every process shares: time, ids, result codes, log events, and the messages
+//! The types that all processes share: time, ids, result codes, log events, and the messages
 //! between callers, VMs and endpoints.
 //!
-//! The crate holds data and its codecs, no behaviour: each other crate may depend on it, and it
-//! depends on none of them.
+//! The crate contains data types and their encodings, but no behaviour. Every other crate may
+//! depend on it, and it depends on none of them.
 
 pub mod ask;
 pub mod chat;
