--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -35,7 +35,7 @@
 pub enum Fault {
     /// The connection wasn't established in time, as in a network partition. The request wasn't
     /// written.
-    #[display("no connection in time: {_0}")]
+    #[display("connection timed out: {_0}")]
     Silent(#[error(not(source))] SocketAddr),
     /// No byte of the request was written, so it can't have arrived.
     #[display("not sent: {_0}")]
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    idle_since: Instant,
+    unused_since: Instant,
     expires_at: Instant,
 }
 
@@ -192,7 +192,7 @@
         let idle = &mut pools[at].1;
         idle.retain(|kept| kept.expires_at > now && !kept.connection.sender.is_closed());
         let usable =
-            |kept: &Idle| kept.idle_since <= reusable_since && kept.connection.sender.is_ready();
+            |kept: &Idle| kept.unused_since <= reusable_since && kept.connection.sender.is_ready();
         let at = idle.iter().rposition(usable)?;
         Some(idle.remove(at).connection)
     }
@@ -201,11 +201,11 @@
         if connection.sender.is_closed() {
             return;
         }
-        let idle_since = Instant::now();
+        let unused_since = Instant::now();
         let kept = Idle {
             connection,
-            idle_since,
-            expires_at: idle_since + idle_timeout,
+            unused_since,
+            expires_at: unused_since + idle_timeout,
         };
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         let found = pools.binary_search_by_key(&address, |(key, _)| *key);
@@ -230,7 +230,7 @@
             Err(_) => return Err(Fault::Silent(address)),
         };
         if let Err(fault) = socket::prepare(&stream, self.limits.unacked_timeout) {
-            log::debug!("socket options of {address}: {fault}");
+            log::debug!("setting socket options for {address} failed: {fault}");
         }
         self.made.fetch_add(1, Ordering::Relaxed);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -314,7 +314,7 @@
         let mut all = Vec::new();
         while let Some(bytes) = self.data().await? {
             if all.len() + bytes.len() > limit {
-                return Err(Fault::Broken(format!("more than {limit} bytes")));
+                return Err(Fault::Broken(format!("body longer than {limit} bytes")));
             }
             if all.is_empty() && self.has_ended() {
                 self.data().await?;
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -19,9 +19,10 @@
 use tokio::time::sleep_until;
 use tokio_util::sync::CancellationToken;
 
-/// How long after it was made a connection may bring its first request once the server drains.
+/// While the server stops, how long after its start a connection may still bring its first request.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an older connection without a request may still take, for a request in transit.
+/// The least time that a connection without a request gets after the drain begins, so that a
+/// request in transit can arrive.
 const IN_TRANSIT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Serves a connection with the options of `protocol` until it ends or, once `draining` is
--- a/crates/link/src/listen.rs
+++ b/crates/link/src/listen.rs
@@ -91,7 +91,7 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     if let Err(fault) = socket::prepare(&stream, UNACKED_TIMEOUT) {
-        log::debug!("socket options of a caller: {fault}");
+        log::debug!("setting socket options for a caller failed: {fault}");
     }
     let connections = &guard.0;
     // A connection that arrives while the process stops gets one response. Closing it unread would
--- a/crates/link/src/output/limit.rs
+++ b/crates/link/src/output/limit.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The line is written.
-    Passes,
+    Written,
     /// The line is dropped, and has been counted.
     Dropped,
 }
@@ -66,17 +66,17 @@
 impl Limit {
     /// Decides on a line of `event`, which is 0 for lines that name no event.
     pub fn decide(&mut self, event: u16, room: Room, now: Instant) -> Verdict {
-        let count = self.count(event, now);
-        if now.saturating_duration_since(count.window_start) >= WINDOW {
-            count.window_start = now;
-            count.passed = 0;
+        let counter = self.counter(event, now);
+        if now.saturating_duration_since(counter.window_start) >= WINDOW {
+            counter.window_start = now;
+            counter.passed = 0;
         }
-        let floods = count.passed >= MAX_LINES_PER_WINDOW;
+        let floods = counter.passed >= MAX_LINES_PER_WINDOW;
         if room == Room::Free && !floods {
-            count.passed += 1;
-            return Verdict::Passes;
+            counter.passed += 1;
+            return Verdict::Written;
         }
-        count.dropped += 1;
+        counter.dropped += 1;
         self.full += u64::from(!floods);
         Verdict::Dropped
     }
@@ -88,8 +88,8 @@
         if reported.is_some_and(|reported| now.saturating_duration_since(reported) < WINDOW) {
             return Report::default();
         }
-        let dropped = self.events.iter_mut().filter(|count| count.dropped > 0);
-        let taken = dropped.map(|count| (count.event, std::mem::take(&mut count.dropped)));
+        let dropped = self.events.iter_mut().filter(|counter| counter.dropped > 0);
+        let taken = dropped.map(|counter| (counter.event, std::mem::take(&mut counter.dropped)));
         let report = Report {
             events: taken.collect(),
             full: std::mem::take(&mut self.full),
@@ -103,7 +103,7 @@
     /// Returns whether there are dropped lines to report.
     #[must_use]
     pub fn is_pending(&self) -> bool {
-        self.events.iter().any(|count| count.dropped > 0)
+        self.events.iter().any(|counter| counter.dropped > 0)
     }
 
     /// Lets the next report be taken however soon after the last one.
@@ -111,7 +111,7 @@
         self.reported = None;
     }
 
-    fn count(&mut self, event: u16, now: Instant) -> &mut Counter {
+    fn counter(&mut self, event: u16, now: Instant) -> &mut Counter {
         let found = self
             .events
             .binary_search_by_key(&event, |known| known.event);
--- a/crates/link/src/output/limit/tests.rs
+++ b/crates/link/src/output/limit/tests.rs
@@ -18,15 +18,15 @@
     let mut limit = Limit::default();
     for at in 0..MAX_LINES_PER_WINDOW + 7 {
         let expected = if at < MAX_LINES_PER_WINDOW {
-            Verdict::Passes
+            Verdict::Written
         } else {
             Verdict::Dropped
         };
         assert_eq!(limit.decide(PLACED, Room::Free, now), expected);
     }
-    assert_eq!(limit.decide(REFUSED, Room::Free, now), Verdict::Passes);
+    assert_eq!(limit.decide(REFUSED, Room::Free, now), Verdict::Written);
     let later = now + WINDOW;
-    assert_eq!(limit.decide(PLACED, Room::Free, later), Verdict::Passes);
+    assert_eq!(limit.decide(PLACED, Room::Free, later), Verdict::Written);
     assert_eq!(
         limit.take_report(later).to_string(),
         "lines=7 full=0 events=E1201:7"
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -32,7 +32,7 @@
 }
 
 impl<P: Platform> Client<P> {
-    /// Wraps `inner`. A call that would have to wait longer than `max_wait` in all fails at once.
+    /// Wraps `inner`. A call fails as soon as its total wait would exceed `max_wait`.
     pub fn new(inner: P, rate: Rate, max_wait: Millis, clock: Clock) -> Self {
         let budget = Mutex::new(Budget::new(rate, clock.now()));
         Self {
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -23,10 +23,10 @@
     Unknown(#[error(not(source))] String),
     /// The call had no effect because this VM's rate budget or the platform's limit is used up.
     /// Holds the time after which to retry.
-    #[display("over the rate limit, again in {_0}")]
+    #[display("over the rate limit, retry in {_0}")]
     Limited(#[error(not(source))] Millis),
     /// The call had no effect because it is invalid, for example a value over [`MAX_VALUE`].
-    #[display("the platform doesn't take the call: {_0}")]
+    #[display("the platform rejected the call: {_0}")]
     Invalid(#[error(not(source))] String),
 }
 
@@ -158,7 +158,7 @@
 
     /// Waits until a write of this priority fits the VM's rate budget, without consuming any of it.
     /// A caller that batches work into one write keeps collecting until this returns.
-    async fn wait_for_budget(&self, _weight: Priority) {}
+    async fn wait_for_budget(&self, _priority: Priority) {}
 
     /// Grants a lease that expires after `ttl` without a renewal.
     async fn grant(&self, ttl: Millis) -> Result<Lease>;
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -335,7 +335,7 @@
         ranged.kvs.first().map(entry).transpose()
     }
 
-    async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
+    async fn commit(&self, txn: &Txn, _priority: Priority) -> Result<Outcome> {
         let txn = transaction(txn)?;
         let response: format::TxnResponse = self.post("/v3/kv/txn", &txn, Effect::Write).await?;
         outcome(response)
@@ -358,10 +358,10 @@
             id: lease.0,
             ttl: 0,
         };
-        let part: format::StreamItem<format::Lease> = self
+        let item: format::StreamItem<format::Lease> = self
             .post("/v3/lease/keepalive", &held, Effect::Write)
             .await?;
-        Ok(part.result.ttl > 0)
+        Ok(item.result.ttl > 0)
     }
 
     async fn revoke(&self, lease: Lease) -> Result<()> {
@@ -372,7 +372,7 @@
         let revoked: Result<serde_json::Value> =
             self.post("/v3/lease/revoke", &held, Effect::Write).await;
         match revoked {
-            // `Invalid` means that the platform doesn't know the lease: it has already response.
+            // `Invalid` means that the platform doesn't know the lease: it has already ended.
             Ok(_) | Err(Fault::Invalid(_)) => Ok(()),
             Err(fault) => Err(fault),
         }
--- a/crates/platform/src/limit/tests.rs
+++ b/crates/platform/src/limit/tests.rs
@@ -20,7 +20,7 @@
 #[case::commit(Priority::Commit, 27)]
 #[case::change(Priority::Change, 23)]
 #[case::background(Priority::Background, 13)]
-fn a_burst_is_bounded_by_the_weight(#[case] priority: Priority, #[case] expected: u32) {
+fn a_burst_is_limited_by_its_priority(#[case] priority: Priority, #[case] expected: u32) {
     let mut budget = Budget::new(RATE, START);
     assert_eq!(drain(&mut budget, priority, START), expected);
 }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn all_weights_together_keep_to_the_rate() {
+fn all_priorities_together_keep_to_the_rate() {
     let mut budget = Budget::new(RATE, START);
     let mut sent = 0;
     for step in 0..20_000 {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_smallest_rate_lets_each_weight_through() {
+fn the_smallest_rate_admits_each_priority() {
     let rate = Rate {
         reads: 1,
         writes: 1,
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -234,7 +234,7 @@
         Ok(state.find(key).ok().map(|at| state.entries[at].0.clone()))
     }
 
-    async fn commit(&self, txn: &Txn, _weight: Priority) -> Result<Outcome> {
+    async fn commit(&self, txn: &Txn, _priority: Priority) -> Result<Outcome> {
         let mut state = self.connect()?;
         state.writes += 1;
         let too_long =
--- a/crates/settings/src/unit.rs
+++ b/crates/settings/src/unit.rs
@@ -47,6 +47,7 @@
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
 ];
+/// Each unit with its factor, per second.
 const RATES: &[(&str, u64)] = &[("/s", 1)];
 
 /// A span: `500ms`, `5s`, `2m`, `1h`, `1d`.
--- a/crates/wire/src/code.rs
+++ b/crates/wire/src/code.rs
@@ -117,7 +117,7 @@
 }
 
 impl Refusal {
-    /// Creates a refusal of a request that did not run and need not be retried.
+    /// Creates a refusal of a request that did not run, for which a retry is of no use.
     #[must_use]
     pub fn new(code: Code, detail: &str) -> Self {
         let message = match detail {
