--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -69,20 +69,14 @@
 pub async fn run(settings: Settings, metrics_port: u16) -> Result<()> {
     let clock = Clock::System;
     let grace = settings.grace;
-    let connections = Arc::new(Connections::default());
+    let conns = Arc::new(Connections::default());
     let folder = settings.data.clone().ok_or(Fault::Missing("data folder"))?;
     let new_disk_id = rand::rng().random::<u64>();
     let member = server::open(&folder, settings.disk_bytes, new_disk_id, clock.clone()).await?;
     let ip = settings.ip.parse();
     let ip = ip.map_err(|_| Fault::Missing("IP address"))?;
     let address = SocketAddr::new(ip, settings.first_port);
-    listen_all(
-        &member,
-        &connections,
-        address,
-        SocketAddr::new(ip, metrics_port),
-    )
-    .await?;
+    listen_all(&member, &conns, address, SocketAddr::new(ip, metrics_port)).await?;
     log::info!(
         "event=E{} text=\"{}\" vm={} role=store vms={address}",
         Event::NodeStarted.number(),
@@ -123,7 +117,7 @@
         Event::NodeStopping.text()
     );
     let stop = Stop::new(clock.now(), grace);
-    drain(&member, &connections, stop, &clock).await;
+    drain(&member, &conns, stop, &clock).await;
     log::info!(
         "event=E{} text=\"{}\"",
         Event::NodeStopped.number(),
