--- a/crates/chestnutyoke/tests/role_stop.rs
+++ b/crates/chestnutyoke/tests/role_stop.rs
@@ -147,11 +147,11 @@
 /// Calls a VM with a disk and waits for its answer; returns `None` if the connection breaks.
 async fn call_vm(address: SocketAddr, version: u64, body: Body) -> Option<Answer> {
     let client = Client::new(Limits {
-        connect: Duration::from_secs(1),
-        silence: Duration::from_secs(5),
-        keep: Duration::ZERO,
-        rest: Duration::ZERO,
-        idle: 1,
+        connect_timeout: Duration::from_secs(1),
+        unacked_timeout: Duration::from_secs(5),
+        idle_timeout: Duration::ZERO,
+        reuse_delay: Duration::ZERO,
+        max_idle: 1,
     });
     let request = Request::post(message::PATH).header("host", "store");
     let request = request.body(Payload::from(call::encode(version, body).unwrap()));
--- a/crates/node/src/controllers/config/change/tests.rs
+++ b/crates/node/src/controllers/config/change/tests.rs
@@ -1,5 +1,5 @@
+use platform::memory::Injection;
 use platform::memory::Memory;
-use platform::memory::Play;
 use rstest::rstest;
 use wire::id;
 
@@ -38,8 +38,8 @@
     let Step::Commit(txn) = change.on_read(Ok(None), Millis::ZERO) else {
         panic!("expected a commit step");
     };
-    memory.play(Play::LoseAnswer);
-    let lost = memory.commit(&txn, Weight::Change).await;
+    memory.inject(Injection::LoseAnswer);
+    let lost = memory.commit(&txn, Priority::Change).await;
     assert_eq!(change.on_commit(lost, Millis::ZERO), Step::Read);
     change
 }
@@ -48,13 +48,13 @@
 // the key hasn't moved, the same bytes are sent again. The operator is told "accepted" once, and
 // the change is applied once.
 #[rstest]
-#[case(Play::LoseAnswer)]
-#[case(Play::LoseWrite)]
-#[case(Play::Delay)]
+#[case(Injection::LoseAnswer)]
+#[case(Injection::LoseWrite)]
+#[case(Injection::Delay)]
 #[tokio::test]
-async fn a_lost_answer_is_resolved_by_reading_back(#[case] play: Play) {
+async fn a_lost_answer_is_resolved_by_reading_back(#[case] play: Injection) {
     let memory = Memory::default();
-    memory.play(play);
+    memory.inject(play);
     let outcome = make_change(&memory, 11, "high").await;
     assert_eq!(accepted_revision(&outcome), 1);
     memory.deliver();
@@ -132,7 +132,7 @@
         panic!("expected a commit step");
     };
     make_change(&memory, 12, "theirs").await;
-    let refused = memory.commit(&txn, Weight::Change).await;
+    let refused = memory.commit(&txn, Priority::Change).await;
     let step = change.on_commit(refused, Millis::ZERO);
     let Some(accepted) = accepted else {
         assert_eq!(step, Step::Done(Outcome::Conflict { revision: 2 }));
--- a/crates/node/tests/claims_fuzz.rs
+++ b/crates/node/tests/claims_fuzz.rs
@@ -13,7 +13,7 @@
 use fleet::TICK;
 use node::controllers::claims;
 use node::controllers::members;
-use platform::memory::Play;
+use platform::memory::Injection;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
@@ -54,7 +54,7 @@
     Cut(usize, bool),
     CutPlatform(usize, bool),
     Outage(bool),
-    Lose(Play),
+    Lose(Injection),
     Deliver,
 }
 
@@ -72,9 +72,9 @@
     fn transitions((): &()) -> BoxedStrategy<Operation> {
         let vm = 0..CENTRES * VMS;
         let play = prop_oneof![
-            Just(Play::LoseAnswer),
-            Just(Play::LoseWrite),
-            Just(Play::Delay),
+            Just(Injection::LoseAnswer),
+            Just(Injection::LoseWrite),
+            Just(Injection::Delay),
         ];
         prop_oneof![
             12 => (1..40_u32).prop_map(Operation::Run),
@@ -127,7 +127,7 @@
         }
         Operation::Outage(down) => fleet.memory.set_down(down),
         Operation::Lose(play) => {
-            fleet.memory.play(play);
+            fleet.memory.inject(play);
             fleet.vms.iter_mut().for_each(|vm| vm.disturbed = true);
         }
         Operation::Deliver => fleet.memory.deliver(),
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -20,9 +20,9 @@
 use node::controllers::config::edit::Subject;
 use platform::edge::Entry;
 use platform::edge::Platform;
-use platform::edge::Weight;
+use platform::edge::Priority;
+use platform::memory::Injection;
 use platform::memory::Memory;
-use platform::memory::Play;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
@@ -43,7 +43,7 @@
 enum Operation {
     Begin { node: usize, with_expected: bool },
     Advance { change: usize },
-    Lose(Play),
+    Lose(Injection),
     Outage(bool),
     Deliver,
     Wait,
@@ -69,9 +69,9 @@
     fn transitions((): &()) -> BoxedStrategy<Operation> {
         let node = 0..NODES;
         let play = prop_oneof![
-            Just(Play::LoseAnswer),
-            Just(Play::LoseWrite),
-            Just(Play::Delay),
+            Just(Injection::LoseAnswer),
+            Just(Injection::LoseWrite),
+            Just(Injection::Delay),
         ];
         prop_oneof![
             4 => (node.clone(), any::<bool>())
@@ -198,7 +198,7 @@
                 self.pending[at].change.on_read(read, now)
             }
             Step::Commit(txn) => {
-                let commit = self.memory.commit(&txn, Weight::Change);
+                let commit = self.memory.commit(&txn, Priority::Change);
                 let outcome = self.runtime.block_on(commit);
                 self.pending[at].change.on_commit(outcome, now)
             }
@@ -403,7 +403,7 @@
                 with_expected,
             } => fleet.begin(node, with_expected),
             Operation::Advance { change } => fleet.advance(change),
-            Operation::Lose(play) => fleet.memory.play(play),
+            Operation::Lose(play) => fleet.memory.inject(play),
             Operation::Outage(down) => {
                 fleet.down = down;
                 fleet.memory.set_down(down);
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -24,8 +24,8 @@
 use platform::edge::Compare;
 use platform::edge::Fault;
 use platform::edge::Platform;
+use platform::edge::Priority;
 use platform::edge::Txn;
-use platform::edge::Weight;
 use platform::edge::Write;
 use platform::memory::Memory;
 use rand::SeedableRng;
@@ -290,7 +290,7 @@
                 writes: vec![put(&key, own_name, self.vms[at].renewer.lease())],
             };
             let _again_at_next_append =
-                self.call_platform(at, self.memory.commit(&txn, Weight::Claim));
+                self.call_platform(at, self.memory.commit(&txn, Priority::Claim));
         }
     }
 
@@ -322,7 +322,7 @@
                         compares: vec![compare(&key, entry.revision)],
                         writes: vec![Write::Delete(key)],
                     };
-                    self.call_platform(at, self.memory.commit(&txn, Weight::Claim))
+                    self.call_platform(at, self.memory.commit(&txn, Priority::Claim))
                         .is_ok()
                 }
                 Ok(_) => true,
@@ -430,7 +430,7 @@
                 put(&counter, &epoch.to_le_bytes(), None),
             ],
         };
-        match self.call_platform(at, self.memory.commit(&txn, Weight::Claim))? {
+        match self.call_platform(at, self.memory.commit(&txn, Priority::Claim))? {
             edge::Outcome::Applied(_) => Ok(epoch),
             edge::Outcome::Refused(_) => Err(held()),
         }
