--- a/crates/node/tests/request/metrics.rs
+++ b/crates/node/tests/request/metrics.rs
@@ -1,6 +1,6 @@
 //! What scrapers read of a node.
 
-use fakes::figures;
+use fakes::metrics;
 use http_body_util::BodyExt;
 use serde_json::json;
 use standin::client;
@@ -20,7 +20,7 @@
 #[tokio::test]
 async fn the_page_of_metrics_has_each_figure() {
     let fleet = Fleet::plain().await;
-    figures::compare("serve", &scraped(&fleet).await);
+    metrics::compare("serve", &scraped(&fleet).await);
 }
 
 /// A turn in one piece, one in parts and a refusal each count as what they are.
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use fakes::caller;
-use fakes::caller::Ask;
+use fakes::caller::Params;
 use fakes::store;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -234,7 +234,7 @@
             };
             let id = self.world.oracle().begin(connection.vm, want, left);
             let program = want.turn.as_ref().map(|turn| format!("p{}", turn.program));
-            let request = caller::request(&Ask {
+            let request = caller::request(&Params {
                 id: &id,
                 path: &want.path(),
                 deadline: left,
@@ -253,7 +253,7 @@
             let outcome = connection.ask(request, patience).await;
             self.world.oracle().finish(&id, &outcome);
             if let Outcome::Whole(answer) = &outcome
-                && !answer.told.closes
+                && !answer.info.closes
             {
                 self.kept = Some(connection);
             }
@@ -302,7 +302,7 @@
 
 /// Comes back when told to, as long as that is within a third of the time left.
 fn refused(answer: &Answer, left: Duration) -> Next {
-    let span = answer.told.retry_after.unwrap_or_default();
+    let span = answer.info.retry_after.unwrap_or_default();
     if span > left / 3 {
         return Next::Done(Got::Failed);
     }
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use derive_more::Error;
 use fakes::caller;
-use fakes::caller::Told;
+use fakes::caller::Info;
 use http_body_util::BodyExt;
 use hyper::Request;
 use hyper::Response;
@@ -50,7 +50,7 @@
     /// Its status.
     pub status: u16,
     /// What its headers say.
-    pub told: Told,
+    pub info: Info,
     /// Its body, as far as it came.
     pub body: String,
 }
@@ -125,7 +125,7 @@
         let (head, mut incoming) = response.into_parts();
         let mut answer = Answer {
             status: head.status.as_u16(),
-            told: caller::told(&head.headers),
+            info: caller::info(&head.headers),
             body: String::new(),
         };
         loop {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -308,7 +308,7 @@
 
     fn enter(&self, backend: &Backend, state: &str) {
         self.store
-            .enter(&backend.id, backend.service, backend.link.address, state);
+            .put_runner(&backend.id, backend.service, backend.link.address, state);
     }
 
     /// Writes a configuration with a route that the one before lacks, and without one that it has;
@@ -369,7 +369,7 @@
             return;
         };
         let id = self.world.oracle().begin(vm.place.at, &want, want.deadline);
-        let request = caller::request(&caller::Ask {
+        let request = caller::request(&caller::Params {
             id: &id,
             path: &want.path(),
             deadline: want.deadline,
--- a/crates/soak/src/oracle/answer.rs
+++ b/crates/soak/src/oracle/answer.rs
@@ -81,8 +81,8 @@
 
     fn judge_whole(&mut self, at: usize, answer: &Answer) {
         let id = self.attempts[at].id.clone();
-        let is_own = answer.told.is_signed && answer.told.id.as_deref() == Some(id.as_str());
-        let what = || format!("signed {}, for {:?}", answer.told.is_signed, answer.told.id);
+        let is_own = answer.info.is_signed && answer.info.id.as_deref() == Some(id.as_str());
+        let what = || format!("signed {}, for {:?}", answer.info.is_signed, answer.info.id);
         self.note(Check::Own, at, (!is_own).then(what));
         let want = self.attempts[at].want.clone();
         let body = self.body(at);
--- a/crates/soak/src/oracle/end.rs
+++ b/crates/soak/src/oracle/end.rs
@@ -30,7 +30,7 @@
         let was_read = has_run || ended.since(whole) > READ;
         let is_late = ended.plus(CLOSE) >= attempt.until;
         let broken = broken.filter(|_| was_read && !is_late && !self.is_excused(attempt, ended));
-        let told = |what: &str| {
+        let describe = |what: &str| {
             let span = ended.since(attempt.sent).as_u64();
             let run = if has_run { "ran" } else { "not run" };
             let Some(signal) = planned else {
@@ -39,7 +39,7 @@
             let since = attempt.sent.since(signal).as_u64();
             format!("{what} after {span} ms; sent {since} ms after the signal; {run}")
         };
-        let broken = broken.map(told);
+        let broken = broken.map(describe);
         if planned.is_some() {
             self.note(Check::Lost, at, broken);
             return;
@@ -59,7 +59,7 @@
         attempt.runs.iter().any(|place| {
             let seen = &log[*place];
             let ended = seen.ended.map_or(ended, |at| self.since_start(at));
-            seen.mode != runner::Mode::Sound
+            seen.mode != runner::Mode::Normal
                 || self.history.outlasts(attempt.vm, attempt.sent, ended)
         })
     }
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use fakes::caller;
-use fakes::caller::Told;
+use fakes::caller::Info;
 use fakes::runner::Log;
 use fakes::runner::Mode;
 use fakes::runner::Seen;
@@ -50,7 +50,7 @@
             path: path.to_owned(),
             body: body.clone(),
             headers: HeaderMap::new(),
-            mode: Mode::Sound,
+            mode: Mode::Normal,
             at: now,
             ended: Some(now),
         });
@@ -110,10 +110,10 @@
 fn answer(id: &str, status: u16, body: String) -> Answer {
     Answer {
         status,
-        told: Told {
+        info: Info {
             id: Some(id.to_owned()),
             is_signed: true,
-            ..caller::told(&HeaderMap::new())
+            ..caller::info(&HeaderMap::new())
         },
         body,
     }
