--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -10,9 +10,9 @@
 use tokio::time::timeout;
 
 /// How often VMs are asked whether they are ready, and how long they may take to say so.
-pub const ASK: Duration = Duration::from_secs(1);
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// After so many misses a VM gets no new connections.
-const MISSES: u32 = 2;
+const MISS_THRESHOLD: u32 = 2;
 
 /// A VM as the balancer sees it.
 #[derive(Clone, Debug)]
@@ -53,17 +53,17 @@
     }
 
     /// Asks all VMs once whether they are ready.
-    pub async fn ask(&self) {
-        let mut asked = JoinSet::new();
-        for (at, row) in self.rows().into_iter().enumerate() {
-            asked.spawn(async move {
-                let status = timeout(ASK, caller::status(row.ready, "/-/readyz")).await;
-                (at, status == Ok(Some(200)))
+    pub async fn probe(&self) {
+        let mut probes = JoinSet::new();
+        for (index, row) in self.rows().into_iter().enumerate() {
+            probes.spawn(async move {
+                let status = timeout(PROBE_INTERVAL, caller::status(row.ready, "/-/readyz")).await;
+                (index, status == Ok(Some(200)))
             });
         }
-        while let Some(Ok((at, is_ready))) = asked.join_next().await {
+        while let Some(Ok((index, is_ready))) = probes.join_next().await {
             let mut rows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let row = &mut rows[at];
+            let row = &mut rows[index];
             row.misses = if is_ready { 0 } else { row.misses + 1 };
         }
     }
@@ -80,21 +80,24 @@
 #[must_use]
 pub fn choose(rows: &[Row], centre: usize, hash: usize) -> usize {
     let all: Vec<usize> = (0..rows.len()).collect();
-    let own: Vec<usize> = of(&all, |at| rows[at].centre == centre);
-    let in_rotation = of(&own, |at| rows[at].misses < MISSES);
-    if in_rotation.len() * 2 >= own.len() && !in_rotation.is_empty() {
+    let local: Vec<usize> = filter(&all, |index| rows[index].centre == centre);
+    let in_rotation = filter(&local, |index| rows[index].misses < MISS_THRESHOLD);
+    if in_rotation.len() * 2 >= local.len() && !in_rotation.is_empty() {
         return in_rotation[hash % in_rotation.len()];
     }
     if !in_rotation.is_empty() {
-        return own[hash % own.len()];
+        return local[hash % local.len()];
     }
-    let elsewhere = of(&all, |at| rows[at].misses < MISSES);
-    let usable = if elsewhere.is_empty() { all } else { elsewhere };
+    let remote = filter(&all, |index| rows[index].misses < MISS_THRESHOLD);
+    let usable = if remote.is_empty() { all } else { remote };
     usable[hash % usable.len()]
 }
 
-fn of(rows: &[usize], wanted: impl Fn(usize) -> bool) -> Vec<usize> {
-    rows.iter().copied().filter(|at| wanted(*at)).collect()
+fn filter(rows: &[usize], wanted: impl Fn(usize) -> bool) -> Vec<usize> {
+    rows.iter()
+        .copied()
+        .filter(|index| wanted(*index))
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/soak/src/balancer/tests.rs
+++ b/crates/soak/src/balancer/tests.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
 
-use super::MISSES;
+use super::MISS_THRESHOLD;
 use super::Row;
 use super::choose;
 
@@ -24,13 +24,13 @@
 
 #[test]
 fn one_miss_takes_no_vm_out() {
-    let rows = rows(&[(0, 0), (0, MISSES - 1), (1, 0)]);
+    let rows = rows(&[(0, 0), (0, MISS_THRESHOLD - 1), (1, 0)]);
     assert_eq!(chosen(&rows, 0), [0, 1]);
 }
 
 #[test]
 fn half_in_rotation_get_all() {
-    let rows = rows(&[(0, 0), (0, MISSES), (1, 0)]);
+    let rows = rows(&[(0, 0), (0, MISS_THRESHOLD), (1, 0)]);
     assert_eq!(chosen(&rows, 0), [0]);
 }
 
@@ -38,12 +38,12 @@
 /// those that have said that they stop.
 #[test]
 fn fewer_than_half_in_rotation_leave_all_in_use() {
-    let rows = rows(&[(0, MISSES), (0, MISSES), (0, 0), (1, 0)]);
+    let rows = rows(&[(0, MISS_THRESHOLD), (0, MISS_THRESHOLD), (0, 0), (1, 0)]);
     assert_eq!(chosen(&rows, 0), [0, 1, 2]);
 }
 
 #[test]
 fn a_data_centre_without_any_is_served_elsewhere() {
-    let rows = rows(&[(0, MISSES), (0, MISSES), (1, 0), (2, 0)]);
+    let rows = rows(&[(0, MISS_THRESHOLD), (0, MISS_THRESHOLD), (1, 0), (2, 0)]);
     assert_eq!(chosen(&rows, 0), [2, 3]);
 }
--- a/crates/soak/src/body.rs
+++ b/crates/soak/src/body.rs
@@ -14,9 +14,9 @@
 use tokio::time::sleep;
 
 /// The pieces of a body that is sent slowly.
-const PIECES: usize = 4;
+const SLOW_PIECES: usize = 4;
 /// The pauses between them.
-const PAUSES: u32 = 3;
+const SLOW_PAUSES: u32 = 3;
 /// After its first half the rest of a body that stops isn't sent before its client leaves.
 const NEVER: Duration = Duration::from_hours(1);
 
@@ -37,7 +37,7 @@
     pub fn span(self) -> Option<Duration> {
         match self {
             Self::AtOnce => Some(Duration::ZERO),
-            Self::Slow(pause) => Some(pause * PAUSES),
+            Self::Slow(pause) => Some(pause * SLOW_PAUSES),
             Self::Stops => None,
         }
     }
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Body {
     pieces: VecDeque<Bytes>,
-    left: u64,
+    remaining: u64,
     pause: Duration,
     /// Until when the next piece waits.
     wait: Option<Pin<Box<Sleep>>>,
@@ -59,11 +59,11 @@
     pub fn new(bytes: Bytes, pace: Pace) -> Self {
         let (count, pause) = match pace {
             Pace::AtOnce => (1, Duration::ZERO),
-            Pace::Slow(pause) => (PIECES, pause),
+            Pace::Slow(pause) => (SLOW_PIECES, pause),
             Pace::Stops => (2, NEVER),
         };
         Self {
-            left: bytes.len() as u64,
+            remaining: bytes.len() as u64,
             pieces: split(bytes, count),
             pause,
             wait: None,
@@ -95,7 +95,7 @@
         let Some(piece) = self.pieces.pop_front() else {
             return Poll::Ready(None);
         };
-        self.left -= piece.len() as u64;
+        self.remaining -= piece.len() as u64;
         if !self.pieces.is_empty() {
             self.wait = Some(Box::pin(sleep(self.pause)));
         }
@@ -103,7 +103,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left)
+        SizeHint::with_exact(self.remaining)
     }
 
     fn is_end_stream(&self) -> bool {
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -135,9 +135,9 @@
 
 /// All checks' parts of the report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Book(Vec<Row>);
+pub struct Results(Vec<Row>);
 
-impl Default for Book {
+impl Default for Results {
     fn default() -> Self {
         let row = |check: Check| Row {
             check,
@@ -150,7 +150,7 @@
     }
 }
 
-impl Book {
+impl Results {
     /// Yields the rows.
     #[must_use]
     pub fn rows(&self) -> &[Row] {
@@ -164,7 +164,7 @@
     }
 
     /// Notes that a check was looked at; `broken` tells what didn't hold.
-    pub fn note(&mut self, check: Check, broken: Option<Case>) {
+    pub fn record(&mut self, check: Check, broken: Option<Case>) {
         let row = &mut self.0[check as usize];
         row.exercised += 1;
         let Some(case) = broken else {
@@ -178,7 +178,7 @@
 
     /// Counts the checks that didn't hold.
     #[must_use]
-    pub fn broken(&self) -> usize {
+    pub fn broken_checks(&self) -> usize {
         self.0.iter().filter(|row| row.broken > 0).count()
     }
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -19,43 +19,43 @@
 use crate::connection::Answer;
 use crate::connection::Connection;
 use crate::connection::Outcome;
+use crate::context::Context;
 use crate::request::Kind;
+use crate::request::Spec;
 use crate::request::Turn;
-use crate::request::Want;
-use crate::world::World;
 
 /// The attempts at one request.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// The tries of a turn after its first.
-const AGAIN: usize = 2;
+const TURN_RETRIES: usize = 2;
 /// How long an unused connection is used again: four fifths of what the operators allow.
-const KEEP: Duration = Duration::from_secs(12);
+const REUSE_WINDOW: Duration = Duration::from_secs(12);
 /// Below this nobody tries again.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(100);
 /// How long clients wait for most requests: a little less than their routes let them take.
 const DEADLINE: Duration = Duration::from_millis(2_900);
 /// How long they wait for long turns.
 const LONG_DEADLINE: Duration = Duration::from_millis(6_500);
 /// What takes longer than most routes allow, and how long its client waits.
-const OVER: Duration = Duration::from_millis(store::USUAL_MS + 800);
-const OVER_DEADLINE: Duration = Duration::from_millis(store::USUAL_MS + 1_500);
+const OVERLONG: Duration = Duration::from_millis(store::DEFAULT_TIMEOUT_MS + 800);
+const OVERLONG_DEADLINE: Duration = Duration::from_millis(store::DEFAULT_TIMEOUT_MS + 1_500);
 /// A budget that no program spends.
-const AMPLE: u64 = 20_000;
+const AMPLE_BUDGET: u64 = 20_000;
 
 /// A client.
 #[derive(Debug)]
 pub struct Client {
-    world: Arc<World>,
+    context: Arc<Context>,
     centre: usize,
     /// What the balancer makes of the client.
     hash: usize,
     random: ChaCha8Rng,
-    kept: Option<Connection>,
+    idle: Option<Connection>,
     sent: u64,
 }
 
 /// What became of a request.
-enum Got {
+enum Completion {
     Served(String),
     /// The turn's budget is spent.
     Spent,
@@ -63,33 +63,33 @@
 }
 
 /// What to do after an attempt.
-enum Next {
-    Done(Got),
+enum Decision {
+    Done(Completion),
     Again(Duration),
 }
 
 impl Client {
     /// Makes a client without a connection.
     #[must_use]
-    pub fn new(world: Arc<World>, at: usize, seed: u64) -> Self {
+    pub fn new(context: Arc<Context>, index: usize, seed: u64) -> Self {
         Self {
-            centre: at % world.centres,
-            hash: at / world.centres,
-            random: ChaCha8Rng::seed_from_u64(seed.wrapping_add(at as u64)),
-            world,
-            kept: None,
+            centre: index % context.centres,
+            hash: index / context.centres,
+            random: ChaCha8Rng::seed_from_u64(seed.wrapping_add(index as u64)),
+            context,
+            idle: None,
             sent: 0,
         }
     }
 
     /// Sends requests until `until`.
-    pub async fn run(mut self, until: Instant) {
-        while Instant::now() < until {
+    pub async fn run(mut self, end: Instant) {
+        while Instant::now() < end {
             if self.random.random_bool(0.25) {
-                self.program(until).await;
+                self.program(end).await;
             } else {
-                let want = self.call();
-                self.serve(&want).await;
+                let spec = self.random_call();
+                self.request(&spec).await;
             }
             self.pause(10, 150).await;
         }
@@ -100,15 +100,15 @@
         sleep(span).await;
     }
 
-    fn input(&mut self) -> Bytes {
+    fn random_input(&mut self) -> Bytes {
         self.sent += 1;
         let filler = "x".repeat(self.random.random_range(0..400));
         format!("input {} {} {filler}\n", self.hash, self.sent).into()
     }
 
     /// Draws how a body is sent, while some are sent slowly.
-    fn pace(&mut self) -> Pace {
-        if !self.world.is_slow() || !self.random.random_bool(0.4) {
+    fn random_pace(&mut self) -> Pace {
+        if !self.context.has_slow_bodies() || !self.random.random_bool(0.4) {
             return Pace::AtOnce;
         }
         if self.random.random_bool(0.15) {
@@ -117,7 +117,7 @@
         Pace::Slow(Duration::from_millis(self.random.random_range(10..250)))
     }
 
-    fn want(&mut self, kind: Kind, turn: Option<Turn>) -> Want {
+    fn random_spec(&mut self, kind: Kind, turn: Option<Turn>) -> Spec {
         let (events, pause) = match kind {
             Kind::Long => (
                 self.random.random_range(8..16),
@@ -136,52 +136,52 @@
             Kind::Long => LONG_DEADLINE,
             _ => DEADLINE,
         };
-        Want {
+        Spec {
             kind,
             events,
             pause: Duration::from_millis(pause),
             deadline,
-            leaves: None,
-            pace: self.pace(),
-            input: self.input(),
+            leave_after: None,
+            pace: self.random_pace(),
+            input: self.random_input(),
             turn,
         }
     }
 
-    fn call(&mut self) -> Want {
+    fn random_call(&mut self) -> Spec {
         let kind = match self.random.random_range(0..10) {
             0..4 => Kind::Look,
             4..7 => Kind::Order,
             _ => Kind::Talk,
         };
-        let mut want = self.want(kind, None);
+        let mut spec = self.random_spec(kind, None);
         // A few take longer than their route allows.
         if self.random.random_bool(0.02) {
-            want.pause = OVER / 8;
-            want.events = 8;
-            want.deadline = OVER_DEADLINE;
-            return want;
+            spec.pause = OVERLONG / 8;
+            spec.events = 8;
+            spec.deadline = OVERLONG_DEADLINE;
+            return spec;
         }
         // A few leave early, mostly in the middle of the answer.
         if kind != Kind::Order && self.random.random_bool(0.03) {
-            want.leaves = Some(Duration::from_millis(self.random.random_range(20..300)));
+            spec.leave_after = Some(Duration::from_millis(self.random.random_range(20..300)));
         }
-        want
+        spec
     }
 
     /// Runs a program: turns, each from an earlier one, with calls in between.
-    async fn program(&mut self, until: Instant) {
+    async fn program(&mut self, end: Instant) {
         let budget = if self.random.random_bool(0.15) {
             self.random.random_range(60..250)
         } else {
-            AMPLE
+            AMPLE_BUDGET
         };
-        let program = self.world.oracle().add_program(budget);
+        let program = self.context.oracle().add_program(budget);
         let mut turns: Vec<String> = Vec::new();
         for _ in 0..self.random.random_range(2..7) {
             let previous = if self.random.random_bool(0.1) && !turns.is_empty() {
-                let at = self.random.random_range(0..turns.len());
-                Some(turns[at].clone())
+                let index = self.random.random_range(0..turns.len());
+                Some(turns[index].clone())
             } else {
                 turns.last().cloned()
             };
@@ -195,87 +195,90 @@
                 budget,
                 previous,
             };
-            let want = self.want(kind, Some(turn));
-            match self.turn(&want).await {
-                Got::Served(id) => turns.push(id),
-                Got::Spent | Got::Failed => return,
+            let spec = self.random_spec(kind, Some(turn));
+            match self.turn(&spec).await {
+                Completion::Served(id) => turns.push(id),
+                Completion::Spent | Completion::Failed => return,
             }
-            if Instant::now() >= until {
+            if Instant::now() >= end {
                 return;
             }
             if self.random.random_bool(0.4) {
-                let want = self.call();
-                self.serve(&want).await;
+                let spec = self.random_call();
+                self.request(&spec).await;
             }
             self.pause(5, 80).await;
         }
     }
 
     /// Asks for a turn; one that fails is sent again from its start.
-    async fn turn(&mut self, want: &Want) -> Got {
-        for _ in 0..AGAIN {
-            match self.serve(want).await {
-                Got::Failed => self.pause(100, 400).await,
-                got => return got,
+    async fn turn(&mut self, spec: &Spec) -> Completion {
+        for _ in 0..TURN_RETRIES {
+            match self.request(spec).await {
+                Completion::Failed => self.pause(100, 400).await,
+                completion => return completion,
             }
         }
-        self.serve(want).await
+        self.request(spec).await
     }
 
-    async fn serve(&mut self, want: &Want) -> Got {
-        let until = Instant::now() + want.deadline;
-        for attempt in 0..TRIES {
-            let left = until.saturating_duration_since(Instant::now());
-            if attempt > 0 && left < LEAST {
+    async fn request(&mut self, spec: &Spec) -> Completion {
+        let deadline = Instant::now() + spec.deadline;
+        for attempt in 0..MAX_ATTEMPTS {
+            let left = deadline.saturating_duration_since(Instant::now());
+            if attempt > 0 && left < MIN_TIME_LEFT {
                 break;
             }
             let Some(mut connection) = self.connection(attempt).await else {
                 continue;
             };
-            let id = self.world.oracle().begin(connection.vm, want, left);
-            let program = want.turn.as_ref().map(|turn| format!("p{}", turn.program));
+            let id = self.context.oracle().begin(connection.vm, spec, left);
+            let program = spec.turn.as_ref().map(|turn| format!("p{}", turn.program));
             let request = caller::request(&Params {
                 id: &id,
-                path: &want.path(),
+                path: &spec.path(),
                 deadline: left,
                 program: program.as_deref(),
-                turn: want.turn.as_ref().map(|turn| caller::Turn {
+                turn: spec.turn.as_ref().map(|turn| caller::Turn {
                     budget: turn.budget,
-                    most: want.most(),
+                    most: spec.max_tokens(),
                     previous: turn.previous.as_deref(),
                 }),
-                body: want.input.clone(),
+                body: spec.input.clone(),
             });
-            let request = request.map(|_| Body::new(want.input.clone(), want.pace));
-            let patience = want
-                .leaves
-                .map_or(until, |span| until.min(Instant::now() + span));
-            let outcome = connection.ask(request, patience).await;
-            self.world.oracle().finish(&id, &outcome);
+            let request = request.map(|_| Body::new(spec.input.clone(), spec.pace));
+            let give_up_at = spec
+                .leave_after
+                .map_or(deadline, |span| deadline.min(Instant::now() + span));
+            let outcome = connection.send(request, give_up_at).await;
+            self.context.oracle().finish(&id, &outcome);
             if let Outcome::Whole(answer) = &outcome
                 && !answer.info.closes
             {
-                self.kept = Some(connection);
+                self.idle = Some(connection);
             }
-            let left = until.saturating_duration_since(Instant::now());
-            match next(want.kind, id, &outcome, left) {
-                Next::Done(got) => return got,
-                Next::Again(span) => sleep(span).await,
+            let left = deadline.saturating_duration_since(Instant::now());
+            match decide(spec.kind, id, &outcome, left) {
+                Decision::Done(completion) => return completion,
+                Decision::Again(span) => sleep(span).await,
             }
         }
-        Got::Failed
+        Completion::Failed
     }
 
     /// Yields the kept connection for a first attempt, and a new one to another VM for others.
     async fn connection(&mut self, attempt: usize) -> Option<Connection> {
-        let kept = self.kept.take();
-        let usable = |kept: &Connection| kept.is_open() && kept.used.elapsed() < KEEP;
+        let idle = self.idle.take();
+        let usable = |idle: &Connection| idle.is_open() && idle.used.elapsed() < REUSE_WINDOW;
         // Some clients open a new connection for a request now and then.
-        if attempt == 0 && !self.random.random_bool(0.15) && kept.as_ref().is_some_and(usable) {
-            return kept;
+        if attempt == 0 && !self.random.random_bool(0.15) && idle.as_ref().is_some_and(usable) {
+            return idle;
         }
-        let vm = self.world.balancer.choose(self.centre, self.hash + attempt);
-        let address = self.world.balancer.callers(vm);
+        let vm = self
+            .context
+            .balancer
+            .choose(self.centre, self.hash + attempt);
+        let address = self.context.balancer.callers(vm);
         if let Ok(connection) = Connection::open(vm, address).await {
             return Some(connection);
         }
@@ -284,27 +287,29 @@
     }
 }
 
-fn next(kind: Kind, id: String, outcome: &Outcome, left: Duration) -> Next {
+fn decide(kind: Kind, id: String, outcome: &Outcome, left: Duration) -> Decision {
     let repeatable = !kind.runs_once();
     match outcome {
         Outcome::Whole(answer) => match answer.status {
-            200..=299 => Next::Done(Got::Served(id)),
-            402 => Next::Done(Got::Spent),
-            408 | 421 | 429 | 503 => refused(answer, left),
-            500.. if repeatable => Next::Again(Duration::ZERO),
-            _ => Next::Done(Got::Failed),
+            200..=299 => Decision::Done(Completion::Served(id)),
+            402 => Decision::Done(Completion::Spent),
+            408 | 421 | 429 | 503 => decide_refused(answer, left),
+            500.. if repeatable => Decision::Again(Duration::ZERO),
+            _ => Decision::Done(Completion::Failed),
         },
-        Outcome::NotSent => Next::Again(Duration::ZERO),
-        Outcome::Cut(_) | Outcome::Closed if repeatable => Next::Again(Duration::ZERO),
-        Outcome::Cut(_) | Outcome::Closed | Outcome::GaveUp(_) => Next::Done(Got::Failed),
+        Outcome::NotSent => Decision::Again(Duration::ZERO),
+        Outcome::Cut(_) | Outcome::Closed if repeatable => Decision::Again(Duration::ZERO),
+        Outcome::Cut(_) | Outcome::Closed | Outcome::GaveUp(_) => {
+            Decision::Done(Completion::Failed)
+        }
     }
 }
 
 /// Comes back when told to, as long as that is within a third of the time left.
-fn refused(answer: &Answer, left: Duration) -> Next {
+fn decide_refused(answer: &Answer, left: Duration) -> Decision {
     let span = answer.info.retry_after.unwrap_or_default();
     if span > left / 3 {
-        return Next::Done(Got::Failed);
+        return Decision::Done(Completion::Failed);
     }
-    Next::Again(span)
+    Decision::Again(span)
 }
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -87,8 +87,8 @@
         let Ok(Ok(stream)) = connected else {
             return Err(Fault(address));
         };
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|_| Fault(address))?;
+        let handshaken = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshaken.map_err(|_| Fault(address))?;
         let task = tokio::spawn(async move {
             // What went wrong shows in the request that was under way.
             let _ended = connection.await;
@@ -108,7 +108,7 @@
     }
 
     /// Sends a request and reads its answer until `until`.
-    pub async fn ask(&mut self, request: Request<Body>, until: Instant) -> Outcome {
+    pub async fn send(&mut self, request: Request<Body>, until: Instant) -> Outcome {
         let sent = timeout_at(until, self.sender.try_send_request(request)).await;
         self.used = Instant::now();
         match sent {
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/context.rs
@@ -11,17 +11,17 @@
 
 /// What the parts of a run share.
 #[derive(Debug)]
-pub struct World {
+pub struct Context {
     /// Which VM gets a new connection.
     pub balancer: Balancer,
     /// Data centres.
     pub centres: usize,
     oracle: Mutex<Oracle>,
     /// How many faults have clients send bodies slowly.
-    slow: AtomicUsize,
+    slow_bodies: AtomicUsize,
 }
 
-impl World {
+impl Context {
     /// Joins the parts.
     #[must_use]
     pub fn new(balancer: Balancer, centres: usize, oracle: Oracle) -> Self {
@@ -29,7 +29,7 @@
             balancer,
             centres,
             oracle: Mutex::new(oracle),
-            slow: AtomicUsize::new(0),
+            slow_bodies: AtomicUsize::new(0),
         }
     }
 
@@ -38,19 +38,19 @@
         self.oracle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has some clients send bodies slowly, until [`Self::hurry`].
-    pub fn slow_down(&self) {
-        self.slow.fetch_add(1, Ordering::SeqCst);
+    /// Has some clients send bodies slowly, until [`Self::end_slow_bodies`].
+    pub fn begin_slow_bodies(&self) {
+        self.slow_bodies.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Ends what [`Self::slow_down`] began.
-    pub fn hurry(&self) {
-        self.slow.fetch_sub(1, Ordering::SeqCst);
+    /// Ends what [`Self::begin_slow_bodies`] began.
+    pub fn end_slow_bodies(&self) {
+        self.slow_bodies.fetch_sub(1, Ordering::SeqCst);
     }
 
     /// Tells whether some clients send bodies slowly.
     #[must_use]
-    pub fn is_slow(&self) -> bool {
-        self.slow.load(Ordering::SeqCst) > 0
+    pub fn has_slow_bodies(&self) -> bool {
+        self.slow_bodies.load(Ordering::SeqCst) > 0
     }
 }
--- a/crates/soak/src/disk.rs
+++ b/crates/soak/src/disk.rs
@@ -19,15 +19,15 @@
 use tokio::time::timeout;
 use wire::clock::Millis;
 
-use crate::world::World;
+use crate::context::Context;
 
 /// The pause between two syncs.
-const PAUSE: Duration = Duration::from_millis(50);
+const SYNC_PAUSE: Duration = Duration::from_millis(50);
 /// From so long on a sync is a disruption: two in a row are most of the time that a VM with a disk
 /// has for its answer.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 /// How much is written each time, about a record of a turn.
-const BYTES: usize = 4_096;
+const WRITE_BYTES: usize = 4_096;
 
 /// What the syncs showed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -43,35 +43,35 @@
 /// # Errors
 ///
 /// Fails where the file can't be written.
-pub async fn watch(world: Arc<World>, folder: &Path, until: Instant) -> io::Result<Stalls> {
+pub async fn watch(context: Arc<Context>, folder: &Path, end: Instant) -> io::Result<Stalls> {
     let path = folder.join("disk-watch");
     let file = OpenOptions::new().create(true).append(true).open(path)?;
     let file = Arc::new(file);
     let mut stalls = Stalls::default();
-    while Instant::now() < until {
-        let begun = Instant::now();
-        let from = world.oracle().now();
+    while Instant::now() < end {
+        let started = Instant::now();
+        let from = context.oracle().now();
         let synced = file.clone();
         let mut sync = spawn_blocking(move || write(&synced));
-        let outcome = if let Ok(outcome) = timeout(STALL, &mut sync).await {
+        let outcome = if let Ok(outcome) = timeout(STALL_THRESHOLD, &mut sync).await {
             outcome
         } else {
             stalls.count += 1;
-            let ticket = world.oracle().history.disrupt(from);
+            let disruption = context.oracle().history.begin_disruption(from);
             let outcome = sync.await;
-            let mut oracle = world.oracle();
+            let mut oracle = context.oracle();
             let now = oracle.now();
-            oracle.history.restore(ticket, now);
+            oracle.history.end_disruption(disruption, now);
             outcome
         };
         outcome.map_err(io::Error::other)??;
-        stalls.longest = stalls.longest.max(Millis::from(begun.elapsed()));
-        sleep(PAUSE).await;
+        stalls.longest = stalls.longest.max(Millis::from(started.elapsed()));
+        sleep(SYNC_PAUSE).await;
     }
     Ok(stalls)
 }
 
 fn write(mut file: &File) -> io::Result<()> {
-    file.write_all(&[0; BYTES])?;
+    file.write_all(&[0; WRITE_BYTES])?;
     file.sync_data()
 }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use wire::clock::Millis;
 
-use crate::proxy::Way;
+use crate::proxy::Direction;
 
 /// A kind of fault, as `--faults` names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -120,7 +120,7 @@
 /// A link that can be disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Pair {
+pub enum Target {
     /// Between a VM and the platform's store.
     Store(usize),
     /// Between all VMs and a runner.
@@ -136,27 +136,27 @@
 /// How a link is disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Harm {
+pub enum Impairment {
     /// Bytes take longer.
     Slow(Millis),
     /// Nothing passes.
     Cut,
     /// Nothing passes in one direction.
-    CutOneWay(Way),
+    CutOneWay(Direction),
     /// Open connections are reset.
     Reset,
     /// Open connections pass nothing any more.
     Silence,
 }
 
-impl Harm {
+impl Impairment {
     /// Yields the harm that does the same to a link whose connections are opened from its other end.
     #[must_use]
     pub const fn from_other_end(self) -> Self {
         match self {
-            Self::CutOneWay(Way::Out) => Self::CutOneWay(Way::Back),
-            Self::CutOneWay(Way::Back) => Self::CutOneWay(Way::Out),
-            harm => harm,
+            Self::CutOneWay(Direction::Out) => Self::CutOneWay(Direction::Back),
+            Self::CutOneWay(Direction::Back) => Self::CutOneWay(Direction::Out),
+            impairment => impairment,
         }
     }
 }
@@ -221,7 +221,7 @@
     /// A runner is gone for so long.
     RunnerDown(usize, Millis),
     /// A link is harmed for so long.
-    Link(Pair, Harm, Millis),
+    Link(Target, Impairment, Millis),
     /// Some clients send their bodies slowly or stop half-way for so long.
     SlowBodies(Millis),
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -30,37 +30,37 @@
 use crate::body::Pace;
 use crate::check::Check;
 use crate::connection::Connection;
+use crate::context::Context;
 use crate::fault::Fault;
-use crate::fault::Harm;
+use crate::fault::Impairment;
 use crate::fault::Kind as FaultKind;
-use crate::fault::Pair;
+use crate::fault::Target;
 use crate::opener::Openers;
 use crate::oracle::Oracle;
 use crate::plan::Plan;
-use crate::proxy::Fan;
+use crate::proxy::Group;
 use crate::proxy::Link;
 use crate::proxy::Mode;
 use crate::request::Kind;
 use crate::request::LONG_MS;
-use crate::request::Want;
-use crate::vm::Place;
+use crate::request::Spec;
+use crate::vm::Config;
 use crate::vm::Vm;
-use crate::world::World;
 
 /// How many VMs with a disk there are, in as many data centres.
-pub const DISKS: usize = 3;
+pub const DISK_VMS: usize = 3;
 /// How long the start of all processes may take.
-const START: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a runner that leaves goes on: longer than the longest request.
-const LEAVES_AFTER: Duration = Duration::from_secs(8);
+const RUNNER_EXIT_DELAY: Duration = Duration::from_secs(8);
 /// How long it is gone until it starts again.
-const GONE: Duration = Duration::from_secs(2);
+const RUNNER_DOWNTIME: Duration = Duration::from_secs(2);
 /// After a crash, when a runner's entry lapses: three heartbeats.
-const LAPSE: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
+const ENTRY_LAPSE: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
 /// How long after SIGTERM a VM may still say that it is ready.
-const LEAVES: Duration = Duration::from_secs(4);
+const UNREADY_DEADLINE: Duration = Duration::from_secs(4);
 /// How many of the routes that configurations add are in force at a time.
-const ROUTES: u64 = 2;
+const ADDED_ROUTES: u64 = 2;
 /// The ports of the store and the runners.
 const STORE_PORT: u16 = 8142;
 const RUNNER_PORT: u16 = 8080;
@@ -78,14 +78,14 @@
 #[derive(Debug)]
 pub struct Fleet {
     /// What its parts share.
-    pub world: Arc<World>,
+    pub context: Arc<Context>,
     /// VMs that take callers, and behind them those with a disk.
     pub vms: Vec<Arc<Vm>>,
     store: Store,
     /// By VM.
     store_links: Vec<Link>,
     /// What VMs send each other, by target; only where a run disturbs it.
-    vm_links: Vec<Fan>,
+    vm_links: Vec<Group>,
     /// What clients send, by VM; only where a run disturbs it.
     client_links: Vec<Link>,
     runners: Vec<Backend>,
@@ -104,7 +104,7 @@
 
 /// A part of a run's net, by the first of its numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum Block {
     Vms = 0,
     StoreLinks = 2,
     VmLinks = 4,
@@ -115,7 +115,7 @@
 }
 
 /// How many addresses each number of a part has.
-const NET_SIZE: usize = 200;
+const ADDRESSES_PER_NUMBER: usize = 200;
 
 impl Net {
     /// Yields the net of the next run.
@@ -130,14 +130,19 @@
         }
     }
 
-    fn ip(self, of: Part, at: usize) -> IpAddr {
+    fn ip(self, block: Block, index: usize) -> IpAddr {
         let part = |value: usize| u8::try_from(value).unwrap_or_default();
-        let third = self.third + of as u8 + part(at / NET_SIZE);
-        IpAddr::from([127, self.second, third, part(1 + at % NET_SIZE)])
+        let third = self.third + block as u8 + part(index / ADDRESSES_PER_NUMBER);
+        IpAddr::from([
+            127,
+            self.second,
+            third,
+            part(1 + index % ADDRESSES_PER_NUMBER),
+        ])
     }
 
-    fn link(self, of: Part, at: usize, port: u16) -> SocketAddr {
-        SocketAddr::new(self.ip(of, at), port)
+    fn link(self, block: Block, index: usize, port: u16) -> SocketAddr {
+        SocketAddr::new(self.ip(block, index), port)
     }
 }
 
@@ -153,34 +158,34 @@
         }
         fs::create_dir(&plan.folder)?;
         let net = Net::next();
-        let store = Store::start(net.link(Part::Store, 0, STORE_PORT)).await;
+        let store = Store::start(net.link(Block::Store, 0, STORE_PORT)).await;
         let mut vms = Vec::new();
         let mut store_links = Vec::new();
-        for at in 0..plan.vms + DISKS {
-            let address = net.link(Part::StoreLinks, at, STORE_PORT);
+        for index in 0..plan.vms + DISK_VMS {
+            let address = net.link(Block::StoreLinks, index, STORE_PORT);
             store_links.push(Link::start(address, store.address));
-            vms.push(Vm::new(place(plan, net, at)?));
+            vms.push(Vm::new(prepare_vm(plan, net, index)?));
         }
         let vm_links = vm_links(plan, net, &vms);
         let client_links = client_links(plan, net, &vms);
         let log = runner::Log::default();
         let mut runners = Vec::new();
-        for at in 0..plan.runners {
-            runners.push(backend(net, at, log.clone()).await);
+        for index in 0..plan.runners {
+            runners.push(start_backend(net, index, log.clone()).await);
         }
-        let rows = vms[..plan.vms].iter().enumerate().map(|(at, vm)| Row {
-            centre: at % DISKS,
+        let rows = vms[..plan.vms].iter().enumerate().map(|(index, vm)| Row {
+            centre: index % DISK_VMS,
             callers: client_links
-                .get(at)
+                .get(index)
                 .map_or(vm.callers(), |link| link.address),
             ready: vm.ready(),
             misses: 2,
         });
         let balancer = Balancer::new(rows.collect());
-        let names = vms.iter().map(|vm| vm.place.name.clone()).collect();
+        let names = vms.iter().map(|vm| vm.config.name.clone()).collect();
         let oracle = Oracle::new(Instant::now(), names, log);
         Ok(Self {
-            world: Arc::new(World::new(balancer, DISKS, oracle)),
+            context: Arc::new(Context::new(balancer, DISK_VMS, oracle)),
             vms,
             store,
             store_links,
@@ -196,22 +201,22 @@
     /// # Errors
     ///
     /// Fails where they don't in time.
-    pub async fn ready(&self) -> io::Result<()> {
+    pub async fn wait_until_ready(&self) -> io::Result<()> {
         for backend in &self.runners {
-            self.enter(backend, "ready");
+            self.write_entry(backend, "ready");
         }
         self.configure();
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            self.world.balancer.ask().await;
-            let rows = self.world.balancer.rows();
+            self.context.balancer.probe().await;
+            let rows = self.context.balancer.rows();
             let is_ready = rows.iter().all(|row| row.misses == 0);
-            if is_ready && self.store.members() == DISKS {
+            if is_ready && self.store.members() == DISK_VMS {
                 // The last member has still to learn what the others hold.
                 sleep(Duration::from_secs(1)).await;
                 return Ok(());
             }
-            if begun.elapsed() > START {
+            if started.elapsed() > START_TIMEOUT {
                 return Err(io::Error::other(format!("not ready in time: {rows:?}")));
             }
             sleep(Duration::from_millis(50)).await;
@@ -226,87 +231,92 @@
     pub async fn apply(&self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Stop(vm) => self.stop(&self.vms[vm]).await?,
-            Fault::Reload(vm) => self.vms[vm].reload(&self.world)?,
-            Fault::Configure => self.configure_and_ask().await,
-            Fault::Kill(vm) => self.vms[vm].kill(&self.world)?,
-            Fault::Pause(vm, span) => self.vms[vm].pause(&self.world, span).await?,
-            Fault::Wipe(vm) => self.vms[vm].wipe(&self.world)?,
+            Fault::Reload(vm) => self.vms[vm].reload(&self.context)?,
+            Fault::Configure => self.configure_and_check().await,
+            Fault::Kill(vm) => self.vms[vm].kill(&self.context)?,
+            Fault::Pause(vm, span) => self.vms[vm].pause(&self.context, span).await?,
+            Fault::Wipe(vm) => self.vms[vm].wipe(&self.context)?,
             Fault::StoreAway(span) => {
                 self.store.set_down(true);
-                self.disrupt(span).await;
+                self.disrupt_for(span).await;
                 self.store.set_down(false);
             }
-            Fault::RunnerLeaves(at) => self.leave(&self.runners[at], true_entry).await,
-            Fault::RunnerUnlisted(at) => self.leave(&self.runners[at], no_entry).await,
-            Fault::RunnerFails(at, failure, count) => {
-                self.runners[at].runner.play(&vec![failure.mode(); count]);
+            Fault::RunnerLeaves(index) => self.drain(&self.runners[index], mark_draining).await,
+            Fault::RunnerUnlisted(index) => self.drain(&self.runners[index], remove_entry).await,
+            Fault::RunnerFails(index, failure, count) => {
+                self.runners[index]
+                    .runner
+                    .play(&vec![failure.mode(); count]);
             }
-            Fault::RunnerDown(at, span) => self.crash(&self.runners[at], span).await,
-            Fault::Link(pair, harm, span) => {
-                let links = self.links(pair, harm);
-                for (link, harm) in &links {
-                    harm_link(link, *harm);
+            Fault::RunnerDown(index, span) => self.take_down(&self.runners[index], span).await,
+            Fault::Link(target, impairment, span) => {
+                let links = self.links(target, impairment);
+                for (link, impairment) in &links {
+                    impair(link, *impairment);
                 }
-                self.disrupt(span).await;
+                self.disrupt_for(span).await;
                 for (link, _) in links {
                     link.set_mode(Mode::Open);
                 }
             }
             Fault::SlowBodies(span) => {
-                self.world.slow_down();
+                self.context.begin_slow_bodies();
                 sleep(span.as_duration()).await;
-                self.world.hurry();
+                self.context.end_slow_bodies();
             }
         }
         Ok(())
     }
 
     /// Yields the links of a pair, each with its harm.
-    fn links(&self, pair: Pair, harm: Harm) -> Vec<(&Link, Harm)> {
-        match pair {
-            Pair::Store(vm) => vec![(&self.store_links[vm], harm)],
-            Pair::Runner(at) => vec![(&self.runners[at].link, harm)],
-            Pair::Client(vm) => vec![(&self.client_links[vm], harm)],
-            Pair::Vms(from, to) => vec![(&self.vm_links[to].links[from], harm)],
-            Pair::Around(vm) => {
-                let from = self.vm_links.iter().map(|fan| (&fan.links[vm], harm));
+    fn links(&self, target: Target, impairment: Impairment) -> Vec<(&Link, Impairment)> {
+        match target {
+            Target::Store(vm) => vec![(&self.store_links[vm], impairment)],
+            Target::Runner(index) => vec![(&self.runners[index].link, impairment)],
+            Target::Client(vm) => vec![(&self.client_links[vm], impairment)],
+            Target::Vms(from, to) => vec![(&self.vm_links[to].links[from], impairment)],
+            Target::Around(vm) => {
+                let from = self
+                    .vm_links
+                    .iter()
+                    .map(|group| (&group.links[vm], impairment));
                 let to = self.vm_links[vm].links.iter();
-                let to = to.map(|link| (link, harm.from_other_end()));
+                let to = to.map(|link| (link, impairment.from_other_end()));
                 from.chain(to).collect()
             }
         }
     }
 
     /// Notes a disruption for a while.
-    async fn disrupt(&self, span: Millis) {
-        let ticket = {
-            let mut oracle = self.world.oracle();
+    async fn disrupt_for(&self, span: Millis) {
+        let disruption = {
+            let mut oracle = self.context.oracle();
             let now = oracle.now();
-            oracle.history.disrupt(now)
+            oracle.history.begin_disruption(now)
         };
         sleep(span.as_duration()).await;
-        let mut oracle = self.world.oracle();
+        let mut oracle = self.context.oracle();
         let now = oracle.now();
-        oracle.history.restore(ticket, now);
+        oracle.history.end_disruption(disruption, now);
     }
 
     async fn stop(&self, vm: &Vm) -> io::Result<()> {
-        if !vm.stop(&self.world)? || vm.place.disk.is_some() {
+        if !vm.stop(&self.context)? || vm.config.disk.is_some() {
             return Ok(());
         }
-        let begun = vm.stopped_at();
-        sleep(LEAVES).await;
+        let started = vm.stopped_at();
+        sleep(UNREADY_DEADLINE).await;
         let status = caller::status(vm.ready(), "/-/readyz").await;
-        if begun.is_some() && vm.stopped_at() == begun {
+        if started.is_some() && vm.stopped_at() == started {
             let broken = (status == Some(200)).then_some("still ready");
-            self.world
+            self.context
                 .oracle()
-                .note_vm(Check::Leaves, vm.place.at, broken);
+                .record_vm(Check::Leaves, vm.config.index, broken);
         }
         Ok(())
     }
 
-    fn enter(&self, backend: &Backend, state: &str) {
+    fn write_entry(&self, backend: &Backend, state: &str) {
         self.store
             .put_runner(&backend.id, backend.service, backend.link.address, state);
     }
@@ -321,11 +331,11 @@
             ",{}",
             store::route("long", "stream", "models", LONG_MS, kept)
         );
-        let oldest = version.saturating_sub(ROUTES - 1).max(1);
+        let oldest = version.saturating_sub(ADDED_ROUTES - 1).max(1);
         for version in oldest..=*version {
             let name = format!("new-{version}");
             let rest = r#","attempts":2"#;
-            let route = store::route(&name, "idempotent", "ops", store::USUAL_MS, rest);
+            let route = store::route(&name, "idempotent", "ops", store::DEFAULT_TIMEOUT_MS, rest);
             more = format!("{more},{route}");
         }
         self.store.configure(*version, &more);
@@ -338,126 +348,129 @@
 
     /// Writes a configuration, and asks each sound VM for the routes that it adds and drops once it
     /// has to be in force.
-    async fn configure_and_ask(&self) {
+    async fn configure_and_check(&self) {
         let version = self.configure();
         sleep(Duration::from_millis(settings::APPLY_MS)).await;
-        let callers = self.vms.iter().filter(|vm| vm.place.disk.is_none());
-        for vm in callers.filter(|vm| vm.is_sound()) {
+        let callers = self.vms.iter().filter(|vm| vm.config.disk.is_none());
+        for vm in callers.filter(|vm| vm.is_undisturbed()) {
             // A later one may have dropped the route again.
             if *self.version() == version {
-                self.ask(vm, Kind::Added(version)).await;
+                self.probe(vm, Kind::Added(version)).await;
             }
-            if version > ROUTES {
-                self.ask(vm, Kind::Dropped(version - ROUTES)).await;
+            if version > ADDED_ROUTES {
+                self.probe(vm, Kind::Dropped(version - ADDED_ROUTES)).await;
             }
         }
     }
 
     /// Asks a VM once, whatever the balancer says.
-    async fn ask(&self, vm: &Vm, kind: Kind) {
-        let want = Want {
+    async fn probe(&self, vm: &Vm, kind: Kind) {
+        let spec = Spec {
             kind,
             events: 1,
             pause: Duration::ZERO,
             deadline: Duration::from_secs(1),
-            leaves: None,
+            leave_after: None,
             pace: Pace::AtOnce,
             input: "which configuration\n".into(),
             turn: None,
         };
-        let Ok(mut connection) = Connection::open(vm.place.at, vm.callers()).await else {
+        let Ok(mut connection) = Connection::open(vm.config.index, vm.callers()).await else {
             return;
         };
-        let id = self.world.oracle().begin(vm.place.at, &want, want.deadline);
+        let id = self
+            .context
+            .oracle()
+            .begin(vm.config.index, &spec, spec.deadline);
         let request = caller::request(&caller::Params {
             id: &id,
-            path: &want.path(),
-            deadline: want.deadline,
+            path: &spec.path(),
+            deadline: spec.deadline,
             program: None,
             turn: None,
-            body: want.input.clone(),
+            body: spec.input.clone(),
         });
-        let request = request.map(|_| Body::new(want.input.clone(), want.pace));
-        let until = Instant::now() + want.deadline;
-        let outcome = connection.ask(request, until).await;
-        self.world.oracle().finish(&id, &outcome);
+        let request = request.map(|_| Body::new(spec.input.clone(), spec.pace));
+        let until = Instant::now() + spec.deadline;
+        let outcome = connection.send(request, until).await;
+        self.context.oracle().finish(&id, &outcome);
     }
 
     /// Has a runner leave and come back; `tell` writes or removes its entry.
-    async fn leave(&self, backend: &Backend, tell: fn(&Self, &Backend)) {
+    async fn drain(&self, backend: &Backend, update_entry: fn(&Self, &Backend)) {
         {
-            let mut oracle = self.world.oracle();
+            let mut oracle = self.context.oracle();
             let now = oracle.now();
-            if oracle.history.left_at(&backend.id, now).is_some() {
+            if oracle.history.leaving_since(&backend.id, now).is_some() {
                 return;
             }
-            oracle.history.leave(&backend.id, now);
+            oracle.history.note_leaving(&backend.id, now);
         }
-        tell(self, backend);
-        sleep(LEAVES_AFTER).await;
-        no_entry(self, backend);
+        update_entry(self, backend);
+        sleep(RUNNER_EXIT_DELAY).await;
+        remove_entry(self, backend);
         backend.link.set_mode(Mode::Down);
-        sleep(GONE).await;
+        sleep(RUNNER_DOWNTIME).await;
         self.come_back(backend);
     }
 
     fn come_back(&self, backend: &Backend) {
-        let mut oracle = self.world.oracle();
+        let mut oracle = self.context.oracle();
         let now = oracle.now();
-        oracle.history.come_back(&backend.id, now);
+        oracle.history.note_runner_back(&backend.id, now);
         drop(oracle);
         backend.link.set_mode(Mode::Open);
-        self.enter(backend, "ready");
+        self.write_entry(backend, "ready");
     }
 
     /// Has a runner go at once; its entry lapses if it is away for long.
-    async fn crash(&self, backend: &Backend, span: Millis) {
+    async fn take_down(&self, backend: &Backend, span: Millis) {
         backend.link.set_mode(Mode::Down);
         let lapse = async {
-            sleep(LAPSE).await;
-            if span.as_duration() > LAPSE {
-                no_entry(self, backend);
+            sleep(ENTRY_LAPSE).await;
+            if span.as_duration() > ENTRY_LAPSE {
+                remove_entry(self, backend);
             }
         };
-        tokio::join!(self.disrupt(span), lapse);
+        tokio::join!(self.disrupt_for(span), lapse);
         self.come_back(backend);
     }
 }
 
-fn true_entry(fleet: &Fleet, backend: &Backend) {
-    fleet.enter(backend, "draining");
+fn mark_draining(fleet: &Fleet, backend: &Backend) {
+    fleet.write_entry(backend, "draining");
 }
 
-fn no_entry(fleet: &Fleet, backend: &Backend) {
+fn remove_entry(fleet: &Fleet, backend: &Backend) {
     fleet.store.remove_runner(&backend.id);
 }
 
-fn harm_link(link: &Link, harm: Harm) {
-    match harm {
-        Harm::Slow(span) => link.set_mode(Mode::Slow(span)),
-        Harm::Cut => link.set_mode(Mode::Cut),
-        Harm::CutOneWay(way) => link.set_mode(Mode::CutOneWay(way)),
-        Harm::Reset => link.reset(),
-        Harm::Silence => link.silence(),
+fn impair(link: &Link, impairment: Impairment) {
+    match impairment {
+        Impairment::Slow(span) => link.set_mode(Mode::Slow(span)),
+        Impairment::Cut => link.set_mode(Mode::Cut),
+        Impairment::CutOneWay(direction) => link.set_mode(Mode::CutOneWay(direction)),
+        Impairment::Reset => link.reset(),
+        Impairment::Silence => link.silence(),
     }
 }
 
 /// Starts proxies between VMs, where the run disturbs what they send each other.
-fn vm_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Fan> {
+fn vm_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Group> {
     if !plan.kinds.contains(&FaultKind::VmLink) {
         return Vec::new();
     }
     let all: Arc<[Arc<Vm>]> = vms.into();
     let openers = Arc::new(Openers::default());
     let source = move |from, to| {
-        let ids = || all.iter().map(|vm| vm.id()).collect();
+        let ids = || all.iter().map(|vm| vm.pid()).collect();
         openers.find(ids, from, to).ok().flatten()
     };
-    let fan = |(at, vm): (usize, &Arc<Vm>)| {
-        let address = net.link(Part::VmLinks, at, settings::PEERS);
-        Fan::start(address, vm.peers(), vms.len(), source.clone())
+    let group = |(index, vm): (usize, &Arc<Vm>)| {
+        let address = net.link(Block::VmLinks, index, settings::PEERS);
+        Group::start(address, vm.peers(), vms.len(), source.clone())
     };
-    vms.iter().enumerate().map(fan).collect()
+    vms.iter().enumerate().map(group).collect()
 }
 
 /// Starts proxies between clients and VMs, where the run disturbs what they send.
@@ -465,25 +478,25 @@
     if !plan.kinds.contains(&FaultKind::ClientLink) {
         return Vec::new();
     }
-    let link = |(at, vm): (usize, &Arc<Vm>)| {
-        let address = net.link(Part::ClientLinks, at, settings::CALLERS);
+    let link = |(index, vm): (usize, &Arc<Vm>)| {
+        let address = net.link(Block::ClientLinks, index, settings::CALLERS);
         Link::start(address, vm.callers())
     };
     vms[..plan.vms].iter().enumerate().map(link).collect()
 }
 
 /// Prepares a VM's folder and settings file.
-fn place(plan: &Plan, net: Net, at: usize) -> io::Result<Place> {
-    let ip = net.ip(Part::Vms, at);
-    let centre = ["a", "b", "c"][at % DISKS];
-    let is_disk = at >= plan.vms;
+fn prepare_vm(plan: &Plan, net: Net, index: usize) -> io::Result<Config> {
+    let ip = net.ip(Block::Vms, index);
+    let centre = ["a", "b", "c"][index % DISK_VMS];
+    let is_disk = index >= plan.vms;
     let name = if is_disk {
         format!("store-{centre}-1")
     } else {
-        format!("front-{centre}-{}", at / DISKS + 1)
+        format!("front-{centre}-{}", index / DISK_VMS + 1)
     };
     let disk = is_disk.then(|| plan.folder.join(&name));
-    let advertised = net.link(Part::VmLinks, at, settings::PEERS);
+    let advertised = net.link(Block::VmLinks, index, settings::PEERS);
     let text = settings::text(&settings::Vm {
         name: &name,
         centre,
@@ -492,13 +505,13 @@
             .kinds
             .contains(&FaultKind::VmLink)
             .then_some(advertised),
-        store: net.link(Part::StoreLinks, at, STORE_PORT),
+        store: net.link(Block::StoreLinks, index, STORE_PORT),
         disk: disk.as_deref(),
     });
     let file = plan.folder.join(format!("{name}.toml"));
     fs::write(&file, text)?;
-    Ok(Place {
-        at,
+    Ok(Config {
+        index,
         ip,
         disk,
         settings: file,
@@ -509,14 +522,14 @@
 }
 
 /// Starts a runner: two of three serve models.
-async fn backend(net: Net, at: usize, log: runner::Log) -> Backend {
-    let id = format!("i-{at:02}");
-    let address = net.link(Part::Runners, at, RUNNER_PORT);
+async fn start_backend(net: Net, index: usize, log: runner::Log) -> Backend {
+    let id = format!("i-{index:02}");
+    let address = net.link(Block::Runners, index, RUNNER_PORT);
     let runner = Runner::start_logging(&id, address, log).await;
     Backend {
         id,
-        service: if at % 3 == 2 { "ops" } else { "models" },
+        service: if index % 3 == 2 { "ops" } else { "models" },
         runner,
-        link: Link::start(net.link(Part::RunnerLinks, at, RUNNER_PORT), address),
+        link: Link::start(net.link(Block::RunnerLinks, index, RUNNER_PORT), address),
     }
 }
--- a/crates/soak/src/history/tests.rs
+++ b/crates/soak/src/history/tests.rs
@@ -1,8 +1,8 @@
 use wire::clock::Millis;
 
-use super::CONTACT;
 use super::GRACE;
 use super::History;
+use super::RECOVERY;
 
 fn at(millis: u64) -> Millis {
     Millis::new(millis)
@@ -11,11 +11,11 @@
 #[test]
 fn a_disruption_disturbs_until_promises_hold_again() {
     let mut history = History::default();
-    let ticket = history.disrupt(at(5_000));
+    let disruption = history.begin_disruption(at(5_000));
     assert!(!history.is_disturbed(at(1_000), at(4_999)));
     assert!(history.is_disturbed(at(60_000), at(60_001)), "it lasts");
-    history.restore(ticket, at(6_000));
-    let calm = at(6_001).plus(CONTACT);
+    history.end_disruption(disruption, at(6_000));
+    let calm = at(6_001).plus(RECOVERY);
     assert!(history.is_disturbed(at(6_001), at(7_000)));
     assert!(!history.is_disturbed(calm, calm));
 }
@@ -23,21 +23,27 @@
 #[test]
 fn a_stop_is_planned_for_its_vm_until_after_its_grace() {
     let mut history = History::default();
-    history.stop(1, at(5_000));
+    history.note_stop(1, at(5_000));
     let last = at(6_000).plus(GRACE);
-    assert_eq!(history.planned(1, at(4_000), at(5_000)), Some(at(5_000)));
-    assert_eq!(history.planned(1, at(12_000), last), Some(at(5_000)));
-    assert_eq!(history.planned(1, at(12_000), last.plus(at(1))), None);
-    assert_eq!(history.planned(0, at(4_000), at(6_000)), None);
-    assert_eq!(history.planned(1, at(4_000), at(4_999)), None);
+    assert_eq!(
+        history.planned_work(1, at(4_000), at(5_000)),
+        Some(at(5_000))
+    );
+    assert_eq!(history.planned_work(1, at(12_000), last), Some(at(5_000)));
+    assert_eq!(history.planned_work(1, at(12_000), last.plus(at(1))), None);
+    assert_eq!(history.planned_work(0, at(4_000), at(6_000)), None);
+    assert_eq!(history.planned_work(1, at(4_000), at(4_999)), None);
 }
 
 #[test]
 fn a_reload_is_planned_for_what_is_sent_until_it_has_to_be_done() {
     let mut history = History::default();
-    history.reload(1, at(5_000));
-    assert_eq!(history.planned(1, at(4_000), at(6_000)), Some(at(5_000)));
-    assert_eq!(history.planned(1, at(7_001), at(7_500)), None);
+    history.note_reload(1, at(5_000));
+    assert_eq!(
+        history.planned_work(1, at(4_000), at(6_000)),
+        Some(at(5_000))
+    );
+    assert_eq!(history.planned_work(1, at(7_001), at(7_500)), None);
 }
 
 /// Only what came soon after SIGTERM may be cut by the end of the grace, and only where its runner
@@ -45,22 +51,22 @@
 #[test]
 fn a_run_outlasts_a_stop_that_it_came_soon_after() {
     let mut history = History::default();
-    history.stop(1, at(10_000));
-    assert!(history.outlasts(1, at(13_000), at(17_000)));
-    assert!(!history.outlasts(1, at(13_001), at(17_000)));
-    assert!(!history.outlasts(1, at(13_000), at(16_000)));
-    assert!(!history.outlasts(0, at(13_000), at(17_000)));
+    history.note_stop(1, at(10_000));
+    assert!(history.is_cut_by_grace(1, at(13_000), at(17_000)));
+    assert!(!history.is_cut_by_grace(1, at(13_001), at(17_000)));
+    assert!(!history.is_cut_by_grace(1, at(13_000), at(16_000)));
+    assert!(!history.is_cut_by_grace(0, at(13_000), at(17_000)));
 }
 
 #[test]
 fn a_runner_leaves_until_it_is_back() {
     let mut history = History::default();
-    history.leave("i-1", at(1_000));
-    assert_eq!(history.left_at("i-1", at(2_000)), Some(at(1_000)));
-    assert_eq!(history.left_at("i-1", at(999)), None);
-    history.come_back("i-1", at(3_000));
-    assert_eq!(history.left_at("i-1", at(3_000)), None);
-    assert_eq!(history.left_at("i-2", at(2_000)), None);
+    history.note_leaving("i-1", at(1_000));
+    assert_eq!(history.leaving_since("i-1", at(2_000)), Some(at(1_000)));
+    assert_eq!(history.leaving_since("i-1", at(999)), None);
+    history.note_runner_back("i-1", at(3_000));
+    assert_eq!(history.leaving_since("i-1", at(3_000)), None);
+    assert_eq!(history.leaving_since("i-2", at(2_000)), None);
 }
 
 /// Two of three VMs with a disk are restarted so soon one after the other that the second goes while
@@ -68,14 +74,14 @@
 #[test]
 fn two_lost_disks_are_a_disruption() {
     let mut history = History::default();
-    history.lose(6, at(10_000));
-    history.regain(6, at(11_000));
+    history.note_disk_lost(6, at(10_000));
+    history.note_disk_back(6, at(11_000));
     assert!(!history.is_disturbed(at(10_500), at(12_000)), "one loss");
-    history.lose(6, at(12_000));
-    history.regain(6, at(13_000));
+    history.note_disk_lost(6, at(12_000));
+    history.note_disk_back(6, at(13_000));
     assert!(!history.is_disturbed(at(10_500), at(14_000)), "the same VM");
-    history.lose(7, at(17_000));
+    history.note_disk_lost(7, at(17_000));
     assert!(history.is_disturbed(at(17_500), at(18_000)));
-    history.regain(7, at(18_000));
+    history.note_disk_back(7, at(18_000));
     assert!(!history.is_disturbed(at(30_000), at(30_000)), "long after");
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -14,21 +14,22 @@
 
 use crate::check::Check;
 use crate::client::Client;
+use crate::context::Context;
 use crate::disk::Stalls;
-use crate::fleet::DISKS;
+use crate::fleet::DISK_VMS;
 use crate::fleet::Fleet;
 use crate::plan::Plan;
 use crate::report::Report;
 use crate::report::Sample;
 use crate::schedule::Size;
 use crate::schedule::Step;
-use crate::world::World;
 
 pub mod balancer;
 pub mod body;
 pub mod check;
 pub mod client;
 pub mod connection;
+pub mod context;
 pub mod disk;
 pub mod fault;
 pub mod fleet;
@@ -44,14 +45,13 @@
 pub mod request;
 pub mod schedule;
 pub mod vm;
-pub mod world;
 
 /// How often the soak looks whether it is late itself.
 const TICK: Duration = Duration::from_millis(10);
 /// How often the report's timeline has a point.
-const SAMPLE: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Until nothing is disturbed any more at the end, before how requests fare is judged.
-const SETTLE: u64 = 4_000;
+const SETTLE_MS: u64 = 4_000;
 
 /// Plays a run.
 ///
@@ -62,32 +62,32 @@
     let fleet = Arc::new(Fleet::new(plan).await?);
     let mut processes = JoinSet::new();
     for vm in &fleet.vms {
-        processes.spawn(vm.clone().run(fleet.world.clone()));
+        processes.spawn(vm.clone().run(fleet.context.clone()));
     }
     tokio::select! {
-        ready = fleet.ready() => ready?,
+        ready = fleet.wait_until_ready() => ready?,
         ended = processes.join_next() => return Err(ended_early(&ended)),
     }
-    let traffic_from = fleet.world.oracle().now();
-    let played = tokio::select! {
-        played = play(plan, &fleet) => played?,
+    let traffic_from = fleet.context.oracle().now();
+    let traffic = tokio::select! {
+        traffic = play(plan, &fleet) => traffic?,
         ended = processes.join_next() => return Err(ended_early(&ended)),
     };
-    let mut oracle = fleet.world.oracle();
+    let mut oracle = fleet.context.oracle();
     for vm in &fleet.vms {
-        oracle.note_vm(Check::Lives, vm.place.at, None);
+        oracle.record_vm(Check::Lives, vm.config.index, None);
     }
-    oracle.end();
+    oracle.check_whole_run();
     Ok(Report {
         seed: plan.seed,
         traffic_from,
-        done: played.done,
+        done: traffic.done,
         counts: oracle.counts,
-        samples: played.samples,
-        checks: oracle.book.clone(),
-        calm: oracle.calm().to_vec(),
-        late: played.late,
-        disk: played.disk,
+        samples: traffic.samples,
+        checks: oracle.results.clone(),
+        calm: oracle.undisturbed_closes().to_vec(),
+        late: traffic.late,
+        disk: traffic.disk,
     })
 }
 
@@ -95,36 +95,36 @@
     io::Error::other(format!("a VM can't be run: {ended:?}"))
 }
 
-struct Played {
+struct Traffic {
     done: Vec<Step>,
     late: Millis,
     samples: Vec<Sample>,
     disk: Stalls,
 }
 
-async fn play(plan: &Plan, fleet: &Arc<Fleet>) -> io::Result<Played> {
-    let begun = Instant::now();
-    let until = begun + plan.span.as_duration();
+async fn play(plan: &Plan, fleet: &Arc<Fleet>) -> io::Result<Traffic> {
+    let started = Instant::now();
+    let end = started + plan.span.as_duration();
     let mut clients = JoinSet::new();
-    for at in 0..plan.clients {
-        clients.spawn(Client::new(fleet.world.clone(), at, plan.seed).run(until));
+    for index in 0..plan.clients {
+        clients.spawn(Client::new(fleet.context.clone(), index, plan.seed).run(end));
     }
-    let balancer = tokio::spawn(balance(fleet.clone()));
-    let lateness = tokio::spawn(measure(until));
-    let samples = tokio::spawn(sample(fleet.world.clone(), until));
-    let (world, folder) = (fleet.world.clone(), plan.folder.clone());
-    let watch = tokio::spawn(async move { disk::watch(world, &folder, until).await });
+    let balancer = tokio::spawn(probe_vms(fleet.clone()));
+    let lateness = tokio::spawn(measure_lateness(end));
+    let samples = tokio::spawn(sample(fleet.context.clone(), end));
+    let (context, folder) = (fleet.context.clone(), plan.folder.clone());
+    let watch = tokio::spawn(async move { disk::watch(context, &folder, end).await });
     let size = Size {
         callers: plan.vms,
-        disks: DISKS,
-        centres: DISKS,
+        disks: DISK_VMS,
+        centres: DISK_VMS,
         runners: plan.runners,
     };
     let mut faults = JoinSet::new();
     let mut done = Vec::new();
-    for step in schedule::draw(plan.seed, plan.span, &plan.kinds, size) {
-        sleep_until(begun + step.at.as_duration()).await;
-        let at = fleet.world.oracle().now();
+    for step in schedule::generate(plan.seed, plan.span, &plan.kinds, size) {
+        sleep_until(started + step.at.as_duration()).await;
+        let at = fleet.context.oracle().now();
         let fault = step.fault;
         done.push(Step { at, fault });
         let fleet = fleet.clone();
@@ -134,15 +134,15 @@
         ended.map_err(io::Error::other)??;
     }
     {
-        let mut oracle = fleet.world.oracle();
-        let from = oracle.now().plus(Millis::new(SETTLE));
-        oracle.history.quiet(from);
+        let mut oracle = fleet.context.oracle();
+        let from = oracle.now().plus(Millis::new(SETTLE_MS));
+        oracle.history.note_quiet(from);
     }
     while let Some(ended) = clients.join_next().await {
         ended.map_err(io::Error::other)?;
     }
     balancer.abort();
-    Ok(Played {
+    Ok(Traffic {
         done,
         late: lateness.await.map_err(io::Error::other)?,
         samples: samples.await.map_err(io::Error::other)?,
@@ -150,33 +150,33 @@
     })
 }
 
-async fn balance(fleet: Arc<Fleet>) {
+async fn probe_vms(fleet: Arc<Fleet>) {
     loop {
-        sleep(balancer::ASK).await;
-        fleet.world.balancer.ask().await;
+        sleep(balancer::PROBE_INTERVAL).await;
+        fleet.context.balancer.probe().await;
     }
 }
 
 /// Notes again and again how attempts have ended.
-async fn sample(world: Arc<World>, until: Instant) -> Vec<Sample> {
+async fn sample(context: Arc<Context>, end: Instant) -> Vec<Sample> {
     let mut samples = Vec::new();
-    while Instant::now() < until {
+    while Instant::now() < end {
         {
-            let oracle = world.oracle();
+            let oracle = context.oracle();
             samples.push(Sample {
                 at: oracle.now(),
                 counts: oracle.counts,
             });
         }
-        sleep(SAMPLE).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
     samples
 }
 
 /// Measures by how much the soak itself is late at most.
-async fn measure(until: Instant) -> Millis {
+async fn measure_lateness(end: Instant) -> Millis {
     let mut most = Duration::ZERO;
-    while Instant::now() < until {
+    while Instant::now() < end {
         let due = Instant::now() + TICK;
         sleep_until(due).await;
         most = most.max(due.elapsed());
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -24,10 +24,10 @@
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
 /// Threads of the soak; the processes under test need the rest of the machine.
-const THREADS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 /// What isn't done, and why.
-const CLOCKS: &str = "No clock is skewed: the processes read the time of day once, when they start, \
+const CLOCK_NOTE: &str = "No clock is skewed: the processes read the time of day once, when they start, \
     and count from there; what they tell each other and keep are spans of time.";
 
 fn command() -> Command {
@@ -37,7 +37,7 @@
     };
     Command::new("soak")
         .about("Runs real processes under faults and checks what clients and runners see")
-        .after_help(CLOCKS)
+        .after_help(CLOCK_NOTE)
         .arg(
             Arg::new("seed")
                 .long("seed")
@@ -131,12 +131,12 @@
         return play_one(matches, &plan(matches, seed)?);
     };
     let mut code = ExitCode::SUCCESS;
-    for (at, run) in regression::parse(&fs::read_to_string(file)?)?
+    for (index, run) in regression::parse(&fs::read_to_string(file)?)?
         .iter()
         .enumerate()
     {
         let Plan { binary, folder, .. } = plan(matches, run.seed)?;
-        let folder = folder.join(format!("run-{at}"));
+        let folder = folder.join(format!("run-{index}"));
         let plan = run.plan(binary, folder, Millis::new(u64::MAX));
         if play_one(matches, &plan)? != ExitCode::SUCCESS {
             code = ExitCode::FAILURE;
@@ -147,7 +147,7 @@
 
 fn play_one(matches: &ArgMatches, plan: &Plan) -> Result<ExitCode> {
     let runtime = Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
     let report = runtime.block_on(soak::run(plan))?;
--- a/crates/soak/src/opener.rs
+++ b/crates/soak/src/opener.rs
@@ -20,20 +20,20 @@
 use socket2::Type;
 
 /// The kernel's numbers for its netlink sockets, and for the family that tells about sockets.
-const NETLINK: i32 = 16;
-const SOCK_DIAG: i32 = 4;
+const AF_NETLINK: i32 = 16;
+const NETLINK_SOCK_DIAG: i32 = 4;
 /// The message's type, its flag of a request, and the type of an answer that is a failure.
-const BY_FAMILY: u16 = 20;
-const REQUEST: u16 = 1;
-const FAILURE: u16 = 2;
+const SOCK_DIAG_BY_FAMILY: u16 = 20;
+const NLM_F_REQUEST: u16 = 1;
+const NLMSG_ERROR: u16 = 2;
 /// The numbers of IPv4 and of TCP.
-const IPV4: u8 = 2;
-const TCP: u8 = 6;
+const AF_INET: u8 = 2;
+const IPPROTO_TCP: u8 = 6;
 /// The length of a request, with its header.
-const LENGTH: u32 = 72;
+const REQUEST_BYTES: u32 = 72;
 /// Where an answer has its type and the socket's inode.
-const TYPE_AT: usize = 4;
-const INODE_AT: usize = 84;
+const TYPE_OFFSET: usize = 4;
+const INODE_OFFSET: usize = 84;
 
 /// Which process holds which socket, as it was last looked at.
 ///
@@ -51,55 +51,55 @@
     /// Fails where the kernel can't be asked.
     pub fn find(
         &self,
-        ids: impl FnOnce() -> Vec<Option<u32>>,
+        pids: impl FnOnce() -> Vec<Option<u32>>,
         from: SocketAddr,
         to: SocketAddr,
     ) -> io::Result<Option<usize>> {
         let (SocketAddr::V4(from), SocketAddr::V4(to)) = (from, to) else {
             return Ok(None);
         };
-        let Some(inode) = inode(from, to)? else {
+        let Some(inode) = socket_inode(from, to)? else {
             return Ok(None);
         };
         let socket = format!("socket:[{inode}]");
         let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if !known.contains_key(&socket) {
-            *known = look(&ids());
+            *known = scan(&pids());
         }
         Ok(known.get(&socket).copied())
     }
 }
 
 /// Looks which sockets these processes hold; one that has ended holds none.
-fn look(ids: &[Option<u32>]) -> HashMap<String, usize> {
+fn scan(pids: &[Option<u32>]) -> HashMap<String, usize> {
     let mut found = HashMap::new();
-    for (at, id) in ids.iter().enumerate() {
-        let Some(id) = id else {
+    for (index, pid) in pids.iter().enumerate() {
+        let Some(pid) = pid else {
             continue;
         };
-        let Ok(files) = fs::read_dir(format!("/proc/{id}/fd")) else {
+        let Ok(files) = fs::read_dir(format!("/proc/{pid}/fd")) else {
             continue;
         };
         let targets = files.flatten().map(|file| fs::read_link(file.path()));
         for target in targets.flatten() {
-            found.insert(target.to_string_lossy().into_owned(), at);
+            found.insert(target.to_string_lossy().into_owned(), index);
         }
     }
     found
 }
 
 /// Asks the kernel for the inode of the socket with these ends; there may be none any more.
-fn inode(local: SocketAddrV4, remote: SocketAddrV4) -> io::Result<Option<u32>> {
-    let protocol = Some(Protocol::from(SOCK_DIAG));
-    let mut kernel = Socket::new(Domain::from(NETLINK), Type::DGRAM, protocol)?;
+fn socket_inode(local: SocketAddrV4, remote: SocketAddrV4) -> io::Result<Option<u32>> {
+    let protocol = Some(Protocol::from(NETLINK_SOCK_DIAG));
+    let mut kernel = Socket::new(Domain::from(AF_NETLINK), Type::DGRAM, protocol)?;
     kernel.write_all(&request(local, remote))?;
     let mut answer = [0; 1024];
     let length = kernel.read(&mut answer)?;
-    let kind = u16::from_ne_bytes([answer[TYPE_AT], answer[TYPE_AT + 1]]);
-    if kind == FAILURE || length < INODE_AT + 4 {
+    let kind = u16::from_ne_bytes([answer[TYPE_OFFSET], answer[TYPE_OFFSET + 1]]);
+    if kind == NLMSG_ERROR || length < INODE_OFFSET + 4 {
         return Ok(None);
     }
-    let bytes = [0, 1, 2, 3].map(|at| answer[INODE_AT + at]);
+    let bytes = [0, 1, 2, 3].map(|index| answer[INODE_OFFSET + index]);
     let inode = u32::from_ne_bytes(bytes);
     // A socket that is closed already, but not yet gone, is nobody's. Looked for, it costs a search
     // and isn't found; openers that give up meanwhile would make the next ones wait ever longer.
@@ -108,12 +108,12 @@
 
 fn request(local: SocketAddrV4, remote: SocketAddrV4) -> Vec<u8> {
     let mut bytes = Vec::new();
-    bytes.extend(LENGTH.to_ne_bytes());
-    bytes.extend(BY_FAMILY.to_ne_bytes());
-    bytes.extend(REQUEST.to_ne_bytes());
+    bytes.extend(REQUEST_BYTES.to_ne_bytes());
+    bytes.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
+    bytes.extend(NLM_F_REQUEST.to_ne_bytes());
     // A number and a sender, which nobody asks for.
     bytes.extend([0; 8]);
-    bytes.extend([IPV4, TCP, 0, 0]);
+    bytes.extend([AF_INET, IPPROTO_TCP, 0, 0]);
     // In whatever state.
     bytes.extend([0xff; 4]);
     bytes.extend(local.port().to_be_bytes());
--- a/crates/soak/src/opener/tests.rs
+++ b/crates/soak/src/opener/tests.rs
@@ -12,11 +12,11 @@
     let stream = TcpStream::connect(to).unwrap();
     let from = stream.local_addr().unwrap();
     // The first process of the machine is another one.
-    let ids = [None, Some(1), Some(process::id())];
+    let pids = [None, Some(1), Some(process::id())];
     let openers = Openers::default();
-    let others = || ids[..2].to_vec();
+    let others = || pids[..2].to_vec();
     assert_eq!(openers.find(others, from, to).unwrap(), None);
-    let all = || ids.to_vec();
+    let all = || pids.to_vec();
     assert_eq!(openers.find(all, from, to).unwrap(), Some(2));
     let nobody = Vec::new;
     let again = openers.find(nobody, from, to).unwrap();
@@ -26,8 +26,8 @@
 #[test]
 fn nobody_has_opened_what_is_not_there() {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let ids = || vec![Some(process::id())];
-    let found = Openers::default().find(ids, nowhere, nowhere);
+    let pids = || vec![Some(process::id())];
+    let found = Openers::default().find(pids, nowhere, nowhere);
     assert_eq!(found.unwrap(), None);
 }
 
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -5,12 +5,12 @@
 use tokio::time::Instant;
 use wire::clock::Millis;
 
-use crate::check::Book;
 use crate::check::Case;
 use crate::check::Check;
+use crate::check::Results;
 use crate::connection::Outcome;
 use crate::history::History;
-use crate::request::Want;
+use crate::request::Spec;
 
 /// An attempt of a client.
 #[derive(Clone, Debug)]
@@ -20,23 +20,23 @@
     /// The VM that it was sent to.
     pub vm: usize,
     /// What its client wants.
-    pub want: Want,
+    pub spec: Spec,
     /// When it was sent.
     pub sent: Millis,
     /// When its time is over.
-    pub until: Millis,
+    pub deadline: Millis,
     /// Its runs, by their places in the runners' log.
-    runs: Vec<usize>,
+    executions: Vec<usize>,
     /// The status that promises that it has not run and never will.
-    promised: Option<u16>,
+    refusal_status: Option<u16>,
     /// Of a turn that was answered whole: its chain's text, itself included.
-    text: Option<Bytes>,
+    chain_text: Option<Bytes>,
 }
 
 impl Attempt {
     /// Yields when its last byte was sent; `None` where that never was.
-    fn whole(&self) -> Option<Millis> {
-        let span = self.want.pace.span()?;
+    fn body_sent_at(&self) -> Option<Millis> {
+        let span = self.spec.pace.span()?;
         Some(self.sent.plus(Millis::from(span)))
     }
 }
@@ -46,9 +46,9 @@
 struct Program {
     budget: u64,
     /// The most that one of its turns generates.
-    most: u64,
+    max_turn_tokens: u64,
     /// What its clients got.
-    got: u64,
+    received: u64,
 }
 
 /// Counts of how attempts ended.
@@ -74,54 +74,54 @@
 #[derive(Debug)]
 pub struct Oracle {
     /// The checks.
-    pub book: Book,
+    pub results: Results,
     /// What was done to the system.
     pub history: History,
     /// How attempts ended.
     pub counts: Counts,
-    begun: Instant,
+    started: Instant,
     vms: Vec<String>,
     log: runner::Log,
     /// The runs of the log that were judged.
-    judged: usize,
+    checked: usize,
     /// By id, which grows with each attempt.
     attempts: Vec<Attempt>,
     programs: Vec<Program>,
-    calm: Vec<Case>,
+    undisturbed_closes: Vec<Case>,
     /// Attempts whose clients left, and when.
-    left: Vec<(usize, Millis)>,
+    departed: Vec<(usize, Millis)>,
     /// Attempts that took longer than their routes allow, and when they ended.
-    over: Vec<(usize, Millis)>,
+    overlong: Vec<(usize, Millis)>,
 }
 
 impl Oracle {
     /// Makes the judge of a run with these VMs, whose runners write this log.
     #[must_use]
-    pub fn new(begun: Instant, vms: Vec<String>, log: runner::Log) -> Self {
+    pub fn new(started: Instant, vms: Vec<String>, log: runner::Log) -> Self {
         Self {
-            book: Book::default(),
+            results: Results::default(),
             history: History::default(),
             counts: Counts::default(),
-            begun,
+            started,
             vms,
             log,
-            judged: 0,
+            checked: 0,
             attempts: Vec::new(),
             programs: Vec::new(),
-            calm: Vec::new(),
-            left: Vec::new(),
-            over: Vec::new(),
+            undisturbed_closes: Vec::new(),
+            departed: Vec::new(),
+            overlong: Vec::new(),
         }
     }
 
     /// Yields the time since the start of the run.
     #[must_use]
     pub fn now(&self) -> Millis {
-        Millis::from(self.begun.elapsed())
+        Millis::from(self.started.elapsed())
     }
 
     fn since_start(&self, at: std::time::Instant) -> Millis {
-        Millis::from(Instant::from_std(at).saturating_duration_since(self.begun))
+        Millis::from(Instant::from_std(at).saturating_duration_since(self.started))
     }
 
     /// Adds a program with a budget; yields its place.
@@ -134,22 +134,22 @@
     }
 
     /// Notes an attempt that is sent now; yields its id.
-    pub fn begin(&mut self, vm: usize, want: &Want, left: std::time::Duration) -> String {
+    pub fn begin(&mut self, vm: usize, spec: &Spec, time_left: std::time::Duration) -> String {
         let id = format!("50a{:013x}", self.attempts.len());
         let sent = self.now();
-        if let Some(turn) = &want.turn {
+        if let Some(turn) = &spec.turn {
             let program = &mut self.programs[turn.program];
-            program.most = program.most.max(want.most());
+            program.max_turn_tokens = program.max_turn_tokens.max(spec.max_tokens());
         }
         self.attempts.push(Attempt {
             id: id.clone(),
             vm,
-            want: want.clone(),
+            spec: spec.clone(),
             sent,
-            until: sent.plus(Millis::from(left.min(want.kind.timeout()))),
-            runs: Vec::new(),
-            promised: None,
-            text: None,
+            deadline: sent.plus(Millis::from(time_left.min(spec.kind.timeout()))),
+            executions: Vec::new(),
+            refusal_status: None,
+            chain_text: None,
         });
         id
     }
@@ -157,33 +157,41 @@
     /// Judges how an attempt ended.
     pub fn finish(&mut self, id: &str, outcome: &Outcome) {
         let ended = self.now();
-        self.judge_runs();
-        let Some(at) = self.find(id) else {
+        self.check_executions();
+        let Some(index) = self.find(id) else {
             return;
         };
-        let want = &self.attempts[at].want;
-        if want.work() > want.kind.timeout() {
-            self.over.push((at, ended));
+        let spec = &self.attempts[index].spec;
+        if spec.work() > spec.kind.timeout() {
+            self.overlong.push((index, ended));
         }
         match outcome {
             Outcome::Whole(answer) => {
-                self.judge_answer(at, answer);
-                self.judge_end(at, ended, None);
+                self.check_answer(index, answer);
+                self.check_end(index, ended, None);
             }
             Outcome::Cut(answer) => {
                 self.counts.cut += 1;
-                self.judge_part(at, answer);
-                self.judge_end(at, ended, Some("the connection closed within the answer"));
+                self.check_partial(index, answer);
+                self.check_end(
+                    index,
+                    ended,
+                    Some("the connection closed within the answer"),
+                );
             }
             Outcome::Closed => {
                 self.counts.cut += 1;
-                self.judge_end(at, ended, Some("the connection closed before the answer"));
+                self.check_end(
+                    index,
+                    ended,
+                    Some("the connection closed before the answer"),
+                );
             }
             Outcome::GaveUp(answer) => {
                 self.counts.given_up += 1;
-                self.left.push((at, ended));
+                self.departed.push((index, ended));
                 if let Some(answer) = answer {
-                    self.judge_part(at, answer);
+                    self.check_partial(index, answer);
                 }
             }
             Outcome::NotSent => self.counts.unsent += 1,
@@ -191,17 +199,17 @@
     }
 
     /// Notes how a process ended that was asked to stop.
-    pub fn note_stopped(&mut self, vm: usize, broken: Option<String>) {
+    pub fn record_stop(&mut self, vm: usize, broken: Option<String>) {
         let name = self.vms[vm].clone();
         let broken = broken.map(|what| self.case("", &name, what));
-        self.book.note(Check::Stops, broken);
+        self.results.record(Check::Stops, broken);
     }
 
     /// Notes a check of a process.
-    pub fn note_vm(&mut self, check: Check, vm: usize, broken: Option<&str>) {
+    pub fn record_vm(&mut self, check: Check, vm: usize, broken: Option<&str>) {
         let name = self.vms[vm].clone();
         let broken = broken.map(|what| self.case("", &name, what.to_owned()));
-        self.book.note(check, broken);
+        self.results.record(check, broken);
     }
 
     fn case(&self, request: &str, vm: &str, what: String) -> Case {
@@ -213,11 +221,11 @@
         }
     }
 
-    fn note(&mut self, check: Check, at: usize, broken: Option<String>) {
-        let attempt = &self.attempts[at];
+    fn record(&mut self, check: Check, index: usize, broken: Option<String>) {
+        let attempt = &self.attempts[index];
         let vm = &self.vms[attempt.vm];
         let broken = broken.map(|what| self.case(&attempt.id, vm, what));
-        self.book.note(check, broken);
+        self.results.record(check, broken);
     }
 
     fn find(&self, id: &str) -> Option<usize> {
@@ -226,28 +234,28 @@
     }
 
     /// Yields what a runner has to get of an attempt.
-    fn body(&self, at: usize) -> Bytes {
-        let want = &self.attempts[at].want;
-        let previous = want.turn.as_ref().and_then(|turn| turn.previous.as_ref());
+    fn expected_body(&self, index: usize) -> Bytes {
+        let spec = &self.attempts[index].spec;
+        let previous = spec.turn.as_ref().and_then(|turn| turn.previous.as_ref());
         let before = previous
             .and_then(|id| self.find(id))
-            .and_then(|at| self.attempts[at].text.as_ref());
+            .and_then(|index| self.attempts[index].chain_text.as_ref());
         match before {
-            Some(before) => [before.as_ref(), want.input.as_ref()].concat().into(),
-            None => want.input.clone(),
+            Some(before) => [before.as_ref(), spec.input.as_ref()].concat().into(),
+            None => spec.input.clone(),
         }
     }
 
     /// Yields the cases of connections that closed without a fault near.
     #[must_use]
-    pub fn calm(&self) -> &[Case] {
-        &self.calm
+    pub fn undisturbed_closes(&self) -> &[Case] {
+        &self.undisturbed_closes
     }
 }
 
 mod answer;
 mod end;
-mod run;
-mod sum;
+mod execution;
+mod summary;
 #[cfg(test)]
 mod tests;
--- a/crates/soak/src/oracle/end.rs
+++ b/crates/soak/src/oracle/end.rs
@@ -11,24 +11,24 @@
 use super::Oracle;
 
 /// A connection that closes sooner after its request may not have read it.
-const READ: Millis = Millis::new(200);
+const MAX_UNREAD_TIME: Millis = Millis::new(200);
 /// How close to its time's end a request counts as ended by it.
-const CLOSE: Millis = Millis::new(50);
+const DEADLINE_TOLERANCE: Millis = Millis::new(50);
 
 impl Oracle {
     /// Judges whether the end of an attempt is one that a VM may leave its caller with.
-    pub(super) fn judge_end(&mut self, at: usize, ended: Millis, broken: Option<&str>) {
-        let attempt = &self.attempts[at];
+    pub(super) fn check_end(&mut self, index: usize, ended: Millis, broken: Option<&str>) {
+        let attempt = &self.attempts[index];
         if self.history.is_disturbed(attempt.sent, ended) {
             return;
         }
-        let Some(whole) = attempt.whole() else {
+        let Some(whole) = attempt.body_sent_at() else {
             return;
         };
-        let planned = self.history.planned(attempt.vm, attempt.sent, ended);
-        let has_run = !attempt.runs.is_empty();
-        let was_read = has_run || ended.since(whole) > READ;
-        let is_late = ended.plus(CLOSE) >= attempt.until;
+        let planned = self.history.planned_work(attempt.vm, attempt.sent, ended);
+        let has_run = !attempt.executions.is_empty();
+        let was_read = has_run || ended.since(whole) > MAX_UNREAD_TIME;
+        let is_late = ended.plus(DEADLINE_TOLERANCE) >= attempt.deadline;
         let broken = broken.filter(|_| was_read && !is_late && !self.is_excused(attempt, ended));
         let describe = |what: &str| {
             let span = ended.since(attempt.sent).as_u64();
@@ -41,14 +41,15 @@
         };
         let broken = broken.map(describe);
         if planned.is_some() {
-            self.note(Check::Lost, at, broken);
+            self.record(Check::Lost, index, broken);
             return;
         }
         if let Some(what) = broken {
             let vm = &self.vms[attempt.vm];
-            self.calm.push(self.case(&attempt.id, vm, what));
+            self.undisturbed_closes
+                .push(self.case(&attempt.id, vm, what));
         } else {
-            self.note(Check::Calm, at, None);
+            self.record(Check::Calm, index, None);
         }
     }
 
@@ -56,11 +57,13 @@
     /// the process had to end, on what it got soon after SIGTERM.
     fn is_excused(&self, attempt: &Attempt, ended: Millis) -> bool {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        attempt.runs.iter().any(|place| {
+        attempt.executions.iter().any(|place| {
             let seen = &log[*place];
             let ended = seen.ended.map_or(ended, |at| self.since_start(at));
             seen.mode != runner::Mode::Normal
-                || self.history.outlasts(attempt.vm, attempt.sent, ended)
+                || self
+                    .history
+                    .is_cut_by_grace(attempt.vm, attempt.sent, ended)
         })
     }
 }
--- /dev/null
+++ b/crates/soak/src/oracle/execution.rs
@@ -0,0 +1,71 @@
+//! Judges what a runner ran.
+
+use std::sync::PoisonError;
+
+use fakes::runner::Seen;
+use wire::clock::Millis;
+
+use crate::check::Check;
+
+use super::Oracle;
+
+/// How long after it says that it leaves a runner may still get requests.
+const DRAIN_TIME: Millis = Millis::new(2_000);
+
+impl Oracle {
+    pub(super) fn check_executions(&mut self) {
+        let unchecked: Vec<Seen> = {
+            let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
+            log[self.checked..].to_vec()
+        };
+        for seen in unchecked {
+            let place = self.checked;
+            self.checked += 1;
+            self.check_execution(place, &seen);
+        }
+    }
+
+    fn check_execution(&mut self, place: usize, seen: &Seen) {
+        let Some(index) = self.find(&seen.id) else {
+            let case = self.case(&seen.id, "", "no client sent this id".to_owned());
+            self.results.record(Check::Asked, Some(case));
+            return;
+        };
+        let spec = self.attempts[index].spec.clone();
+        let came = self.since_start(seen.at);
+        let expected = self.expected_body(index);
+        let is_same = seen.path == spec.path() && seen.body.ends_with(&spec.input);
+        let what = || format!("{} got path {} or another body", seen.runner, seen.path);
+        self.record(Check::Asked, index, (!is_same).then(what));
+        if spec.kind.is_turn() {
+            let what = || format!("{} got another text than the chain's", seen.runner);
+            self.record(Check::Chain, index, (seen.body != expected).then(what));
+        }
+        if spec.kind.runs_once() {
+            let again = !self.attempts[index].executions.is_empty();
+            let what = || format!("it ran again, at {}", seen.runner);
+            self.record(Check::Once, index, again.then(what));
+        }
+        if let Some(status) = self.attempts[index].refusal_status {
+            let check = if status == 402 {
+                Check::Spent
+            } else {
+                Check::Refused
+            };
+            let what = format!("it ran at {} after status {status}", seen.runner);
+            self.record(check, index, Some(what));
+        }
+        if let Some(left) = self.history.leaving_since(&seen.runner, came) {
+            let is_late = came > left.plus(DRAIN_TIME) && !self.history.is_disturbed(left, came);
+            let what = || {
+                let span = came.since(left).as_u64();
+                format!(
+                    "{} ran it {span} ms after it said that it leaves",
+                    seen.runner
+                )
+            };
+            self.record(Check::Drains, index, is_late.then(what));
+        }
+        self.attempts[index].executions.push(place);
+    }
+}
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -16,11 +16,11 @@
 use crate::connection::Outcome;
 use crate::request;
 use crate::request::Kind;
+use crate::request::Spec;
 use crate::request::Turn;
-use crate::request::Want;
 
 use super::Oracle;
-use super::sum::CALM_MOST;
+use super::summary::MAX_UNDISTURBED_CLOSES;
 
 /// A judge of one VM and the log that its runner writes.
 struct Bench {
@@ -38,8 +38,8 @@
         }
     }
 
-    fn begin(&mut self, want: &Want) -> String {
-        self.oracle.begin(0, want, want.deadline)
+    fn begin(&mut self, spec: &Spec) -> String {
+        self.oracle.begin(0, spec, spec.deadline)
     }
 
     fn run(&self, id: &str, path: &str, body: &Bytes) {
@@ -57,53 +57,53 @@
     }
 
     /// Sends and runs a request, and ends it so.
-    fn play(&mut self, want: &Want, outcome: impl FnOnce(&str) -> Outcome) -> String {
-        let id = self.begin(want);
-        self.run(&id, &want.path(), &want.input);
+    fn play(&mut self, spec: &Spec, outcome: impl FnOnce(&str) -> Outcome) -> String {
+        let id = self.begin(spec);
+        self.run(&id, &spec.path(), &spec.input);
         self.oracle.finish(&id, &outcome(&id));
         id
     }
 
     /// Lets time pass: the run began so much earlier.
     fn advance(&mut self, millis: u64) {
-        let begun = self.oracle.begun;
-        self.oracle.begun = begun.checked_sub(Duration::from_millis(millis)).unwrap();
+        let started = self.oracle.started;
+        self.oracle.started = started.checked_sub(Duration::from_millis(millis)).unwrap();
     }
 
     fn stop(&mut self) {
         let now = self.oracle.now();
-        self.oracle.history.stop(0, now);
+        self.oracle.history.note_stop(0, now);
     }
 
-    fn broken(&self) -> Vec<Check> {
-        let rows = self.oracle.book.rows().iter();
+    fn broken_checks(&self) -> Vec<Check> {
+        let rows = self.oracle.results.rows().iter();
         rows.filter(|row| row.broken > 0)
             .map(|row| row.check)
             .collect()
     }
 }
 
-fn want(kind: Kind) -> Want {
-    Want {
+fn spec(kind: Kind) -> Spec {
+    Spec {
         kind,
         events: 3,
         pause: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        leaves: None,
+        leave_after: None,
         pace: Pace::AtOnce,
         input: Bytes::from_static(b"in\n"),
         turn: None,
     }
 }
 
-fn turn(program: usize, budget: u64, previous: Option<&str>) -> Want {
-    Want {
+fn turn(program: usize, budget: u64, previous: Option<&str>) -> Spec {
+    Spec {
         turn: Some(Turn {
             program,
             budget,
             previous: previous.map(str::to_owned),
         }),
-        ..want(Kind::Kept)
+        ..spec(Kind::Kept)
     }
 }
 
@@ -130,11 +130,11 @@
 #[test]
 fn a_whole_answer_breaks_nothing() {
     let mut bench = Bench::new();
-    bench.play(&want(Kind::Order), whole);
-    bench.oracle.end();
-    assert_eq!(bench.broken(), []);
-    assert_eq!(bench.oracle.book.row(Check::Order).exercised, 1);
-    assert_eq!(bench.oracle.book.row(Check::Lost).exercised, 0);
+    bench.play(&spec(Kind::Order), whole);
+    bench.oracle.check_whole_run();
+    assert_eq!(bench.broken_checks(), []);
+    assert_eq!(bench.oracle.results.row(Check::Order).exercised, 1);
+    assert_eq!(bench.oracle.results.row(Check::Lost).exercised, 0);
 }
 
 /// A VM stops while a request that it has passed on runs, and its process ends before the answer
@@ -146,11 +146,11 @@
         Outcome::Cut(answer("", 200, String::new())),
     ] {
         let mut bench = Bench::new();
-        let id = bench.begin(&want(Kind::Order));
-        bench.run(&id, &want(Kind::Order).path(), &want(Kind::Order).input);
+        let id = bench.begin(&spec(Kind::Order));
+        bench.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
         bench.stop();
         bench.oracle.finish(&id, &outcome);
-        assert_eq!(bench.broken(), [Check::Lost]);
+        assert_eq!(bench.broken_checks(), [Check::Lost]);
     }
 }
 
@@ -159,9 +159,9 @@
 fn a_request_that_crosses_the_close_is_not_lost() {
     let mut bench = Bench::new();
     bench.stop();
-    let id = bench.begin(&want(Kind::Order));
+    let id = bench.begin(&spec(Kind::Order));
     bench.oracle.finish(&id, &Outcome::Closed);
-    assert_eq!(bench.broken(), []);
+    assert_eq!(bench.broken_checks(), []);
 }
 
 /// The connection closes later than that: the VM had read the request, though it never passed it on.
@@ -169,85 +169,88 @@
 fn a_request_that_is_held_and_cut_is_lost() {
     let mut bench = Bench::new();
     bench.stop();
-    let id = bench.begin(&want(Kind::Order));
+    let id = bench.begin(&spec(Kind::Order));
     bench.advance(250);
     bench.oracle.finish(&id, &Outcome::Closed);
-    assert_eq!(bench.broken(), [Check::Lost]);
+    assert_eq!(bench.broken_checks(), [Check::Lost]);
 }
 
 #[test]
 fn beside_a_disruption_nothing_is_lost() {
     let mut bench = Bench::new();
     bench.stop();
-    bench.oracle.history.disrupt(Millis::ZERO);
-    bench.play(&want(Kind::Order), |_| Outcome::Closed);
-    assert_eq!(bench.broken(), []);
-    assert_eq!(bench.oracle.book.row(Check::Lost).exercised, 0);
+    bench.oracle.history.begin_disruption(Millis::ZERO);
+    bench.play(&spec(Kind::Order), |_| Outcome::Closed);
+    assert_eq!(bench.broken_checks(), []);
+    assert_eq!(bench.oracle.results.row(Check::Lost).exercised, 0);
 }
 
 #[test]
 fn a_runner_that_broke_off_excuses_its_vm() {
     let mut bench = Bench::new();
     bench.stop();
-    let id = bench.begin(&want(Kind::Order));
-    bench.run(&id, &want(Kind::Order).path(), &want(Kind::Order).input);
+    let id = bench.begin(&spec(Kind::Order));
+    bench.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
     bench.log.lock().unwrap()[0].mode = Mode::AnswerLost;
     bench.oracle.finish(&id, &Outcome::Closed);
-    assert_eq!(bench.broken(), []);
+    assert_eq!(bench.broken_checks(), []);
 }
 
 #[test]
 fn few_closed_connections_are_borne_without_a_fault() {
     let mut bench = Bench::new();
-    for _ in 0..CALM_MOST {
-        bench.play(&want(Kind::Order), |_| Outcome::Closed);
+    for _ in 0..MAX_UNDISTURBED_CLOSES {
+        bench.play(&spec(Kind::Order), |_| Outcome::Closed);
     }
-    assert_eq!(bench.oracle.calm().len(), CALM_MOST);
-    bench.play(&want(Kind::Order), |_| Outcome::Closed);
-    bench.oracle.end();
-    assert_eq!(bench.broken(), [Check::Calm]);
+    assert_eq!(
+        bench.oracle.undisturbed_closes().len(),
+        MAX_UNDISTURBED_CLOSES
+    );
+    bench.play(&spec(Kind::Order), |_| Outcome::Closed);
+    bench.oracle.check_whole_run();
+    assert_eq!(bench.broken_checks(), [Check::Calm]);
 }
 
 #[test]
 fn an_answer_without_its_end_must_not_look_whole() {
     let mut bench = Bench::new();
-    bench.play(&want(Kind::Look), |id| {
+    bench.play(&spec(Kind::Look), |id| {
         Outcome::Whole(answer(id, 200, request::answer(id, b"in\n", 2)))
     });
-    assert_eq!(bench.broken(), [Check::Order]);
+    assert_eq!(bench.broken_checks(), [Check::Order]);
 }
 
 #[test]
 fn a_part_of_an_answer_may_break_off_but_not_skip() {
     let mut bench = Bench::new();
-    bench.play(&want(Kind::Talk), |id| {
+    bench.play(&spec(Kind::Talk), |id| {
         let body = request::answer(id, b"in\n", 2);
         Outcome::GaveUp(Some(answer(id, 200, body)))
     });
-    assert_eq!(bench.broken(), []);
-    bench.play(&want(Kind::Talk), |id| {
+    assert_eq!(bench.broken_checks(), []);
+    bench.play(&spec(Kind::Talk), |id| {
         let body = request::answer(id, b"in\n", 3);
         let second = body.split_once("\n\n").unwrap().1.to_owned();
         Outcome::GaveUp(Some(answer(id, 200, second)))
     });
-    assert_eq!(bench.broken(), [Check::Order]);
+    assert_eq!(bench.broken_checks(), [Check::Order]);
 }
 
 #[test]
 fn another_requests_answer_is_seen() {
     let mut bench = Bench::new();
-    bench.play(&want(Kind::Look), |_| whole("50a0000000000099"));
-    assert_eq!(bench.broken(), [Check::Own, Check::Order]);
+    bench.play(&spec(Kind::Look), |_| whole("50a0000000000099"));
+    assert_eq!(bench.broken_checks(), [Check::Own, Check::Order]);
 }
 
 #[test]
 fn what_runs_once_must_not_run_twice() {
     for (kind, broken) in [(Kind::Order, vec![Check::Once]), (Kind::Look, vec![])] {
         let mut bench = Bench::new();
-        let id = bench.play(&want(kind), whole);
-        bench.run(&id, &want(kind).path(), &want(kind).input);
-        bench.oracle.end();
-        assert_eq!(bench.broken(), broken);
+        let id = bench.play(&spec(kind), whole);
+        bench.run(&id, &spec(kind).path(), &spec(kind).input);
+        bench.oracle.check_whole_run();
+        assert_eq!(bench.broken_checks(), broken);
     }
 }
 
@@ -256,15 +259,15 @@
 #[test]
 fn what_was_refused_must_not_run() {
     let mut bench = Bench::new();
-    bench.play(&want(Kind::Order), refused);
-    assert_eq!(bench.broken(), [Check::Refused]);
+    bench.play(&spec(Kind::Order), refused);
+    assert_eq!(bench.broken_checks(), [Check::Refused]);
     let mut bench = Bench::new();
-    let id = bench.begin(&want(Kind::Order));
+    let id = bench.begin(&spec(Kind::Order));
     bench.oracle.finish(&id, &refused(&id));
-    assert_eq!(bench.broken(), []);
-    bench.run(&id, &want(Kind::Order).path(), &want(Kind::Order).input);
-    bench.oracle.end();
-    assert_eq!(bench.broken(), [Check::Refused]);
+    assert_eq!(bench.broken_checks(), []);
+    bench.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
+    bench.oracle.check_whole_run();
+    assert_eq!(bench.broken_checks(), [Check::Refused]);
 }
 
 #[test]
@@ -277,11 +280,11 @@
     let text = format!("in\n{}in\n", request::output(&first, b"in\n", 3));
     bench.run(&id, &next.path(), &text.into());
     let id = bench.begin(&next);
-    bench.oracle.end();
-    assert_eq!(bench.broken(), []);
+    bench.oracle.check_whole_run();
+    assert_eq!(bench.broken_checks(), []);
     bench.run(&id, &next.path(), &next.input);
-    bench.oracle.end();
-    assert_eq!(bench.broken(), [Check::Chain]);
+    bench.oracle.check_whole_run();
+    assert_eq!(bench.broken_checks(), [Check::Chain]);
 }
 
 #[test]
@@ -292,7 +295,7 @@
     let id = bench.begin(&turn(program, 100, Some(&first)));
     let outcome = Outcome::Whole(answer(&id, 404, String::new()));
     bench.oracle.finish(&id, &outcome);
-    assert_eq!(bench.broken(), [Check::Kept]);
+    assert_eq!(bench.broken_checks(), [Check::Kept]);
 }
 
 #[test]
@@ -303,8 +306,8 @@
         for _ in 0..turns {
             bench.play(&turn(program, 30, None), whole);
         }
-        bench.oracle.end();
-        assert_eq!(bench.broken(), broken);
+        bench.oracle.check_whole_run();
+        assert_eq!(bench.broken_checks(), broken);
     }
 }
 
@@ -312,21 +315,21 @@
 fn an_unknown_id_at_a_runner_is_seen() {
     let mut bench = Bench::new();
     bench.run("50b", "/look/x", &Bytes::new());
-    bench.oracle.end();
-    assert_eq!(bench.broken(), [Check::Asked]);
+    bench.oracle.check_whole_run();
+    assert_eq!(bench.broken_checks(), [Check::Asked]);
 }
 
 /// A runner says that it leaves, and gets a request later than the VMs have time to learn of it.
 #[test]
 fn a_leaving_runner_must_get_nothing_late() {
     let mut bench = Bench::new();
-    bench.oracle.history.leave("i-1", Millis::ZERO);
+    bench.oracle.history.note_leaving("i-1", Millis::ZERO);
     bench.advance(1_900);
-    bench.play(&want(Kind::Look), whole);
-    assert_eq!(bench.broken(), []);
+    bench.play(&spec(Kind::Look), whole);
+    assert_eq!(bench.broken_checks(), []);
     bench.advance(200);
-    bench.play(&want(Kind::Look), whole);
-    assert_eq!(bench.broken(), [Check::Drains]);
+    bench.play(&spec(Kind::Look), whole);
+    assert_eq!(bench.broken_checks(), [Check::Drains]);
 }
 
 /// A configuration adds a route and drops another. A VM that goes by the one before says 404 for the
@@ -336,26 +339,26 @@
     let unknown = |id: &str| Outcome::Whole(answer(id, 404, String::new()));
     for (kind, holds) in [(Kind::Added(3), true), (Kind::Dropped(1), false)] {
         let mut bench = Bench::new();
-        bench.play(&want(kind), whole);
-        assert_eq!(bench.broken().is_empty(), holds, "{kind:?}");
+        bench.play(&spec(kind), whole);
+        assert_eq!(bench.broken_checks().is_empty(), holds, "{kind:?}");
         let mut bench = Bench::new();
-        let id = bench.begin(&want(kind));
+        let id = bench.begin(&spec(kind));
         bench.oracle.finish(&id, &unknown(&id));
-        assert_eq!(bench.broken().is_empty(), !holds, "{kind:?}");
+        assert_eq!(bench.broken_checks().is_empty(), !holds, "{kind:?}");
     }
 }
 
 /// A client leaves while a runner works for it, and the runner is told so at once or never.
 #[test]
 fn a_runner_must_hear_that_its_client_has_left() {
-    for (hears, broken) in [(true, vec![]), (false, vec![Check::Gone])] {
+    for (is_told, broken) in [(true, vec![]), (false, vec![Check::Gone])] {
         let mut bench = Bench::new();
-        bench.play(&want(Kind::Talk), |_| Outcome::GaveUp(None));
-        if !hears {
+        bench.play(&spec(Kind::Talk), |_| Outcome::GaveUp(None));
+        if !is_told {
             bench.log.lock().unwrap()[0].ended = None;
         }
-        bench.oracle.end();
-        assert_eq!(bench.broken(), broken);
+        bench.oracle.check_whole_run();
+        assert_eq!(bench.broken_checks(), broken);
     }
 }
 
@@ -365,16 +368,16 @@
 fn a_request_must_end_when_its_routes_time_is_over() {
     for (held_ms, broken) in [(3_400, vec![]), (3_600, vec![Check::Timely])] {
         let mut bench = Bench::new();
-        let long = Want {
+        let long = Spec {
             events: 8,
             deadline: Duration::from_millis(4_500),
-            ..want(Kind::Look)
+            ..spec(Kind::Look)
         };
         let id = bench.begin(&long);
         bench.advance(held_ms);
         let outcome = Outcome::Whole(answer(&id, 504, String::new()));
         bench.oracle.finish(&id, &outcome);
-        bench.oracle.end();
-        assert_eq!(bench.broken(), broken);
+        bench.oracle.check_whole_run();
+        assert_eq!(bench.broken_checks(), broken);
     }
 }
--- a/crates/soak/src/plot.rs
+++ b/crates/soak/src/plot.rs
@@ -22,13 +22,13 @@
 /// The picture's size, in pixels.
 const SIZE: (u32, u32) = (1_200, 700);
 /// The height of the upper chart, in pixels.
-const UPPER: u32 = 320;
+const UPPER_HEIGHT: u32 = 320;
 /// The room for the axes' texts, in pixels.
-const LABELS: u32 = 100;
+const LABEL_SPACE: u32 = 100;
 /// How wide a fault is drawn that says no span.
-const MOMENT: Millis = Millis::new(150);
+const DEFAULT_FAULT_WIDTH: Millis = Millis::new(150);
 /// The row of what broke a check.
-const BROKEN: &str = "broken";
+const BROKEN_ROW: &str = "broken";
 
 /// The outcome of drawing.
 pub type Result<T> = std::result::Result<T, Box<dyn Error>>;
@@ -68,7 +68,7 @@
 pub fn draw(report: &Report, file: &Path) -> Result<()> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&colors::WHITE)?;
-    let (upper, lower) = area.split_vertically(UPPER);
+    let (upper, lower) = area.split_vertically(UPPER_HEIGHT);
     let end = end(report);
     draw_attempts(report, &upper, end)?;
     draw_faults(report, &lower, end)?;
@@ -96,7 +96,7 @@
     let mut chart = ChartBuilder::on(area)
         .caption(format!("seed {}", report.seed), ("sans-serif", 18))
         .margin(8)
-        .y_label_area_size(LABELS)
+        .y_label_area_size(LABEL_SPACE)
         .x_label_area_size(24)
         .build_cartesian_2d(0.0..end, 0.0..most)?;
     chart.configure_mesh().y_desc("attempts a second").draw()?;
@@ -126,21 +126,21 @@
 }
 
 fn draw_faults(report: &Report, area: &Area<'_>, end: f64) -> Result<()> {
-    let mut rows = vec![BROKEN];
+    let mut rows = vec![BROKEN_ROW];
     for step in &report.done {
         if !rows.contains(&step.fault.row()) {
             rows.push(step.fault.row());
         }
     }
     let names = rows.clone();
-    let place = |name: &str| {
+    let position = |name: &str| {
         let at = rows.iter().position(|row| *row == name);
         i32::try_from(at.unwrap_or_default()).unwrap_or_default()
     };
     let count = i32::try_from(rows.len())?;
     let mut chart = ChartBuilder::on(area)
         .margin(8)
-        .y_label_area_size(LABELS)
+        .y_label_area_size(LABEL_SPACE)
         .x_label_area_size(36)
         .build_cartesian_2d(0.0..end, 0..count)?;
     chart
@@ -153,8 +153,8 @@
         })
         .draw()?;
     let bars = report.done.iter().map(|step| {
-        let row = place(step.fault.row());
-        let span = step.fault.span().unwrap_or(MOMENT);
+        let row = position(step.fault.row());
+        let span = step.fault.span().unwrap_or(DEFAULT_FAULT_WIDTH);
         let from = (seconds(step.at), row);
         let to = (seconds(step.at.plus(span)).min(end), row + 1);
         Rectangle::new([from, to], colors::BLUE.mix(0.5).filled())
@@ -162,7 +162,7 @@
     chart.draw_series(bars)?;
     let cases = report.checks.rows().iter().flat_map(|row| &row.cases);
     let marks = cases.map(|case| {
-        let at = (seconds(case.at).min(end), place(BROKEN));
+        let at = (seconds(case.at).min(end), position(BROKEN_ROW));
         Circle::new(at, 4, colors::RED.filled())
     });
     chart.draw_series(marks)?;
--- a/crates/soak/src/plot/tests.rs
+++ b/crates/soak/src/plot/tests.rs
@@ -4,9 +4,9 @@
 
 use wire::clock::Millis;
 
-use crate::check::Book;
 use crate::check::Case;
 use crate::check::Check;
+use crate::check::Results;
 use crate::disk::Stalls;
 use crate::fault::Fault;
 use crate::oracle::Counts;
@@ -28,14 +28,14 @@
 }
 
 fn report() -> Report {
-    let mut checks = Book::default();
+    let mut checks = Results::default();
     let case = Case {
         at: Millis::new(2_500),
         request: String::new(),
         vm: String::new(),
         what: "a trial".to_owned(),
     };
-    checks.note(Check::Kept, Some(case));
+    checks.record(Check::Kept, Some(case));
     let step = |at, fault| Step {
         at: Millis::new(at),
         fault,
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// Fails where the system can't tell.
-    pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
+    pub fn exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         self.0.try_wait()
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -22,17 +22,17 @@
 use wire::clock::Millis;
 
 /// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// After so much silence a keep-alive of the product ends a connection. Its probes don't show the
 /// silence here, as the system answers them for the proxy.
-const KEEP_ALIVE: Duration = Duration::from_millis(3_200);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(3_200);
 /// The pause before an address is tried again that couldn't be listened on.
-const AGAIN: Duration = Duration::from_millis(20);
+const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum Direction {
     /// From the process that connected.
     Out,
     /// Back to it.
@@ -49,7 +49,7 @@
     /// None, until the link is open again.
     Cut,
     /// None in this direction, until the link is open again.
-    CutOneWay(Way),
+    CutOneWay(Direction),
     /// Nobody listens, and open connections are reset.
     Down,
 }
@@ -76,7 +76,7 @@
     #[must_use]
     pub fn start(address: SocketAddr, target: SocketAddr) -> Self {
         let link = Self::new(address);
-        tokio::spawn(listen(address, target, link.state.subscribe()));
+        tokio::spawn(serve(address, target, link.state.subscribe()));
         link
     }
 
@@ -108,12 +108,12 @@
 
 /// Links of several sources to one target, all at one address.
 #[derive(Debug)]
-pub struct Fan {
+pub struct Group {
     /// By source.
     pub links: Vec<Link>,
 }
 
-impl Fan {
+impl Group {
     /// Starts links of so many sources to `target`. `source` tells from both ends of a connection who
     /// has opened it; it may block.
     #[must_use]
@@ -123,12 +123,12 @@
     {
         let links: Vec<Link> = (0..count).map(|_| Link::new(address)).collect();
         let states = links.iter().map(|link| link.state.subscribe()).collect();
-        tokio::spawn(fan_out(address, target, states, source));
+        tokio::spawn(serve_group(address, target, states, source));
         Self { links }
     }
 }
 
-async fn fan_out<S>(
+async fn serve_group<S>(
     address: SocketAddr,
     target: SocketAddr,
     states: Vec<watch::Receiver<State>>,
@@ -139,7 +139,7 @@
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
-            Err(_) => sleep(AGAIN).await,
+            Err(_) => sleep(BIND_RETRY_PAUSE).await,
         }
     };
     while let Ok((stream, from)) = listener.accept().await {
@@ -147,19 +147,19 @@
         tokio::spawn(async move {
             // Before its opener is looked for: VMs try one that is stopped dozens of times a second, and
             // the search for each took the processor from the runners and clients of the run.
-            let Some(far) = connect(&stream, target).await else {
+            let Some(server) = connect(&stream, target).await else {
                 return;
             };
             let found = spawn_blocking(move || source(from, address)).await;
             // One whose opener is gone already is closed.
             if let Ok(Some(at)) = found {
-                pass_on(stream, far, states[at].clone()).await;
+                forward(stream, server, states[at].clone()).await;
             }
         });
     }
 }
 
-async fn listen(address: SocketAddr, target: SocketAddr, mut states: watch::Receiver<State>) {
+async fn serve(address: SocketAddr, target: SocketAddr, mut states: watch::Receiver<State>) {
     loop {
         if states
             .wait_for(|state| state.mode != Mode::Down)
@@ -169,7 +169,7 @@
             return;
         }
         let Ok(listener) = TcpListener::bind(address).await else {
-            sleep(AGAIN).await;
+            sleep(BIND_RETRY_PAUSE).await;
             continue;
         };
         let mut down = states.clone();
@@ -188,53 +188,55 @@
     while let Ok((stream, _from)) = listener.accept().await {
         let states = states.clone();
         tokio::spawn(async move {
-            if let Some(far) = connect(&stream, target).await {
-                pass_on(stream, far, states).await;
+            if let Some(server) = connect(&stream, target).await {
+                forward(stream, server, states).await;
             }
         });
     }
 }
 
 /// Connects to the target; resets the other end where nobody listens.
-async fn connect(near: &TcpStream, target: SocketAddr) -> Option<TcpStream> {
-    let far = TcpStream::connect(target).await.ok();
-    if far.is_none() {
-        abort(near);
+async fn connect(client: &TcpStream, target: SocketAddr) -> Option<TcpStream> {
+    let server = TcpStream::connect(target).await.ok();
+    if server.is_none() {
+        abort(client);
     }
-    far
+    server
 }
 
-async fn pass_on(mut near: TcpStream, mut far: TcpStream, mut states: watch::Receiver<State>) {
-    let born = *states.borrow();
+async fn forward(mut client: TcpStream, mut server: TcpStream, mut states: watch::Receiver<State>) {
+    let initial = *states.borrow();
     // Without it, small packets wait for others; the link would add what no fault asked for.
-    let prepared = near.set_nodelay(true).and_then(|()| far.set_nodelay(true));
-    let (out, back) = (states.clone(), states.clone());
-    let passed = {
-        let (from_near, to_near) = near.split();
-        let (from_far, to_far) = far.split();
+    let prepared = client
+        .set_nodelay(true)
+        .and_then(|()| server.set_nodelay(true));
+    let (out_states, back_states) = (states.clone(), states.clone());
+    let forwarded = {
+        let (from_client, to_client) = client.split();
+        let (from_server, to_server) = server.split();
         tokio::select! {
-            passed = async {
+            forwarded = async {
                 tokio::try_join!(
-                    pump(from_near, to_far, Way::Out, born, out),
-                    pump(from_far, to_near, Way::Back, born, back),
+                    pump(from_client, to_server, Direction::Out, initial, out_states),
+                    pump(from_server, to_client, Direction::Back, initial, back_states),
                 )
-            } => passed.map(|_| ()),
-            _reset = reset(&mut states, born) => Err(io::ErrorKind::ConnectionReset.into()),
+            } => forwarded.map(|_| ()),
+            _reset = wait_for_reset(&mut states, initial) => Err(io::ErrorKind::ConnectionReset.into()),
         }
     };
-    if prepared.and(passed).is_err() {
-        abort(&near);
-        abort(&far);
+    if prepared.and(forwarded).is_err() {
+        abort(&client);
+        abort(&server);
     }
 }
 
-async fn reset(states: &mut watch::Receiver<State>, born: State) {
-    let is_reset = |state: &State| state.resets > born.resets || state.mode == Mode::Down;
-    let is_over = |state: &State| is_reset(state) || state.silences > born.silences;
+async fn wait_for_reset(states: &mut watch::Receiver<State>, initial: State) {
+    let is_reset = |state: &State| state.resets > initial.resets || state.mode == Mode::Down;
+    let is_over = |state: &State| is_reset(state) || state.silences > initial.silences;
     // A link that is dropped resets its connections, too.
     if matches!(states.wait_for(is_over).await, Ok(state) if !is_reset(&state)) {
         // Whatever comes first ends it.
-        let _reset = tokio::time::timeout(KEEP_ALIVE, states.wait_for(is_reset)).await;
+        let _reset = tokio::time::timeout(KEEP_ALIVE_TIMEOUT, states.wait_for(is_reset)).await;
     }
 }
 
@@ -247,14 +249,14 @@
 async fn pump(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
-    way: Way,
-    born: State,
+    direction: Direction,
+    initial: State,
     mut states: watch::Receiver<State>,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let count = from.read(&mut buffer).await?;
-        pass(&mut states, way, born).await?;
+        wait_until_open(&mut states, direction, initial).await?;
         if count == 0 {
             return to.shutdown().await;
         }
@@ -263,14 +265,18 @@
 }
 
 /// Waits until the link lets bytes pass.
-async fn pass(states: &mut watch::Receiver<State>, way: Way, born: State) -> io::Result<()> {
+async fn wait_until_open(
+    states: &mut watch::Receiver<State>,
+    direction: Direction,
+    initial: State,
+) -> io::Result<()> {
     let is_open = |state: &State| {
         let held = match state.mode {
             Mode::Cut | Mode::Down => true,
-            Mode::CutOneWay(cut) => cut == way,
+            Mode::CutOneWay(cut) => cut == direction,
             Mode::Open | Mode::Slow(_) => false,
         };
-        !held && state.silences == born.silences
+        !held && state.silences == initial.silences
     };
     let gone = || io::Error::from(io::ErrorKind::ConnectionReset);
     let mode = states.wait_for(is_open).await.map_err(|_| gone())?.mode;
--- a/crates/soak/src/proxy/tests.rs
+++ b/crates/soak/src/proxy/tests.rs
@@ -11,15 +11,15 @@
 use tokio::time::timeout;
 use wire::clock::Millis;
 
-use super::Fan;
+use super::Direction;
+use super::Group;
 use super::Link;
 use super::Mode;
-use super::Way;
 
 /// Longer than a loopback takes, also on a busy machine.
-const SOON: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 /// How long nothing may come to count as held.
-const HELD: Duration = Duration::from_millis(150);
+const HOLD_TIME: Duration = Duration::from_millis(150);
 
 /// Starts an echo and a link to it; yields a connection through it.
 async fn through() -> (Link, TcpStream) {
@@ -50,7 +50,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(SOON, connected).await.unwrap()
+    timeout(TIMEOUT, connected).await.unwrap()
 }
 
 async fn echoed(stream: &mut TcpStream) -> std::io::Result<u8> {
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn an_open_link_passes_bytes() {
     let (_link, mut stream) = through().await;
-    let byte = timeout(SOON, echoed(&mut stream)).await.unwrap();
+    let byte = timeout(TIMEOUT, echoed(&mut stream)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
 
@@ -70,7 +70,7 @@
     let (link, mut stream) = through().await;
     link.set_mode(Mode::Slow(Millis::new(100)));
     let begun = std::time::Instant::now();
-    let byte = timeout(SOON, echoed(&mut stream)).await.unwrap();
+    let byte = timeout(TIMEOUT, echoed(&mut stream)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
     assert!(begun.elapsed() >= Duration::from_millis(200));
 }
@@ -79,15 +79,18 @@
 async fn a_cut_holds_bytes_until_it_ends() {
     for cut in [
         Mode::Cut,
-        Mode::CutOneWay(Way::Out),
-        Mode::CutOneWay(Way::Back),
+        Mode::CutOneWay(Direction::Out),
+        Mode::CutOneWay(Direction::Back),
     ] {
         let (link, mut stream) = through().await;
         link.set_mode(cut);
         stream.write_all(b"x").await.unwrap();
-        assert!(timeout(HELD, stream.read_u8()).await.is_err(), "{cut:?}");
+        assert!(
+            timeout(HOLD_TIME, stream.read_u8()).await.is_err(),
+            "{cut:?}"
+        );
         link.set_mode(Mode::Open);
-        let byte = timeout(SOON, stream.read_u8()).await.unwrap();
+        let byte = timeout(TIMEOUT, stream.read_u8()).await.unwrap();
         assert_eq!(byte.unwrap(), b'x', "{cut:?}");
     }
 }
@@ -97,30 +100,36 @@
 #[tokio::test]
 async fn a_silenced_connection_stays_silent() {
     let (link, mut stream) = through().await;
-    timeout(SOON, echoed(&mut stream)).await.unwrap().unwrap();
+    timeout(TIMEOUT, echoed(&mut stream))
+        .await
+        .unwrap()
+        .unwrap();
     link.silence();
-    assert!(timeout(HELD, echoed(&mut stream)).await.is_err());
+    assert!(timeout(HOLD_TIME, echoed(&mut stream)).await.is_err());
     let mut fresh = connect(link.address).await;
-    let byte = timeout(SOON, echoed(&mut fresh)).await.unwrap();
+    let byte = timeout(TIMEOUT, echoed(&mut fresh)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
 
 #[tokio::test]
 async fn a_link_that_is_down_resets_and_refuses() {
     let (link, mut stream) = through().await;
-    timeout(SOON, echoed(&mut stream)).await.unwrap().unwrap();
+    timeout(TIMEOUT, echoed(&mut stream))
+        .await
+        .unwrap()
+        .unwrap();
     link.set_mode(Mode::Down);
-    let ended = timeout(SOON, stream.read_u8()).await.unwrap();
+    let ended = timeout(TIMEOUT, stream.read_u8()).await.unwrap();
     assert!(ended.is_err());
     let refused = async {
         while TcpStream::connect(link.address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(SOON, refused).await.unwrap();
+    timeout(TIMEOUT, refused).await.unwrap();
     link.set_mode(Mode::Open);
     let mut fresh = connect(link.address).await;
-    let byte = timeout(SOON, echoed(&mut fresh)).await.unwrap();
+    let byte = timeout(TIMEOUT, echoed(&mut fresh)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
 
@@ -134,13 +143,16 @@
     // The first to connect is the first source.
     let count = Arc::new(AtomicUsize::new(0));
     let source = move |_from, _to| Some(count.fetch_add(1, Ordering::SeqCst));
-    let fan = Fan::start(address, echo.address, 2, source);
+    let group = Group::start(address, echo.address, 2, source);
     let mut first = connect(address).await;
-    timeout(SOON, echoed(&mut first)).await.unwrap().unwrap();
+    timeout(TIMEOUT, echoed(&mut first)).await.unwrap().unwrap();
     let mut second = connect(address).await;
-    timeout(SOON, echoed(&mut second)).await.unwrap().unwrap();
-    fan.links[0].set_mode(Mode::Cut);
-    assert!(timeout(HELD, echoed(&mut first)).await.is_err());
-    let byte = timeout(SOON, echoed(&mut second)).await.unwrap();
+    timeout(TIMEOUT, echoed(&mut second))
+        .await
+        .unwrap()
+        .unwrap();
+    group.links[0].set_mode(Mode::Cut);
+    assert!(timeout(HOLD_TIME, echoed(&mut first)).await.is_err());
+    let byte = timeout(TIMEOUT, echoed(&mut second)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
--- a/crates/soak/src/regression/tests.rs
+++ b/crates/soak/src/regression/tests.rs
@@ -31,8 +31,8 @@
             runners: run.runners,
         };
         let (short, whole) = (plan(22_000), plan(u64::MAX));
-        let drawn = |plan: &Plan| schedule::draw(plan.seed, plan.span, &plan.kinds, size);
-        let (short, whole) = (drawn(&short), drawn(&whole));
+        let generated = |plan: &Plan| schedule::generate(plan.seed, plan.span, &plan.kinds, size);
+        let (short, whole) = (generated(&short), generated(&whole));
         assert!(!short.is_empty(), "{run:?}");
         assert!(short.iter().all(|step| whole.contains(step)), "{run:?}");
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 use wire::clock::Millis;
 
-use crate::check::Book;
 use crate::check::Case;
+use crate::check::Results;
 use crate::disk::Stalls;
 use crate::oracle::Counts;
 use crate::schedule::Step;
@@ -27,7 +27,7 @@
     /// How many had ended so by then, second by second.
     pub samples: Vec<Sample>,
     /// The checks.
-    pub checks: Book,
+    pub checks: Results,
     /// Connections that closed on their request without a fault near, where they were few.
     pub calm: Vec<Case>,
     /// The longest time by which the soak itself was late: its clients and runners stood still for
@@ -50,7 +50,7 @@
     /// Tells whether all checks held.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.checks.broken() == 0
+        self.checks.broken_checks() == 0
     }
 }
 
--- a/crates/soak/src/request.rs
+++ b/crates/soak/src/request.rs
@@ -52,7 +52,7 @@
     pub const fn timeout(self) -> Duration {
         match self {
             Self::Long => Duration::from_millis(LONG_MS),
-            _ => Duration::from_millis(store::USUAL_MS),
+            _ => Duration::from_millis(store::DEFAULT_TIMEOUT_MS),
         }
     }
 
@@ -71,7 +71,7 @@
 
 /// What a client wants; each attempt at it is a request of its own.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct Spec {
     /// Its kind.
     pub kind: Kind,
     /// The events of its answer.
@@ -81,7 +81,7 @@
     /// How long the client says that it waits.
     pub deadline: Duration,
     /// When it leaves without a word, where it does.
-    pub leaves: Option<Duration>,
+    pub leave_after: Option<Duration>,
     /// How it sends the body.
     pub pace: Pace,
     /// The input.
@@ -101,7 +101,7 @@
     pub previous: Option<String>,
 }
 
-impl Want {
+impl Spec {
     /// Yields the path and query.
     #[must_use]
     pub fn path(&self) -> String {
@@ -121,7 +121,7 @@
 
     /// Yields the most tokens that it generates.
     #[must_use]
-    pub const fn most(&self) -> u64 {
+    pub const fn max_tokens(&self) -> u64 {
         self.events * EVENT_TOKENS
     }
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -11,26 +11,26 @@
 
 use crate::fault::Failure;
 use crate::fault::Fault;
-use crate::fault::Harm;
+use crate::fault::Impairment;
 use crate::fault::Kind;
-use crate::fault::Pair;
-use crate::proxy::Way;
+use crate::fault::Target;
+use crate::proxy::Direction;
 
 /// Before the first fault.
-const CALM: u64 = 2_000;
+const LEAD_IN_MS: u64 = 2_000;
 /// After the last fault and before the end: a stop takes its grace, and clients recover.
-pub const QUIET: u64 = 14_000;
+pub const QUIET_END_MS: u64 = 14_000;
 /// How long an era lasts, from and to.
-const ERA: (u64, u64) = (8_000, 16_000);
+const PHASE_MS: (u64, u64) = (8_000, 16_000);
 /// Between two eras: above the time after a disruption in which promises with a time bound rest.
-const BETWEEN_ERAS: u64 = 4_500;
+const PHASE_GAP_MS: u64 = 4_500;
 /// Between two lost disks: the time in which a new member has learnt all, with room to spare.
-const BETWEEN_WIPES: u64 = 20_000;
+const WIPE_GAP_MS: u64 = 20_000;
 /// Before a disk is lost, how long the other VMs with a disk must have been left alone.
-const BEFORE_WIPE: u64 = 10_000;
+const WIPE_CLEARANCE_MS: u64 = 10_000;
 
 /// How long a link is harmed at most.
-const LINK_MOST: u64 = 4_000;
+const MAX_LINK_FAULT_MS: u64 = 4_000;
 
 /// How runners fail.
 const FAILURES: [Failure; 4] = [
@@ -40,7 +40,7 @@
     Failure::Crossed,
 ];
 /// How slow ones do.
-const SLOW: [Failure; 2] = [Failure::Slow, Failure::Stalls];
+const SLOW_FAILURES: [Failure; 2] = [Failure::Slow, Failure::Stalls];
 
 /// A fault at its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -64,49 +64,49 @@
     pub runners: usize,
 }
 
-struct Draw {
+struct Generator {
     random: ChaCha8Rng,
     size: Size,
     steps: Vec<Step>,
     /// When a disk was lost last, and when VMs with a disk were last disturbed.
-    wiped: Option<u64>,
-    disks_disturbed: Option<u64>,
+    last_wipe: Option<u64>,
+    disks_disturbed_until: Option<u64>,
 }
 
 /// Draws the faults of a run.
 #[must_use]
-pub fn draw(seed: u64, span: Millis, kinds: &[Kind], size: Size) -> Vec<Step> {
-    let mut draw = Draw {
+pub fn generate(seed: u64, span: Millis, kinds: &[Kind], size: Size) -> Vec<Step> {
+    let mut generator = Generator {
         random: ChaCha8Rng::seed_from_u64(seed),
         size,
         steps: Vec::new(),
-        wiped: None,
-        disks_disturbed: None,
+        last_wipe: None,
+        disks_disturbed_until: None,
     };
     let planned: Vec<Kind> = kinds
         .iter()
         .copied()
         .filter(|kind| kind.is_planned())
         .collect();
-    let end = span.as_u64().saturating_sub(QUIET);
-    let mut at = CALM;
+    let end = span.as_u64().saturating_sub(QUIET_END_MS);
+    let mut at = LEAD_IN_MS;
     while at < end && !kinds.is_empty() {
-        let era_end = end.min(at + draw.random.random_range(ERA.0..ERA.1));
-        let only_planned = !planned.is_empty() && draw.random.random_bool(0.6);
+        let phase_end = end.min(at + generator.random.random_range(PHASE_MS.0..PHASE_MS.1));
+        let only_planned = !planned.is_empty() && generator.random.random_bool(0.6);
         let kinds = if only_planned { &planned } else { kinds };
-        draw.era(at, era_end, kinds);
-        at = era_end + BETWEEN_ERAS;
+        generator.phase(at, phase_end, kinds);
+        at = phase_end + PHASE_GAP_MS;
     }
-    draw.steps.sort_by_key(|step| step.at);
-    draw.steps
+    generator.steps.sort_by_key(|step| step.at);
+    generator.steps
 }
 
-impl Draw {
-    fn era(&mut self, from: u64, to: u64, kinds: &[Kind]) {
+impl Generator {
+    fn phase(&mut self, from: u64, to: u64, kinds: &[Kind]) {
         let mut at = from;
         while at < to {
             let kind = kinds[self.random.random_range(0..kinds.len())];
-            self.kind(kind, at, to);
+            self.push_kind(kind, at, to);
             // Often beside what is under way, sometimes after it.
             at += if self.random.random_bool(0.5) {
                 self.random.random_range(100..1_500)
@@ -123,119 +123,120 @@
         });
     }
 
-    fn span(&mut self, from: u64, to: u64) -> Millis {
+    fn random_span(&mut self, from: u64, to: u64) -> Millis {
         Millis::new(self.random.random_range(from..to))
     }
 
-    fn disk(&mut self) -> usize {
+    fn random_disk_vm(&mut self) -> usize {
         self.size.callers + self.random.random_range(0..self.size.disks)
     }
 
-    fn vm(&mut self) -> usize {
+    fn random_vm(&mut self) -> usize {
         self.random
             .random_range(0..self.size.callers + self.size.disks)
     }
 
-    fn kind(&mut self, kind: Kind, at: u64, to: u64) {
+    fn push_kind(&mut self, kind: Kind, at: u64, to: u64) {
         match kind {
-            Kind::Stops => self.series(at, to, 0..self.size.callers),
+            Kind::Stops => self.stop_series(at, to, 0..self.size.callers),
             Kind::DiskStops => {
-                self.disks_disturbed = Some(to);
-                self.series(
+                self.disks_disturbed_until = Some(to);
+                self.stop_series(
                     at,
                     to,
                     self.size.callers..self.size.callers + self.size.disks,
                 );
             }
-            Kind::Overlap => self.overlap(at),
+            Kind::Overlap => self.overlapping_stops(at),
             Kind::Reload => {
-                let vm = self.vm();
+                let vm = self.random_vm();
                 self.push(at, Fault::Reload(vm));
             }
             Kind::Configure => self.push(at, Fault::Configure),
             Kind::Kill => {
-                let vm = self.vm();
-                self.note_disk(vm, at);
+                let vm = self.random_vm();
+                self.note_disk_disturbed(vm, at);
                 self.push(at, Fault::Kill(vm));
             }
             Kind::Pause => {
-                let (vm, span) = (self.vm(), self.span(300, 4_000));
-                self.note_disk(vm, at + span.as_u64());
+                let (vm, span) = (self.random_vm(), self.random_span(300, 4_000));
+                self.note_disk_disturbed(vm, at + span.as_u64());
                 self.push(at, Fault::Pause(vm, span));
             }
-            Kind::Wipe => self.wipe(at),
+            Kind::Wipe => self.push_wipe(at),
             Kind::StoreAway => {
-                let span = self.span(500, 5_000);
-                self.disks_disturbed = self.disks_disturbed.max(Some(at + span.as_u64()));
+                let span = self.random_span(500, 5_000);
+                self.disks_disturbed_until =
+                    self.disks_disturbed_until.max(Some(at + span.as_u64()));
                 self.push(at, Fault::StoreAway(span));
             }
             Kind::StoreLink => {
-                let vm = self.vm();
-                self.note_disk(vm, at + LINK_MOST);
-                self.link(at, Pair::Store(vm));
+                let vm = self.random_vm();
+                self.note_disk_disturbed(vm, at + MAX_LINK_FAULT_MS);
+                self.push_link(at, Target::Store(vm));
             }
-            Kind::VmLink => self.vm_link(at),
+            Kind::VmLink => self.push_vm_link(at),
             Kind::ClientLink => {
                 let vm = self.random.random_range(0..self.size.callers);
-                self.link(at, Pair::Client(vm));
+                self.push_link(at, Target::Client(vm));
             }
             Kind::SlowBodies => {
-                let span = self.span(1_000, 6_000);
+                let span = self.random_span(1_000, 6_000);
                 self.push(at, Fault::SlowBodies(span));
             }
             Kind::RunnerLeaves
             | Kind::RunnerFails
             | Kind::RunnerSlow
             | Kind::RunnerDown
-            | Kind::RunnerLink => self.runner_fault(kind, at),
+            | Kind::RunnerLink => self.push_runner_fault(kind, at),
         }
     }
 
-    fn runner_fault(&mut self, kind: Kind, at: u64) {
+    fn push_runner_fault(&mut self, kind: Kind, at: u64) {
         let runner = self.random.random_range(0..self.size.runners);
         match kind {
             Kind::RunnerLeaves if self.random.random_bool(0.5) => {
                 self.push(at, Fault::RunnerLeaves(runner));
             }
             Kind::RunnerLeaves => self.push(at, Fault::RunnerUnlisted(runner)),
-            Kind::RunnerFails => self.runner_fails(at, runner, &FAILURES),
-            Kind::RunnerSlow => self.runner_fails(at, runner, &SLOW),
+            Kind::RunnerFails => self.push_runner_failure(at, runner, &FAILURES),
+            Kind::RunnerSlow => self.push_runner_failure(at, runner, &SLOW_FAILURES),
             Kind::RunnerDown => {
-                let span = self.span(500, 4_000);
+                let span = self.random_span(500, 4_000);
                 self.push(at, Fault::RunnerDown(runner, span));
             }
-            _ => self.link(at, Pair::Runner(runner)),
+            _ => self.push_link(at, Target::Runner(runner)),
         }
     }
 
-    fn runner_fails(&mut self, at: u64, runner: usize, failures: &[Failure]) {
+    fn push_runner_failure(&mut self, at: u64, runner: usize, failures: &[Failure]) {
         let failure = failures[self.random.random_range(0..failures.len())];
         let count = self.random.random_range(1..6);
         self.push(at, Fault::RunnerFails(runner, failure, count));
     }
 
-    fn vm_link(&mut self, at: u64) {
-        let vm = self.vm();
+    fn push_vm_link(&mut self, at: u64) {
+        let vm = self.random_vm();
         let count = self.size.callers + self.size.disks;
         let other = (vm + self.random.random_range(1..count)) % count;
-        self.note_disk(vm, at + LINK_MOST);
-        self.note_disk(other, at + LINK_MOST);
-        let pair = if self.random.random_bool(0.3) {
-            Pair::Around(vm)
+        self.note_disk_disturbed(vm, at + MAX_LINK_FAULT_MS);
+        self.note_disk_disturbed(other, at + MAX_LINK_FAULT_MS);
+        let target = if self.random.random_bool(0.3) {
+            Target::Around(vm)
         } else {
-            Pair::Vms(vm, other)
+            Target::Vms(vm, other)
         };
-        self.link(at, pair);
+        self.push_link(at, target);
     }
 
-    fn note_disk(&mut self, vm: usize, until: u64) {
+    fn note_disk_disturbed(&mut self, vm: usize, until: u64) {
         if vm >= self.size.callers {
-            self.disks_disturbed = self.disks_disturbed.max(Some(until));
+            self.disks_disturbed_until = self.disks_disturbed_until.max(Some(until));
         }
     }
 
     /// Stops some VMs, each a little after the one before, which may still be stopping.
-    fn series(&mut self, at: u64, to: u64, vms: std::ops::Range<usize>) {
+    fn stop_series(&mut self, at: u64, to: u64, vms: std::ops::Range<usize>) {
         let count = self.random.random_range(1..=vms.len());
         let first = self.random.random_range(vms.clone());
         let gap = self.random.random_range(200..4_500);
@@ -250,10 +251,10 @@
 
     /// Stops all VMs that take callers of a data centre, or all but one: the balancer then goes on
     /// sending to all of them where they are three or more.
-    fn overlap(&mut self, at: u64) {
+    fn overlapping_stops(&mut self, at: u64) {
         let centre = self.random.random_range(0..self.size.centres);
-        let own = (centre..self.size.callers).step_by(self.size.centres);
-        let mut vms: Vec<usize> = own.collect();
+        let local = (centre..self.size.callers).step_by(self.size.centres);
+        let mut vms: Vec<usize> = local.collect();
         if vms.len() > 2 && self.random.random_bool(0.5) {
             let spared = self.random.random_range(0..vms.len());
             vms.remove(spared);
@@ -266,29 +267,31 @@
 
     /// Empties a disk, unless another one may not have been made good yet: two lost disks of three
     /// are more than the system is asked to bear.
-    fn wipe(&mut self, at: u64) {
+    fn push_wipe(&mut self, at: u64) {
         let is_recent =
             |before: Option<u64>, span: u64| before.is_some_and(|before| at < before + span);
-        if is_recent(self.wiped, BETWEEN_WIPES) || is_recent(self.disks_disturbed, BEFORE_WIPE) {
+        if is_recent(self.last_wipe, WIPE_GAP_MS)
+            || is_recent(self.disks_disturbed_until, WIPE_CLEARANCE_MS)
+        {
             return;
         }
-        self.wiped = Some(at);
-        let vm = self.disk();
+        self.last_wipe = Some(at);
+        let vm = self.random_disk_vm();
         self.push(at, Fault::Wipe(vm));
     }
 
-    fn link(&mut self, at: u64, pair: Pair) {
-        let harms = [
-            Harm::Slow(self.span(20, 400)),
-            Harm::Cut,
-            Harm::CutOneWay(Way::Out),
-            Harm::CutOneWay(Way::Back),
-            Harm::Reset,
-            Harm::Silence,
+    fn push_link(&mut self, at: u64, target: Target) {
+        let impairments = [
+            Impairment::Slow(self.random_span(20, 400)),
+            Impairment::Cut,
+            Impairment::CutOneWay(Direction::Out),
+            Impairment::CutOneWay(Direction::Back),
+            Impairment::Reset,
+            Impairment::Silence,
         ];
-        let harm = harms[self.random.random_range(0..harms.len())];
-        let span = self.span(500, LINK_MOST);
-        self.push(at, Fault::Link(pair, harm, span));
+        let impairment = impairments[self.random.random_range(0..impairments.len())];
+        let span = self.random_span(500, MAX_LINK_FAULT_MS);
+        self.push(at, Fault::Link(target, impairment, span));
     }
 }
 
--- a/crates/soak/src/schedule/tests.rs
+++ b/crates/soak/src/schedule/tests.rs
@@ -4,11 +4,11 @@
 use crate::fault::Fault;
 use crate::fault::Kind;
 
-use super::BETWEEN_WIPES;
-use super::QUIET;
+use super::QUIET_END_MS;
 use super::Size;
 use super::Step;
-use super::draw;
+use super::WIPE_GAP_MS;
+use super::generate;
 
 const SIZE: Size = Size {
     callers: 6,
@@ -18,23 +18,23 @@
 };
 const SPAN: Millis = Millis::new(120_000);
 
-fn drawn(seed: u64, kinds: &[Kind]) -> Vec<Step> {
-    draw(seed, SPAN, kinds, SIZE)
+fn generated(seed: u64, kinds: &[Kind]) -> Vec<Step> {
+    generate(seed, SPAN, kinds, SIZE)
 }
 
 #[test]
 fn a_seed_draws_the_same_again() {
     let kinds = Kind::value_variants();
-    assert_eq!(drawn(7, kinds), drawn(7, kinds));
-    assert_ne!(drawn(7, kinds), drawn(8, kinds));
+    assert_eq!(generated(7, kinds), generated(7, kinds));
+    assert_ne!(generated(7, kinds), generated(8, kinds));
 }
 
 #[test]
 fn each_kind_is_drawn_and_leaves_the_end_quiet() {
     for kind in Kind::value_variants() {
-        let steps = drawn(3, &[*kind]);
+        let steps = generated(3, &[*kind]);
         assert!(!steps.is_empty(), "{kind:?}");
-        let last = Millis::new(SPAN.as_u64() - QUIET + 2_500);
+        let last = Millis::new(SPAN.as_u64() - QUIET_END_MS + 2_500);
         assert!(steps.iter().all(|step| step.at < last), "{kind:?}");
     }
 }
@@ -44,13 +44,13 @@
 #[test]
 fn no_two_disks_are_lost_near_each_other() {
     for seed in 0..200 {
-        let steps = drawn(seed, Kind::value_variants());
+        let steps = generated(seed, Kind::value_variants());
         let wipes = steps
             .iter()
             .filter(|step| matches!(step.fault, Fault::Wipe(_)));
         let wipes: Vec<Millis> = wipes.map(|step| step.at).collect();
         for pair in wipes.windows(2) {
-            assert!(pair[1].since(pair[0]).as_u64() >= BETWEEN_WIPES);
+            assert!(pair[1].since(pair[0]).as_u64() >= WIPE_GAP_MS);
         }
     }
 }
@@ -58,7 +58,7 @@
 /// All VMs of a data centre are told to stop before the first one has ended.
 #[test]
 fn stops_of_a_data_centre_overlap() {
-    let steps = drawn(1, &[Kind::Overlap]);
+    let steps = generated(1, &[Kind::Overlap]);
     let overlapping = steps.windows(2).filter(|pair| {
         let centres = pair.iter().map(|step| match step.fault {
             Fault::Stop(vm) => vm % SIZE.centres,
--- a/crates/soak/src/vm.rs
+++ b/crates/soak/src/vm.rs
@@ -17,25 +17,25 @@
 use wire::clock::Millis;
 
 use crate::check::Check;
+use crate::context::Context;
+use crate::history::DisruptionId;
 use crate::history::GRACE;
-use crate::history::Ticket;
 use crate::process::Process;
 use crate::process::Program;
 use crate::process::Signal;
-use crate::world::World;
 
 /// How often a process is looked at.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// After an end, when the platform starts the process again.
-const RESTART: Duration = Duration::from_millis(400);
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 /// How long a killed VM's start takes until it serves, with room to spare.
-const BACK: Duration = Duration::from_millis(1_500);
+const STARTUP_TIME: Duration = Duration::from_millis(1_500);
 
 /// What a VM is.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Config {
     /// Its place in the fleet.
-    pub at: usize,
+    pub index: usize,
     /// Its name.
     pub name: String,
     /// Its address.
@@ -54,19 +54,19 @@
 #[derive(Debug)]
 pub struct Vm {
     /// What it is.
-    pub place: Place,
-    life: Mutex<Life>,
+    pub config: Config,
+    state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
-struct Life {
+struct State {
     process: Option<Process>,
     /// When SIGTERM was sent.
-    stopped: Option<Millis>,
+    term_sent_at: Option<Millis>,
     /// Whether SIGKILL was sent, or the process was frozen: its end isn't its own any more.
-    meddled: bool,
+    interfered: bool,
     /// The disruption that ends once the process is back.
-    ticket: Option<Ticket>,
+    disruption: Option<DisruptionId>,
     /// Whether the next start finds an empty disk.
     wipe: bool,
 }
@@ -74,35 +74,35 @@
 impl Vm {
     /// Makes a VM without a process.
     #[must_use]
-    pub fn new(place: Place) -> Arc<Self> {
+    pub fn new(config: Config) -> Arc<Self> {
         Arc::new(Self {
-            place,
-            life: Mutex::default(),
+            config,
+            state: Mutex::default(),
         })
     }
 
     /// Yields where it takes callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
-        SocketAddr::new(self.place.ip, settings::CALLERS)
+        SocketAddr::new(self.config.ip, settings::CALLERS)
     }
 
     /// Yields where it tells whether it is ready.
     #[must_use]
     pub fn ready(&self) -> SocketAddr {
-        SocketAddr::new(self.place.ip, settings::READY)
+        SocketAddr::new(self.config.ip, settings::READY)
     }
 
     /// Yields where other VMs connect to it.
     #[must_use]
     pub fn peers(&self) -> SocketAddr {
-        SocketAddr::new(self.place.ip, settings::PEERS)
+        SocketAddr::new(self.config.ip, settings::PEERS)
     }
 
     /// Yields the id of its process, where it has one.
     #[must_use]
-    pub fn id(&self) -> Option<u32> {
-        self.life().process.as_ref().map(Process::id)
+    pub fn pid(&self) -> Option<u32> {
+        self.state().process.as_ref().map(Process::id)
     }
 
     /// Starts the process and starts it again after each end, for as long as it is polled.
@@ -110,14 +110,14 @@
     /// # Errors
     ///
     /// Fails where the process can't be started or looked at.
-    pub async fn run(self: Arc<Self>, world: Arc<World>) -> io::Result<()> {
+    pub async fn run(self: Arc<Self>, context: Arc<Context>) -> io::Result<()> {
         loop {
-            self.start(&world)?;
-            let status = self.ended(&world).await?;
-            let ticket = self.judge(&world, status);
-            sleep(RESTART).await;
-            if let Some(ticket) = ticket {
-                tokio::spawn(restore(world.clone(), ticket));
+            self.start(&context)?;
+            let status = self.wait_for_exit(&context).await?;
+            let disruption = self.record_exit(&context, status);
+            sleep(RESTART_DELAY).await;
+            if let Some(disruption) = disruption {
+                tokio::spawn(end_disruption(context.clone(), disruption));
             }
         }
     }
@@ -127,32 +127,33 @@
     /// # Errors
     ///
     /// Fails where the signal can't be sent.
-    pub fn stop(&self, world: &World) -> io::Result<bool> {
-        let mut life = self.life();
-        if life.stopped.is_some() || life.meddled || life.process.is_none() {
+    pub fn stop(&self, context: &Context) -> io::Result<bool> {
+        let mut state = self.state();
+        if state.term_sent_at.is_some() || state.interfered || state.process.is_none() {
             return Ok(false);
         }
-        let now = world.oracle().now();
-        life.stopped = Some(now);
-        world.oracle().history.stop(self.place.at, now);
-        self.lose(world);
-        life.signal(Signal::Term)?;
+        let now = context.oracle().now();
+        state.term_sent_at = Some(now);
+        context.oracle().history.note_stop(self.config.index, now);
+        self.note_lost(context);
+        state.signal(Signal::Term)?;
         Ok(true)
     }
 
     /// Tells whether its process is there and neither stops nor was disturbed.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
-        let life = self.life();
-        life.process.is_some() && life.stopped.is_none() && !life.meddled
+    pub fn is_undisturbed(&self) -> bool {
+        let state = self.state();
+        state.process.is_some() && state.term_sent_at.is_none() && !state.interfered
     }
 
     /// Yields when SIGTERM was sent to the process that is there.
     #[must_use]
     pub fn stopped_at(&self) -> Option<Millis> {
-        let life = self.life();
-        life.stopped
-            .filter(|_| life.process.is_some() && !life.meddled)
+        let state = self.state();
+        state
+            .term_sent_at
+            .filter(|_| state.process.is_some() && !state.interfered)
     }
 
     /// Sends SIGHUP.
@@ -160,10 +161,10 @@
     /// # Errors
     ///
     /// Fails where the signal can't be sent.
-    pub fn reload(&self, world: &World) -> io::Result<()> {
-        let now = world.oracle().now();
-        world.oracle().history.reload(self.place.at, now);
-        self.life().signal(Signal::Hup)
+    pub fn reload(&self, context: &Context) -> io::Result<()> {
+        let now = context.oracle().now();
+        context.oracle().history.note_reload(self.config.index, now);
+        self.state().signal(Signal::Hup)
     }
 
     /// Sends SIGKILL.
@@ -171,11 +172,11 @@
     /// # Errors
     ///
     /// Fails where the signal can't be sent.
-    pub fn kill(&self, world: &World) -> io::Result<()> {
-        self.lose(world);
-        let mut life = self.life();
-        life.disrupt(world);
-        life.signal(Signal::Kill)
+    pub fn kill(&self, context: &Context) -> io::Result<()> {
+        self.note_lost(context);
+        let mut state = self.state();
+        state.disrupt(context);
+        state.signal(Signal::Kill)
     }
 
     /// Sends SIGKILL; the next start finds an empty disk.
@@ -183,9 +184,9 @@
     /// # Errors
     ///
     /// Fails where the signal can't be sent.
-    pub fn wipe(&self, world: &World) -> io::Result<()> {
-        self.life().wipe = true;
-        self.kill(world)
+    pub fn wipe(&self, context: &Context) -> io::Result<()> {
+        self.state().wipe = true;
+        self.kill(context)
     }
 
     /// Freezes the process for a while.
@@ -193,109 +194,109 @@
     /// # Errors
     ///
     /// Fails where the signal can't be sent.
-    pub async fn pause(&self, world: &World, span: Millis) -> io::Result<()> {
-        self.lose(world);
-        let ticket = {
-            let mut life = self.life();
-            life.meddled = true;
-            life.signal(Signal::Stop)?;
-            let mut oracle = world.oracle();
+    pub async fn pause(&self, context: &Context, span: Millis) -> io::Result<()> {
+        self.note_lost(context);
+        let disruption = {
+            let mut state = self.state();
+            state.interfered = true;
+            state.signal(Signal::Stop)?;
+            let mut oracle = context.oracle();
             let now = oracle.now();
-            oracle.history.disrupt(now)
+            oracle.history.begin_disruption(now)
         };
         sleep(span.as_duration()).await;
-        let mut life = self.life();
-        life.signal(Signal::Cont)?;
+        let mut state = self.state();
+        state.signal(Signal::Cont)?;
         // What comes next is its own again, unless it is being stopped.
-        life.meddled = life.stopped.is_some() || life.ticket.is_some();
-        let mut oracle = world.oracle();
+        state.interfered = state.term_sent_at.is_some() || state.disruption.is_some();
+        let mut oracle = context.oracle();
         let now = oracle.now();
-        oracle.history.restore(ticket, now);
-        oracle.history.regain(self.place.at, now);
+        oracle.history.end_disruption(disruption, now);
+        oracle.history.note_disk_back(self.config.index, now);
         Ok(())
     }
 
     /// Notes that the VM is lost, where it has a disk.
-    fn lose(&self, world: &World) {
-        if self.place.disk.is_some() {
-            let mut oracle = world.oracle();
+    fn note_lost(&self, context: &Context) {
+        if self.config.disk.is_some() {
+            let mut oracle = context.oracle();
             let now = oracle.now();
-            oracle.history.lose(self.place.at, now);
+            oracle.history.note_disk_lost(self.config.index, now);
         }
     }
 
-    fn life(&self) -> MutexGuard<'_, Life> {
-        self.life.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn start(&self, world: &World) -> io::Result<()> {
-        let mut life = self.life();
-        let wipe = std::mem::take(&mut life.wipe);
-        if let Some(disk) = self.place.disk.as_ref().filter(|_| wipe) {
+    fn start(&self, context: &Context) -> io::Result<()> {
+        let mut state = self.state();
+        let wipe = std::mem::take(&mut state.wipe);
+        if let Some(disk) = self.config.disk.as_ref().filter(|_| wipe) {
             fs::remove_dir_all(disk)?;
         }
-        let role = match self.place.disk {
+        let role = match self.config.disk {
             Some(_) => "store",
             None => "front",
         };
-        life.process = Some(Process::start(&Program {
-            binary: &self.place.binary,
+        state.process = Some(Process::start(&Program {
+            binary: &self.config.binary,
             role,
-            settings: &self.place.settings,
-            log: &self.place.log,
+            settings: &self.config.settings,
+            log: &self.config.log,
         })?);
-        life.stopped = None;
-        life.meddled = false;
-        let mut oracle = world.oracle();
+        state.term_sent_at = None;
+        state.interfered = false;
+        let mut oracle = context.oracle();
         let now = oracle.now();
-        oracle.history.regain(self.place.at, now);
+        oracle.history.note_disk_back(self.config.index, now);
         Ok(())
     }
 
     /// Waits for the process's end; kills it where it outlasts its grace.
-    async fn ended(&self, world: &World) -> io::Result<ExitStatus> {
+    async fn wait_for_exit(&self, context: &Context) -> io::Result<ExitStatus> {
         loop {
             {
-                let mut life = self.life();
-                let process = life.process.as_mut();
-                if let Some(status) = process.map(Process::ended).transpose()?.flatten() {
+                let mut state = self.state();
+                let process = state.process.as_mut();
+                if let Some(status) = process.map(Process::exit_status).transpose()?.flatten() {
                     return Ok(status);
                 }
-                let now = world.oracle().now();
-                let is_over = life.stopped.is_some_and(|at| now.since(at) >= GRACE);
-                if is_over && life.ticket.is_none() {
-                    if !life.meddled {
+                let now = context.oracle().now();
+                let is_over = state.term_sent_at.is_some_and(|at| now.since(at) >= GRACE);
+                if is_over && state.disruption.is_none() {
+                    if !state.interfered {
                         let what = "SIGKILL after its grace".to_owned();
-                        world.oracle().note_stopped(self.place.at, Some(what));
+                        context.oracle().record_stop(self.config.index, Some(what));
                     }
-                    life.disrupt(world);
-                    life.signal(Signal::Kill)?;
+                    state.disrupt(context);
+                    state.signal(Signal::Kill)?;
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Judges how the process ended; yields the disruption that ends with its return.
-    fn judge(&self, world: &World, status: ExitStatus) -> Option<Ticket> {
-        let mut life = self.life();
-        life.process = None;
-        if life.meddled {
-            return life.ticket.take();
+    fn record_exit(&self, context: &Context, status: ExitStatus) -> Option<DisruptionId> {
+        let mut state = self.state();
+        state.process = None;
+        if state.interfered {
+            return state.disruption.take();
         }
-        let at = self.place.at;
-        if life.stopped.is_some() {
+        let index = self.config.index;
+        if state.term_sent_at.is_some() {
             let broken = (!status.success()).then(|| status.to_string());
-            world.oracle().note_stopped(at, broken);
+            context.oracle().record_stop(index, broken);
         } else {
             let what = format!("ended unasked: {status}");
-            world.oracle().note_vm(Check::Lives, at, Some(&what));
+            context.oracle().record_vm(Check::Lives, index, Some(&what));
         }
-        life.ticket.take()
+        state.disruption.take()
     }
 }
 
-impl Life {
+impl State {
     fn signal(&self, signal: Signal) -> io::Result<()> {
         // A VM whose process has just ended gets none.
         self.process
@@ -303,19 +304,19 @@
             .map_or(Ok(()), |process| process.signal(signal))
     }
 
-    fn disrupt(&mut self, world: &World) {
-        self.meddled = true;
-        if self.ticket.is_none() {
-            let mut oracle = world.oracle();
+    fn disrupt(&mut self, context: &Context) {
+        self.interfered = true;
+        if self.disruption.is_none() {
+            let mut oracle = context.oracle();
             let now = oracle.now();
-            self.ticket = Some(oracle.history.disrupt(now));
+            self.disruption = Some(oracle.history.begin_disruption(now));
         }
     }
 }
 
-async fn restore(world: Arc<World>, ticket: Ticket) {
-    sleep(BACK).await;
-    let mut oracle = world.oracle();
+async fn end_disruption(context: Arc<Context>, disruption: DisruptionId) {
+    sleep(STARTUP_TIME).await;
+    let mut oracle = context.oracle();
     let now = oracle.now();
-    oracle.history.restore(ticket, now);
+    oracle.history.end_disruption(disruption, now);
 }
