--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,54 +1,55 @@
-//! What a run checks, how often each check was exercised, and what broke it.
+//! The checks of a run, how often each was exercised, and the cases that broke it.
 
 use serde::Serialize;
 use wire::clock::Millis;
 
-/// The most cases of a broken check that a report names; the rest is counted.
+/// How many cases of a broken check a report lists; further ones are only counted.
 const MOST_CASES: usize = 20;
 
-/// A check.
+/// A check. The description of each variant says what breaks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Check {
-    /// A request that a stopping VM has read ends without its whole answer.
+    /// A request that a stopping or reloading VM has read ends without its complete answer.
     Lost,
-    /// A process outlasts its grace, or stops without success.
+    /// A process that was asked to stop outlasts its grace period or exits with a failure.
     Stops,
-    /// A process ends though nobody asked it to.
+    /// A process ends without being asked to.
     Lives,
-    /// A VM that stops still says that it is ready four seconds later.
+    /// A stopping VM still reports ready four seconds after SIGTERM.
     Leaves,
-    /// Without any fault near, requests end with a closed connection.
+    /// Requests end with a closed connection though no disruption came in or shortly before them.
     Calm,
     /// An answer belongs to another request, or no runner has signed it.
     Own,
-    /// Events are missing, come twice, or an answer looks whole without its last one.
+    /// Events are missing or duplicated, or an answer ends as complete without its last event.
     Order,
-    /// A request that may run once ran twice.
+    /// A request that may run at most once ran twice.
     Once,
-    /// A request was refused with a promise not to run, and ran.
+    /// A request ran though its refusal guaranteed that it has not run and never will.
     Refused,
-    /// A turn that its budget didn't hold ran.
+    /// A turn ran though it was refused because the program's budget is spent.
     Spent,
-    /// A turn that was answered whole isn't found.
+    /// A turn with a complete answer isn't found by a later turn that continues it.
     Kept,
-    /// A proper request is turned away for good.
+    /// A valid request is rejected with a status that excludes a retry.
     Proper,
-    /// A runner got something that no client sent.
+    /// A runner received something that no client sent.
     Asked,
-    /// A turn's text isn't its chain's earlier inputs and outputs and then its own input.
+    /// The text that a runner received for a turn isn't the earlier inputs and outputs of its chain
+    /// followed by its own input.
     Chain,
-    /// A program's clients got more tokens than its budget and one turn.
+    /// A program's clients received more tokens than its budget plus those of one turn.
     Budget,
-    /// Requests that take longer than their route allows are held on.
+    /// Requests are held past their route's time-out.
     Timely,
     /// Runners go on working for clients that have left.
     Gone,
-    /// A runner that leaves still gets requests.
+    /// A leaving runner still receives requests.
     Drains,
-    /// An older configuration is still in force.
+    /// An older configuration is still in force after the time allowed for applying the new one.
     Applied,
-    /// Without any fault near at the end, too few turns are served.
+    /// In the quiet phase at the end, too few turns are served.
     Served,
 }
 
@@ -77,7 +78,7 @@
         Self::Served,
     ];
 
-    /// Says what holds.
+    /// Returns the property that the check verifies.
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
@@ -105,35 +106,35 @@
     }
 }
 
-/// What broke a check.
+/// One observation that broke a check.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Case {
     /// When, since the start of the run.
     pub at: Millis,
-    /// The request; empty where it is about a process.
+    /// The id of the request; empty if the case is about a process.
     pub request: String,
-    /// The VM; empty where it isn't about one.
+    /// The name of the VM; empty if the case isn't about one.
     pub vm: String,
     /// What was seen.
     pub what: String,
 }
 
-/// A check's part of the report.
+/// The result of one check.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Row {
     /// The check.
     pub check: Check,
-    /// What holds.
+    /// The property that the check verifies.
     pub text: &'static str,
-    /// How often it was looked at.
+    /// How often the property was checked.
     pub exercised: u64,
     /// How often it didn't hold.
     pub broken: u64,
-    /// The first cases.
+    /// The first cases in which it didn't hold.
     pub cases: Vec<Case>,
 }
 
-/// All checks' parts of the report.
+/// The results of all checks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Results(Vec<Row>);
 
@@ -151,19 +152,19 @@
 }
 
 impl Results {
-    /// Yields the rows.
+    /// Returns the results of all checks, in the order of [`Check::ALL`].
     #[must_use]
     pub fn rows(&self) -> &[Row] {
         &self.0
     }
 
-    /// Yields a check's row.
+    /// Returns the result of one check.
     #[must_use]
     pub fn row(&self, check: Check) -> &Row {
         &self.0[check as usize]
     }
 
-    /// Notes that a check was looked at; `broken` tells what didn't hold.
+    /// Records that a check was exercised; `broken` is the case in which it didn't hold.
     pub fn record(&mut self, check: Check, broken: Option<Case>) {
         let row = &mut self.0[check as usize];
         row.exercised += 1;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Counts the checks that didn't hold.
+    /// Counts the checks that were broken at least once.
     #[must_use]
     pub fn broken_checks(&self) -> usize {
         self.0.iter().filter(|row| row.broken > 0).count()
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,6 @@
-//! A client as the platform's pages describe it: keeps its connection until the VM closes it, comes
-//! back when it is told to, repeats what may be repeated, and runs programs of several turns.
+//! A client that behaves as the platform's documentation describes: it keeps its connection until the
+//! VM closes it, obeys `retry-after`, repeats requests that may be repeated, and runs programs of
+//! several turns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,22 +25,23 @@
 use crate::request::Spec;
 use crate::request::Turn;
 
-/// The attempts at one request.
+/// The most attempts at one request.
 const MAX_ATTEMPTS: usize = 4;
-/// The tries of a turn after its first.
+/// How often a failed turn is requested again.
 const TURN_RETRIES: usize = 2;
-/// How long an unused connection is used again: four fifths of what the operators allow.
+/// How long an idle connection is reused: four fifths of the idle time that the operators configure.
 const REUSE_WINDOW: Duration = Duration::from_secs(12);
-/// Below this nobody tries again.
+/// A client does not retry with less time left than this.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(100);
-/// How long clients wait for most requests: a little less than their routes let them take.
+/// How long clients wait for most requests: a little less than the time-out of their routes.
 const DEADLINE: Duration = Duration::from_millis(2_900);
-/// How long they wait for long turns.
+/// How long clients wait for long turns.
 const LONG_DEADLINE: Duration = Duration::from_millis(6_500);
-/// What takes longer than most routes allow, and how long its client waits.
+/// The work of an overlong request: more than most routes allow.
 const OVERLONG: Duration = Duration::from_millis(store::DEFAULT_TIMEOUT_MS + 800);
+/// How long clients wait for an overlong request.
 const OVERLONG_DEADLINE: Duration = Duration::from_millis(store::DEFAULT_TIMEOUT_MS + 1_500);
-/// A budget that no program spends.
+/// A token budget that no program uses up.
 const AMPLE_BUDGET: u64 = 20_000;
 
 /// A client.
@@ -47,17 +49,17 @@
 pub struct Client {
     context: Arc<Context>,
     centre: usize,
-    /// What the balancer makes of the client.
+    /// The hash by which the balancer chooses among VMs.
     hash: usize,
     random: ChaCha8Rng,
     idle: Option<Connection>,
     sent: u64,
 }
 
-/// What became of a request.
+/// How a request ended, after all its attempts.
 enum Completion {
     Served(String),
-    /// The turn's budget is spent.
+    /// The program's token budget is spent.
     Spent,
     Failed,
 }
@@ -69,7 +71,7 @@
 }
 
 impl Client {
-    /// Makes a client without a connection.
+    /// Creates a client without a connection.
     #[must_use]
     pub fn new(context: Arc<Context>, index: usize, seed: u64) -> Self {
         Self {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Sends requests until `until`.
+    /// Sends requests until `end`.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
             if self.random.random_bool(0.25) {
@@ -106,7 +108,7 @@
         format!("input {} {} {filler}\n", self.hash, self.sent).into()
     }
 
-    /// Draws how a body is sent, while some are sent slowly.
+    /// Chooses at random how a body is sent; slowly only during a fault of slow bodies.
     fn random_pace(&mut self) -> Pace {
         if !self.context.has_slow_bodies() || !self.random.random_bool(0.4) {
             return Pace::AtOnce;
@@ -155,21 +157,21 @@
             _ => Kind::Talk,
         };
         let mut spec = self.random_spec(kind, None);
-        // A few take longer than their route allows.
+        // A few requests take longer than their route allows.
         if self.random.random_bool(0.02) {
             spec.pause = OVERLONG / 8;
             spec.events = 8;
             spec.deadline = OVERLONG_DEADLINE;
             return spec;
         }
-        // A few leave early, mostly in the middle of the answer.
+        // A few clients leave early, mostly in the middle of the answer.
         if kind != Kind::Order && self.random.random_bool(0.03) {
             spec.leave_after = Some(Duration::from_millis(self.random.random_range(20..300)));
         }
         spec
     }
 
-    /// Runs a program: turns, each from an earlier one, with calls in between.
+    /// Runs a program: several turns, each of which continues an earlier one, with calls in between.
     async fn program(&mut self, end: Instant) {
         let budget = if self.random.random_bool(0.15) {
             self.random.random_range(60..250)
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Asks for a turn; one that fails is sent again from its start.
+    /// Requests a turn, and requests it again from its start if it fails.
     async fn turn(&mut self, spec: &Spec) -> Completion {
         for _ in 0..TURN_RETRIES {
             match self.request(spec).await {
@@ -266,11 +268,11 @@
         Completion::Failed
     }
 
-    /// Yields the kept connection for a first attempt, and a new one to another VM for others.
+    /// Returns the idle connection for a first attempt, and a new one to another VM for later attempts.
     async fn connection(&mut self, attempt: usize) -> Option<Connection> {
         let idle = self.idle.take();
         let usable = |idle: &Connection| idle.is_open() && idle.used.elapsed() < REUSE_WINDOW;
-        // Some clients open a new connection for a request now and then.
+        // A client now and then opens a new connection although it has an idle one.
         if attempt == 0 && !self.random.random_bool(0.15) && idle.as_ref().is_some_and(usable) {
             return idle;
         }
@@ -305,7 +307,7 @@
     }
 }
 
-/// Comes back when told to, as long as that is within a third of the time left.
+/// Retries after the time in `retry-after`, unless it exceeds a third of the time left.
 fn decide_refused(answer: &Answer, left: Duration) -> Decision {
     let span = answer.info.retry_after.unwrap_or_default();
     if span > left / 3 {
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: one request at a time, kept open as long as the VM keeps it.
+//! A client's connection. It carries one request at a time and stays open until the VM closes it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,21 +22,21 @@
 
 use crate::body::Body;
 
-/// How long a connection may take to be made.
+/// The time-out of connecting.
 const CONNECT: Duration = Duration::from_secs(1);
 
-/// No connection could be made.
+/// The connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("no connection to {_0}")]
 pub struct Fault(#[error(not(source))] SocketAddr);
 
-/// The outcome of making a connection.
+/// The outcome of opening a connection.
 pub type Result<T> = std::result::Result<T, Fault>;
 
 /// An open connection; closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
-    /// The VM at its other end, by its place in the fleet.
+    /// The index of the VM at its other end.
     pub vm: usize,
     /// When it was last used.
     pub used: Instant,
@@ -44,29 +44,29 @@
     task: JoinHandle<()>,
 }
 
-/// What a client has of an answer.
+/// The part of an answer that a client has received.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Its status.
     pub status: u16,
     /// What its headers say.
     pub info: Info,
-    /// Its body, as far as it came.
+    /// The part of its body that was received.
     pub body: String,
 }
 
 /// How an attempt ended, as its client sees it.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// With a complete answer.
     Whole(Answer),
-    /// The connection closed within the answer.
+    /// The connection closed during the answer.
     Cut(Answer),
     /// The connection closed before the answer.
     Closed,
     /// No byte of the request was sent.
     NotSent,
-    /// The client's time was over; the answer may have begun.
+    /// The client left because its time was over; the answer may have begun.
     GaveUp(Option<Answer>),
 }
 
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where nobody accepts in time.
+    /// Fails if nothing accepts the connection in time.
     pub async fn open(vm: usize, address: SocketAddr) -> Result<Self> {
         let connected = timeout(CONNECT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connected else {
@@ -90,7 +90,7 @@
         let handshaken = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshaken.map_err(|_| Fault(address))?;
         let task = tokio::spawn(async move {
-            // What went wrong shows in the request that was under way.
+            // A failure shows in the outcome of the request in flight.
             let _ended = connection.await;
         });
         Ok(Self {
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Tells whether another request can be sent.
+    /// Returns whether another request can be sent.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
--- a/crates/soak/src/context.rs
+++ b/crates/soak/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a run share.
+//! The state that the parts of a run share.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,20 +9,20 @@
 use crate::balancer::Balancer;
 use crate::oracle::Oracle;
 
-/// What the parts of a run share.
+/// The state that the parts of a run share.
 #[derive(Debug)]
 pub struct Context {
-    /// Which VM gets a new connection.
+    /// Chooses the VM for each new connection.
     pub balancer: Balancer,
-    /// Data centres.
+    /// The number of data centres.
     pub centres: usize,
     oracle: Mutex<Oracle>,
-    /// How many faults have clients send bodies slowly.
+    /// How many active faults have clients send bodies slowly.
     slow_bodies: AtomicUsize,
 }
 
 impl Context {
-    /// Joins the parts.
+    /// Creates the shared state.
     #[must_use]
     pub fn new(balancer: Balancer, centres: usize, oracle: Oracle) -> Self {
         Self {
@@ -33,22 +33,22 @@
         }
     }
 
-    /// Yields the judge.
+    /// Locks the oracle.
     pub fn oracle(&self) -> MutexGuard<'_, Oracle> {
         self.oracle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has some clients send bodies slowly, until [`Self::end_slow_bodies`].
+    /// Has some clients send bodies slowly until [`Self::end_slow_bodies`].
     pub fn begin_slow_bodies(&self) {
         self.slow_bodies.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Ends what [`Self::begin_slow_bodies`] began.
+    /// Ends one [`Self::begin_slow_bodies`].
     pub fn end_slow_bodies(&self) {
         self.slow_bodies.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// Tells whether some clients send bodies slowly.
+    /// Returns whether some clients send bodies slowly.
     #[must_use]
     pub fn has_slow_bodies(&self) -> bool {
         self.slow_bodies.load(Ordering::SeqCst) > 0
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! What a run does to the system from outside.
+//! The faults and the planned work that a run applies to the system.
 
 use clap::ValueEnum;
 use clap::builder::PossibleValue;
@@ -9,50 +9,51 @@
 
 use crate::proxy::Direction;
 
-/// A kind of fault, as `--faults` names it.
+/// A kind of fault, as the flag `--faults` names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// VMs that take callers stop and start, one after the other.
+    /// VMs that take callers stop and restart, one after the other.
     Stops,
     /// All VMs that take callers of a data centre stop at about the same time.
     Overlap,
-    /// VMs with a disk stop and start, one after the other.
+    /// VMs with a disk stop and restart, one after the other.
     DiskStops,
-    /// VMs are told that their settings have changed.
+    /// VMs reload their settings.
     Reload,
-    /// A configuration adds a route and drops one.
+    /// A new configuration adds a route and drops one.
     Configure,
     /// A VM is killed.
     Kill,
-    /// A VM is frozen for a while.
+    /// A VM is paused for a while.
     Pause,
-    /// A VM with a disk is killed and comes back with an empty one.
+    /// A VM with a disk is killed and comes back with an empty disk.
     Wipe,
-    /// The platform's store refuses all calls for a while.
+    /// The platform's key-value store refuses all calls for a while.
     StoreAway,
-    /// A VM's link to the store is slow, cut, silent or reset.
+    /// A VM's link to the store is slowed, cut, silenced or reset.
     StoreLink,
-    /// A runner says that it leaves, or its entry goes, and it ends later.
+    /// A runner announces that it leaves, or its entry is removed, and it stops later.
     RunnerLeaves,
-    /// A runner breaks answers off, loses them, refuses, or answers for another request.
+    /// A runner cuts answers off, loses them, refuses requests, or sends the answer of another request.
     RunnerFails,
-    /// A runner is gone at once, and comes back.
+    /// A runner goes down without notice and comes back.
     RunnerDown,
-    /// A runner's link is slow, cut, silent or reset.
+    /// The link to a runner is slowed, cut, silenced or reset.
     RunnerLink,
-    /// A runner answers slowly, or stops in the middle of its answers.
+    /// A runner answers slowly, or stalls in the middle of its answers.
     RunnerSlow,
-    /// What one VM sends another is slow, cut, silent or reset, or all that a VM exchanges with others.
+    /// The link from one VM to another, or all links between one VM and the others, are slowed, cut,
+    /// silenced or reset.
     VmLink,
-    /// The links between clients and a VM are slow, cut, silent or reset.
+    /// The links between clients and a VM are slowed, cut, silenced or reset.
     ClientLink,
-    /// Clients send bodies slowly, or stop half-way.
+    /// Clients send request bodies slowly, or stop half-way.
     SlowBodies,
 }
 
 impl Kind {
-    /// Tells whether it is part of the system's usual work, around which nothing may be lost.
+    /// Returns whether it is part of normal operation, during which no request may be lost.
     #[must_use]
     pub const fn is_planned(self) -> bool {
         matches!(
@@ -117,40 +118,41 @@
     }
 }
 
-/// A link that can be disturbed.
+/// The links that a fault impairs. VMs and runners are given by their indexes in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
-    /// Between a VM and the platform's store.
+    /// The link between a VM and the platform's store.
     Store(usize),
-    /// Between all VMs and a runner.
+    /// The links between all VMs and a runner.
     Runner(usize),
-    /// From the VM that connects to another one.
+    /// The link from the first VM, which opens the connections, to the second one.
     Vms(usize, usize),
-    /// Between a VM and all others.
+    /// All links between a VM and the other VMs.
     Around(usize),
-    /// Between clients and a VM.
+    /// The links between clients and a VM.
     Client(usize),
 }
 
-/// How a link is disturbed.
+/// How a link is impaired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Impairment {
-    /// Bytes take longer.
+    /// Each chunk of bytes is delayed by this time.
     Slow(Millis),
-    /// Nothing passes.
+    /// No bytes pass.
     Cut,
-    /// Nothing passes in one direction.
+    /// No bytes pass in one direction.
     CutOneWay(Direction),
     /// Open connections are reset.
     Reset,
-    /// Open connections pass nothing any more.
+    /// Open connections stop passing bytes for good; new ones work.
     Silence,
 }
 
 impl Impairment {
-    /// Yields the harm that does the same to a link whose connections are opened from its other end.
+    /// Returns the impairment with the same effect on a link whose connections are opened from the
+    /// other end.
     #[must_use]
     pub const fn from_other_end(self) -> Self {
         match self {
@@ -161,26 +163,26 @@
     }
 }
 
-/// How a runner fails at its next requests.
+/// How a runner fails its next requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// Its answers break off.
+    /// Its answers are cut off.
     BreaksOff,
-    /// They run, and no answer comes.
+    /// The requests are executed, and no answer is sent.
     AnswerLost,
-    /// They are refused without being run.
+    /// The requests are refused without being executed.
     Full,
-    /// They get an answer that belongs to another request.
+    /// The requests get the answer of another request.
     Crossed,
-    /// Their answers pause for long after each event.
+    /// The answers pause for long after each event.
     Slow,
-    /// Their answers stop in the middle, and the connection stays open.
+    /// The answers stop in the middle, and the connection stays open.
     Stalls,
 }
 
 impl Failure {
-    /// Yields how the stand-in answers.
+    /// Returns the mode of the stand-in that fails in this way.
     #[must_use]
     pub const fn mode(self) -> runner::Mode {
         match self {
@@ -194,40 +196,40 @@
     }
 }
 
-/// One thing that is done. VMs and runners are named by their places in the fleet.
+/// One fault or step of planned work. VMs and runners are given by their indexes in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// A VM gets SIGTERM, and SIGKILL after its grace; it starts again.
+    /// A VM receives SIGTERM, and SIGKILL after its grace period; it is restarted.
     Stop(usize),
-    /// A VM gets SIGHUP.
+    /// A VM receives SIGHUP.
     Reload(usize),
-    /// A configuration with a further route, and without an earlier one.
+    /// A new configuration adds a route and drops an earlier one.
     Configure,
-    /// A VM gets SIGKILL; it starts again.
+    /// A VM receives SIGKILL; it is restarted.
     Kill(usize),
-    /// A VM gets SIGSTOP, and SIGCONT after so long.
+    /// A VM receives SIGSTOP, and SIGCONT after this time.
     Pause(usize, Millis),
-    /// A VM gets SIGKILL and starts again with an empty disk.
+    /// A VM receives SIGKILL and is restarted with an empty disk.
     Wipe(usize),
-    /// The store refuses calls for so long.
+    /// The store refuses calls for this time.
     StoreAway(Millis),
-    /// A runner says that it leaves; it ends, and later starts again.
+    /// A runner announces that it leaves, stops, and later starts again.
     RunnerLeaves(usize),
-    /// A runner's entry goes without a word before; it ends, and later starts again.
+    /// A runner's entry is removed without an announcement; the runner stops, and later starts again.
     RunnerUnlisted(usize),
-    /// A runner fails at so many requests.
+    /// A runner fails this many requests.
     RunnerFails(usize, Failure, usize),
-    /// A runner is gone for so long.
+    /// A runner is down for this time.
     RunnerDown(usize, Millis),
-    /// A link is harmed for so long.
+    /// Links are impaired for this time.
     Link(Target, Impairment, Millis),
-    /// Some clients send their bodies slowly or stop half-way for so long.
+    /// For this time some clients send their bodies slowly or stop half-way.
     SlowBodies(Millis),
 }
 
 impl Fault {
-    /// Yields how long it lasts, where it says so.
+    /// Returns how long the fault lasts, if it has a duration of its own.
     #[must_use]
     pub const fn span(self) -> Option<Millis> {
         match self {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Yields the row of the report's timeline that it stands in.
+    /// Returns the name of its row in the report's timeline.
     #[must_use]
     pub const fn row(self) -> &'static str {
         match self {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The deployment of a run: the product's processes, the stand-ins that they work with, and the
-//! links between, and what the faults do to them.
+//! The deployment of a run: the product's processes, the stand-ins for the platform, the links
+//! between them, and how each fault is applied to them.
 
 use std::fs;
 use std::io;
@@ -47,22 +47,23 @@
 use crate::vm::Config;
 use crate::vm::Vm;
 
-/// How many VMs with a disk there are, in as many data centres.
+/// The number of VMs with a disk, and of data centres: each has one.
 pub const DISK_VMS: usize = 3;
-/// How long the start of all processes may take.
+/// How long all processes together may take to start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a runner that leaves goes on: longer than the longest request.
+/// How long a leaving runner keeps running: longer than the longest request.
 const RUNNER_EXIT_DELAY: Duration = Duration::from_secs(8);
-/// How long it is gone until it starts again.
+/// How long a runner that has left stays down before it starts again.
 const RUNNER_DOWNTIME: Duration = Duration::from_secs(2);
-/// After a crash, when a runner's entry lapses: three heartbeats.
+/// How long after a crash a runner's entry lapses: three heartbeats.
 const ENTRY_LAPSE: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
-/// How long after SIGTERM a VM may still say that it is ready.
+/// How long after SIGTERM a VM may still report ready.
 const UNREADY_DEADLINE: Duration = Duration::from_secs(4);
-/// How many of the routes that configurations add are in force at a time.
+/// How many of the routes that configurations add are present at a time.
 const ADDED_ROUTES: u64 = 2;
-/// The ports of the store and the runners.
+/// The port of the store.
 const STORE_PORT: u16 = 8142;
+/// The port of the runners.
 const RUNNER_PORT: u16 = 8080;
 
 /// A runner and the link to it.
@@ -74,35 +75,35 @@
     link: Link,
 }
 
-/// A deployment.
+/// The deployment of a run.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What its parts share.
+    /// What the parts of the run share.
     pub context: Arc<Context>,
-    /// VMs that take callers, and behind them those with a disk.
+    /// The VMs that take callers, followed by those with a disk.
     pub vms: Vec<Arc<Vm>>,
     store: Store,
-    /// By VM.
+    /// The link of each VM to the store.
     store_links: Vec<Link>,
-    /// What VMs send each other, by target; only where a run disturbs it.
+    /// The links between VMs, by target; empty unless the run impairs them.
     vm_links: Vec<Group>,
-    /// What clients send, by VM; only where a run disturbs it.
+    /// The links from clients, by VM; empty unless the run impairs them.
     client_links: Vec<Link>,
     runners: Vec<Backend>,
-    /// The configuration's version.
+    /// The version of the latest configuration.
     version: Mutex<u64>,
 }
 
-/// Addresses of one run: the process's id and the run's number in it choose the net, so that runs
-/// beside each other don't meet. A part of the net is one number in the address's third place, or as
-/// many as it needs.
+/// The loopback network of one run. It is derived from the process id and the run's number within the
+/// process, so that concurrent runs don't share addresses. Each [`Block`] of addresses takes one value
+/// of the third octet, or as many as it needs.
 #[derive(Clone, Copy, Debug)]
 struct Net {
     second: u8,
     third: u8,
 }
 
-/// A part of a run's net, by the first of its numbers.
+/// A block of addresses in the network of a run; the value is the offset of its first third octet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Block {
     Vms = 0,
@@ -114,11 +115,11 @@
     Store = 10,
 }
 
-/// How many addresses each number of a part has.
+/// How many addresses a block has for each value of the third octet.
 const ADDRESSES_PER_NUMBER: usize = 200;
 
 impl Net {
-    /// Yields the net of the next run.
+    /// Returns the network of the next run.
     fn next() -> Self {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
@@ -151,7 +152,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where the run's folder can't be made; one that is there holds another run's disks.
+    /// Fails if the run's folder can't be created, or if it exists already, because it then holds the
+    /// disks of another run.
     pub async fn new(plan: &Plan) -> io::Result<Self> {
         if let Some(parent) = plan.folder.parent() {
             fs::create_dir_all(parent)?;
@@ -196,11 +198,11 @@
         })
     }
 
-    /// Waits until all VMs serve.
+    /// Waits until all VMs are ready to serve.
     ///
     /// # Errors
     ///
-    /// Fails where they don't in time.
+    /// Fails if they are not ready in time.
     pub async fn wait_until_ready(&self) -> io::Result<()> {
         for backend in &self.runners {
             self.write_entry(backend, "ready");
@@ -212,7 +214,7 @@
             let rows = self.context.balancer.rows();
             let is_ready = rows.iter().all(|row| row.misses == 0);
             if is_ready && self.store.members() == DISK_VMS {
-                // The last member has still to learn what the others hold.
+                // The last member still has to copy what the others hold.
                 sleep(Duration::from_secs(1)).await;
                 return Ok(());
             }
@@ -223,11 +225,11 @@
         }
     }
 
-    /// Does what a fault says, to its end.
+    /// Applies a fault and returns once it is over.
     ///
     /// # Errors
     ///
-    /// Fails where a signal can't be sent.
+    /// Fails if a signal can't be sent.
     pub async fn apply(&self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Stop(vm) => self.stop(&self.vms[vm]).await?,
@@ -268,7 +270,7 @@
         Ok(())
     }
 
-    /// Yields the links of a pair, each with its harm.
+    /// Returns the links of a target, each with its impairment.
     fn links(&self, target: Target, impairment: Impairment) -> Vec<(&Link, Impairment)> {
         match target {
             Target::Store(vm) => vec![(&self.store_links[vm], impairment)],
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Notes a disruption for a while.
+    /// Records a disruption that lasts for `span`.
     async fn disrupt_for(&self, span: Millis) {
         let disruption = {
             let mut oracle = self.context.oracle();
@@ -321,8 +323,8 @@
             .put_runner(&backend.id, backend.service, backend.link.address, state);
     }
 
-    /// Writes a configuration with a route that the one before lacks, and without one that it has;
-    /// yields its version.
+    /// Writes a configuration that adds one route and drops the oldest one added before. Returns its
+    /// version.
     fn configure(&self) -> u64 {
         let mut version = self.version();
         *version += 1;
@@ -346,14 +348,14 @@
         self.version.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a configuration, and asks each sound VM for the routes that it adds and drops once it
-    /// has to be in force.
+    /// Writes a configuration. Once it has to be in force, requests the added and the dropped route from
+    /// each undisturbed VM that takes callers.
     async fn configure_and_check(&self) {
         let version = self.configure();
         sleep(Duration::from_millis(settings::APPLY_MS)).await;
         let callers = self.vms.iter().filter(|vm| vm.config.disk.is_none());
         for vm in callers.filter(|vm| vm.is_undisturbed()) {
-            // A later one may have dropped the route again.
+            // A later configuration may have dropped the route again.
             if *self.version() == version {
                 self.probe(vm, Kind::Added(version)).await;
             }
@@ -363,7 +365,7 @@
         }
     }
 
-    /// Asks a VM once, whatever the balancer says.
+    /// Sends one request to a VM, regardless of the balancer.
     async fn probe(&self, vm: &Vm, kind: Kind) {
         let spec = Spec {
             kind,
@@ -396,7 +398,7 @@
         self.context.oracle().finish(&id, &outcome);
     }
 
-    /// Has a runner leave and come back; `tell` writes or removes its entry.
+    /// Has a runner leave and come back; `update_entry` marks its entry as draining or removes it.
     async fn drain(&self, backend: &Backend, update_entry: fn(&Self, &Backend)) {
         {
             let mut oracle = self.context.oracle();
@@ -423,7 +425,7 @@
         self.write_entry(backend, "ready");
     }
 
-    /// Has a runner go at once; its entry lapses if it is away for long.
+    /// Takes a runner down without notice; its entry lapses if it is down for long.
     async fn take_down(&self, backend: &Backend, span: Millis) {
         backend.link.set_mode(Mode::Down);
         let lapse = async {
@@ -455,7 +457,7 @@
     }
 }
 
-/// Starts proxies between VMs, where the run disturbs what they send each other.
+/// Starts the proxies between VMs if the run impairs their links.
 fn vm_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Group> {
     if !plan.kinds.contains(&FaultKind::VmLink) {
         return Vec::new();
@@ -473,7 +475,7 @@
     vms.iter().enumerate().map(group).collect()
 }
 
-/// Starts proxies between clients and VMs, where the run disturbs what they send.
+/// Starts the proxies between clients and VMs if the run impairs their links.
 fn client_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Link> {
     if !plan.kinds.contains(&FaultKind::ClientLink) {
         return Vec::new();
@@ -485,7 +487,7 @@
     vms[..plan.vms].iter().enumerate().map(link).collect()
 }
 
-/// Prepares a VM's folder and settings file.
+/// Writes a VM's settings file and returns how to run it.
 fn prepare_vm(plan: &Plan, net: Net, index: usize) -> io::Result<Config> {
     let ip = net.ip(Block::Vms, index);
     let centre = ["a", "b", "c"][index % DISK_VMS];
@@ -521,15 +523,15 @@
     })
 }
 
-/// Starts a runner: two of three serve models.
-async fn start_backend(net: Net, index: usize, log: runner::Log) -> Backend {
-    let id = format!("i-{index:02}");
-    let address = net.link(Block::Runners, index, RUNNER_PORT);
+/// Starts a runner and the link to it; two of three runners serve `models`, the third `ops`.
+async fn start_backend(net: Net, at: usize, log: runner::Log) -> Backend {
+    let id = format!("i-{at:02}");
+    let address = net.link(Block::Runners, at, RUNNER_PORT);
     let runner = Runner::start_logging(&id, address, log).await;
     Backend {
         id,
-        service: if index % 3 == 2 { "ops" } else { "models" },
+        service: if at % 3 == 2 { "ops" } else { "models" },
         runner,
-        link: Link::start(net.link(Block::RunnerLinks, index, RUNNER_PORT), address),
+        link: Link::start(net.link(Block::RunnerLinks, at, RUNNER_PORT), address),
     }
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,26 +1,29 @@
-//! What was done to the system, and which promises hold beside it.
+//! Records faults and planned work, and answers which guarantees hold at a given time.
 
 use fakes::settings;
 use serde::Serialize;
 use wire::clock::Millis;
 
-/// How long after a disruption promises about planned work rest.
+/// How long after a disruption the guarantees about planned work don't apply yet.
 const RECOVERY: Millis = Millis::new(3_000);
-/// Between SIGTERM and SIGKILL.
+/// The time between SIGTERM and SIGKILL.
 pub const GRACE: Millis = Millis::new(settings::GRACE_S * 1_000);
-/// How long after the grace the promise about a stop holds.
+/// How long after the grace period the guarantee about a stop still applies.
 const AFTER_GRACE: Millis = Millis::new(1_000);
-/// Until so long after SIGTERM a runner may still be at work on what was sent [`SENT_WITHIN`] after it.
+/// The start of the last sixth of the grace period, measured from SIGTERM. If a request was sent
+/// within [`SENT_WITHIN`] after SIGTERM and its runner works on it beyond this point, the end of the
+/// process may cut it off.
 const STILL_RUNNING_AFTER: Millis = Millis::new(settings::GRACE_S * 1_000 * 5 / 6);
 /// See [`STILL_RUNNING_AFTER`].
 const SENT_WITHIN: Millis = Millis::new(3_000);
-/// Until so long after SIGHUP requests count as sent beside it.
+/// Requests that are sent within this time after SIGHUP count as sent during the reload.
 const APPLY_TIME: Millis = Millis::new(settings::APPLY_MS);
 
-/// How long a VM with a disk that is back still counts as lost: until then it may have to learn.
+/// How long a VM with a disk still counts as lost after its process is back, because it may have to
+/// catch up first.
 const CATCH_UP: Millis = Millis::new(4_900);
 
-/// A disruption that wasn't planned.
+/// An unplanned disruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct Disruption {
     from: Millis,
@@ -28,49 +31,49 @@
     to: Option<Millis>,
 }
 
-/// Names a disruption that was noted.
+/// Identifies a recorded disruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DisruptionId(usize);
 
-/// What was done to the system.
+/// The faults and the planned work of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     disruptions: Vec<Disruption>,
-    /// VMs that got SIGTERM, and when.
+    /// VMs that received SIGTERM, and when.
     stops: Vec<(usize, Millis)>,
-    /// VMs that got SIGHUP, and when.
+    /// VMs that received SIGHUP, and when.
     reloads: Vec<(usize, Millis)>,
-    /// VMs with a disk that are lost, since when, and until when.
+    /// VMs with a disk that were lost: since when, and until when they count as lost.
     lost_disks: Vec<(usize, Millis, Option<Millis>)>,
-    /// Runners that leave: since when, and until when they are gone or back.
+    /// Runners that leave: since when, and when they came back.
     leaving: Vec<(String, Millis, Option<Millis>)>,
-    /// Since when nothing is done any more.
+    /// When the quiet phase began, in which no faults are injected any more.
     quiet: Option<Millis>,
 }
 
 impl History {
-    /// Notes that a disruption begins.
+    /// Records that a disruption begins.
     pub fn begin_disruption(&mut self, from: Millis) -> DisruptionId {
         self.disruptions.push(Disruption { from, to: None });
         DisruptionId(self.disruptions.len() - 1)
     }
 
-    /// Notes that it ends.
+    /// Records that a disruption ends.
     pub fn end_disruption(&mut self, disruption: DisruptionId, to: Millis) {
         self.disruptions[disruption.0].to = Some(to);
     }
 
-    /// Notes that a VM gets SIGTERM.
+    /// Records that a VM receives SIGTERM.
     pub fn note_stop(&mut self, vm: usize, at: Millis) {
         self.stops.push((vm, at));
     }
 
-    /// Notes that a VM with a disk is gone.
+    /// Records that a VM with a disk is lost.
     pub fn note_disk_lost(&mut self, vm: usize, at: Millis) {
         self.lost_disks.push((vm, at, None));
     }
 
-    /// Notes that its process is back.
+    /// Records that the process of a VM is back; if the VM has a disk, it counts as lost a little longer.
     pub fn note_disk_back(&mut self, vm: usize, at: Millis) {
         for (_, _, to) in self
             .lost_disks
@@ -81,17 +84,17 @@
         }
     }
 
-    /// Notes that a VM gets SIGHUP.
+    /// Records that a VM receives SIGHUP.
     pub fn note_reload(&mut self, vm: usize, at: Millis) {
         self.reloads.push((vm, at));
     }
 
-    /// Notes that a runner leaves.
+    /// Records that a runner begins to leave.
     pub fn note_leaving(&mut self, runner: &str, at: Millis) {
         self.leaving.push((runner.to_owned(), at, None));
     }
 
-    /// Notes that a runner is back.
+    /// Records that a runner is back.
     pub fn note_runner_back(&mut self, runner: &str, at: Millis) {
         let rows = self.leaving.iter_mut();
         for (_, _, back) in rows.filter(|(name, ..)| name == runner) {
@@ -99,18 +102,18 @@
         }
     }
 
-    /// Notes that nothing is done any more.
+    /// Records when the quiet phase begins.
     pub fn note_quiet(&mut self, at: Millis) {
         self.quiet = Some(at);
     }
 
-    /// Yields since when nothing is done any more.
+    /// Returns when the quiet phase began; the largest time if it has not.
     #[must_use]
     pub fn quiet_from(&self) -> Millis {
         self.quiet.unwrap_or(Millis::new(u64::MAX))
     }
 
-    /// Tells whether something unplanned happened in this time or shortly before it.
+    /// Returns whether something unplanned happened in this span of time or within [`RECOVERY`] before it.
     #[must_use]
     pub fn is_disturbed(&self, from: Millis, to: Millis) -> bool {
         let from = from.since(RECOVERY);
@@ -119,8 +122,8 @@
             || self.is_beyond_tolerance(from, to)
     }
 
-    /// Tells whether two VMs with a disk were lost at the same time, be it by planned work: one loss
-    /// of three is what the settings ask the system to bear.
+    /// Returns whether two VMs with a disk were lost at the same time, even if by planned work. The
+    /// settings ask the system to tolerate the loss of one of three.
     fn is_beyond_tolerance(&self, from: Millis, to: Millis) -> bool {
         let near = |(_, since, end): &&(usize, Millis, Option<Millis>)| {
             *since <= to && end.is_none_or(|end| end >= from)
@@ -134,7 +137,8 @@
         })
     }
 
-    /// Yields when the planned work began that a request to this VM is to outlast.
+    /// Returns when the planned work (a stop or a reload) of this VM began during which the request has to
+    /// be answered, `None` if there was none.
     #[must_use]
     pub fn planned_work(&self, vm: usize, sent: Millis, ended: Millis) -> Option<Millis> {
         let end = GRACE.plus(AFTER_GRACE);
@@ -148,8 +152,8 @@
         stop.or(reload).map(|(_, at)| *at)
     }
 
-    /// Tells whether a run was still at work in the last sixth of a stop's grace, on what was sent
-    /// soon after its SIGTERM.
+    /// Returns whether the end of the grace period may have cut off an execution: the request was sent
+    /// soon after SIGTERM, and the execution went on into the last sixth of the grace period.
     #[must_use]
     pub fn is_cut_by_grace(&self, vm: usize, sent: Millis, ended: Millis) -> bool {
         let mut stops = self.stops.iter().filter(|(stopped, _)| *stopped == vm);
@@ -160,7 +164,7 @@
         })
     }
 
-    /// Yields since when a runner leaves, if it does at this time.
+    /// Returns since when a runner has been leaving, if it is leaving at this time.
     #[must_use]
     pub fn leaving_since(&self, runner: &str, at: Millis) -> Option<Millis> {
         let leaves = |(name, from, back): &&(String, Millis, Option<Millis>)| {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -131,12 +131,12 @@
         return play_one(matches, &plan(matches, seed)?);
     };
     let mut code = ExitCode::SUCCESS;
-    for (index, run) in regression::parse(&fs::read_to_string(file)?)?
+    for (at, run) in regression::parse(&fs::read_to_string(file)?)?
         .iter()
         .enumerate()
     {
         let Plan { binary, folder, .. } = plan(matches, run.seed)?;
-        let folder = folder.join(format!("run-{index}"));
+        let folder = folder.join(format!("run-{at}"));
         let plan = run.plan(binary, folder, Millis::new(u64::MAX));
         if play_one(matches, &plan)? != ExitCode::SUCCESS {
             code = ExitCode::FAILURE;
--- a/crates/soak/src/opener.rs
+++ b/crates/soak/src/opener.rs
@@ -73,11 +73,11 @@
 /// Looks which sockets these processes hold; one that has ended holds none.
 fn scan(pids: &[Option<u32>]) -> HashMap<String, usize> {
     let mut found = HashMap::new();
-    for (index, pid) in pids.iter().enumerate() {
-        let Some(pid) = pid else {
+    for (index, id) in pids.iter().enumerate() {
+        let Some(id) = id else {
             continue;
         };
-        let Ok(files) = fs::read_dir(format!("/proc/{pid}/fd")) else {
+        let Ok(files) = fs::read_dir(format!("/proc/{id}/fd")) else {
             continue;
         };
         let targets = files.flatten().map(|file| fs::read_link(file.path()));
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged from what clients sent and got and what runners ran.
+//! Checks the guarantees of a run against what clients sent and received and what runners executed.
 
 use bytes::Bytes;
 use fakes::runner;
@@ -12,90 +12,90 @@
 use crate::history::History;
 use crate::request::Spec;
 
-/// An attempt of a client.
+/// One request that a client sent.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// The VM that it was sent to.
+    /// The index of the VM that it was sent to.
     pub vm: usize,
-    /// What its client wants.
+    /// What the client asks for.
     pub spec: Spec,
     /// When it was sent.
     pub sent: Millis,
-    /// When its time is over.
+    /// When its deadline or its route's time-out ends it, whichever is earlier.
     pub deadline: Millis,
-    /// Its runs, by their places in the runners' log.
+    /// Its executions by runners, as indexes into the runners' log.
     executions: Vec<usize>,
-    /// The status that promises that it has not run and never will.
+    /// The status of its refusal, which guarantees that it has not run and never will.
     refusal_status: Option<u16>,
-    /// Of a turn that was answered whole: its chain's text, itself included.
+    /// For a turn with a complete answer: the text of its chain up to and including this turn.
     chain_text: Option<Bytes>,
 }
 
 impl Attempt {
-    /// Yields when its last byte was sent; `None` where that never was.
+    /// Returns when the last byte of the body was sent, `None` if it never was.
     fn body_sent_at(&self) -> Option<Millis> {
         let span = self.spec.pace.span()?;
         Some(self.sent.plus(Millis::from(span)))
     }
 }
 
-/// A program's tokens.
+/// The token accounting of one program.
 #[derive(Clone, Copy, Debug, Default)]
 struct Program {
     budget: u64,
-    /// The most that one of its turns generates.
+    /// The most tokens that any of its turns may generate.
     max_turn_tokens: u64,
-    /// What its clients got.
+    /// Tokens that its clients received.
     received: u64,
 }
 
-/// Counts of how attempts ended.
+/// How many attempts ended in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// With a success.
+    /// With a 2xx status.
     pub served: u64,
-    /// With a promise not to run.
+    /// With a refusal that guarantees that the request has not run and never will.
     pub refused: u64,
-    /// With a turn's budget spent.
+    /// With the program's token budget spent.
     pub spent: u64,
-    /// With another failure.
+    /// With any other status.
     pub failed: u64,
-    /// With a connection that closed before or within the answer.
+    /// With a connection that closed before or during the answer.
     pub cut: u64,
-    /// Without a byte sent.
+    /// Without any byte sent.
     pub unsent: u64,
-    /// With the client's time over.
+    /// With the client leaving before the answer was complete.
     pub given_up: u64,
 }
 
-/// The judge of a run.
+/// Checks a run while it goes on and at its end.
 #[derive(Debug)]
 pub struct Oracle {
-    /// The checks.
+    /// The results of the checks.
     pub results: Results,
-    /// What was done to the system.
+    /// The faults and the planned work of the run.
     pub history: History,
-    /// How attempts ended.
+    /// How many attempts ended in which way.
     pub counts: Counts,
     started: Instant,
     vms: Vec<String>,
     log: runner::Log,
-    /// The runs of the log that were judged.
+    /// How many executions at the head of the log have been checked.
     checked: usize,
-    /// By id, which grows with each attempt.
+    /// Sorted by id, which increases with each attempt.
     attempts: Vec<Attempt>,
     programs: Vec<Program>,
     undisturbed_closes: Vec<Case>,
-    /// Attempts whose clients left, and when.
+    /// Attempts whose clients left before the answer was complete, and when.
     departed: Vec<(usize, Millis)>,
-    /// Attempts that took longer than their routes allow, and when they ended.
+    /// Attempts whose work takes longer than their route allows, and when they ended.
     overlong: Vec<(usize, Millis)>,
 }
 
 impl Oracle {
-    /// Makes the judge of a run with these VMs, whose runners write this log.
+    /// Creates the oracle of a run with these VMs, whose runners write to `log`.
     #[must_use]
     pub fn new(started: Instant, vms: Vec<String>, log: runner::Log) -> Self {
         Self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Yields the time since the start of the run.
+    /// Returns the time since the start of the run.
     #[must_use]
     pub fn now(&self) -> Millis {
         Millis::from(self.started.elapsed())
@@ -124,7 +124,7 @@
         Millis::from(Instant::from_std(at).saturating_duration_since(self.started))
     }
 
-    /// Adds a program with a budget; yields its place.
+    /// Adds a program with a token budget and returns its index.
     pub fn add_program(&mut self, budget: u64) -> usize {
         self.programs.push(Program {
             budget,
@@ -133,7 +133,7 @@
         self.programs.len() - 1
     }
 
-    /// Notes an attempt that is sent now; yields its id.
+    /// Records an attempt that is sent now and returns its id.
     pub fn begin(&mut self, vm: usize, spec: &Spec, time_left: std::time::Duration) -> String {
         let id = format!("50a{:013x}", self.attempts.len());
         let sent = self.now();
@@ -154,7 +154,7 @@
         id
     }
 
-    /// Judges how an attempt ended.
+    /// Records and checks how an attempt ended.
     pub fn finish(&mut self, id: &str, outcome: &Outcome) {
         let ended = self.now();
         self.check_executions();
@@ -198,14 +198,14 @@
         }
     }
 
-    /// Notes how a process ended that was asked to stop.
+    /// Records how a process ended that was asked to stop.
     pub fn record_stop(&mut self, vm: usize, broken: Option<String>) {
         let name = self.vms[vm].clone();
         let broken = broken.map(|what| self.case("", &name, what));
         self.results.record(Check::Stops, broken);
     }
 
-    /// Notes a check of a process.
+    /// Records the result of a check of a process.
     pub fn record_vm(&mut self, check: Check, vm: usize, broken: Option<&str>) {
         let name = self.vms[vm].clone();
         let broken = broken.map(|what| self.case("", &name, what.to_owned()));
@@ -233,7 +233,7 @@
         self.attempts.binary_search_by(key).ok()
     }
 
-    /// Yields what a runner has to get of an attempt.
+    /// Returns the body that a runner must receive for an attempt.
     fn expected_body(&self, index: usize) -> Bytes {
         let spec = &self.attempts[index].spec;
         let previous = spec.turn.as_ref().and_then(|turn| turn.previous.as_ref());
@@ -246,7 +246,8 @@
         }
     }
 
-    /// Yields the cases of connections that closed without a fault near.
+    /// Returns the cases in which a connection closed without any disruption in or shortly before the
+    /// attempt.
     #[must_use]
     pub fn undisturbed_closes(&self) -> &[Case] {
         &self.undisturbed_closes
--- a/crates/soak/src/oracle/answer.rs
+++ b/crates/soak/src/oracle/answer.rs
@@ -1,4 +1,4 @@
-//! Judges what a client got.
+//! Checks what a client received.
 
 use fakes::settings;
 use wire::clock::Millis;
@@ -10,7 +10,7 @@
 
 use super::Oracle;
 
-/// How long a new configuration may take to be in force.
+/// How long a new configuration may take to be in force on all VMs.
 const APPLY_TIME: Millis = Millis::new(settings::APPLY_MS);
 
 impl Oracle {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Judges a request that tells which configuration is in force.
+    /// Checks a request whose status shows which configuration is in force.
     fn check_applied(&mut self, index: usize, broken: Option<&str>) {
         let sent = self.attempts[index].sent;
         let is_disturbed = self
--- a/crates/soak/src/oracle/end.rs
+++ b/crates/soak/src/oracle/end.rs
@@ -1,4 +1,4 @@
-//! Judges whether an attempt may end as it did.
+//! Checks whether an attempt was allowed to end as it did.
 
 use std::sync::PoisonError;
 
@@ -10,37 +10,37 @@
 use super::Attempt;
 use super::Oracle;
 
-/// A connection that closes sooner after its request may not have read it.
+/// If a connection closes within this time after the request was sent, the VM may not have read it.
 const MAX_UNREAD_TIME: Millis = Millis::new(200);
-/// How close to its time's end a request counts as ended by it.
+/// A request that ends this close to its deadline counts as ended by the deadline.
 const DEADLINE_TOLERANCE: Millis = Millis::new(50);
 
 impl Oracle {
-    /// Judges whether the end of an attempt is one that a VM may leave its caller with.
+    /// Checks whether a VM may end an attempt in this way; `broken` says what the client saw.
     pub(super) fn check_end(&mut self, index: usize, ended: Millis, broken: Option<&str>) {
         let attempt = &self.attempts[index];
         if self.history.is_disturbed(attempt.sent, ended) {
             return;
         }
-        let Some(whole) = attempt.body_sent_at() else {
+        let Some(body_sent) = attempt.body_sent_at() else {
             return;
         };
-        let planned = self.history.planned_work(attempt.vm, attempt.sent, ended);
+        let planned_since = self.history.planned_work(attempt.vm, attempt.sent, ended);
         let has_run = !attempt.executions.is_empty();
-        let was_read = has_run || ended.since(whole) > MAX_UNREAD_TIME;
+        let was_read = has_run || ended.since(body_sent) > MAX_UNREAD_TIME;
         let is_late = ended.plus(DEADLINE_TOLERANCE) >= attempt.deadline;
         let broken = broken.filter(|_| was_read && !is_late && !self.is_excused(attempt, ended));
         let describe = |what: &str| {
             let span = ended.since(attempt.sent).as_u64();
             let run = if has_run { "ran" } else { "not run" };
-            let Some(signal) = planned else {
+            let Some(signal) = planned_since else {
                 return format!("{what} after {span} ms; {run}");
             };
             let since = attempt.sent.since(signal).as_u64();
             format!("{what} after {span} ms; sent {since} ms after the signal; {run}")
         };
         let broken = broken.map(describe);
-        if planned.is_some() {
+        if planned_since.is_some() {
             self.record(Check::Lost, index, broken);
             return;
         }
@@ -53,12 +53,13 @@
         }
     }
 
-    /// Tells whether an attempt may have been broken off: its runner did, or was still at work when
-    /// the process had to end, on what it got soon after SIGTERM.
+    /// Returns whether the attempt's answer may be cut off: because its runner was set to fail, or
+    /// because the request was sent soon after SIGTERM and its runner was still working on it when
+    /// the VM's process had to end.
     fn is_excused(&self, attempt: &Attempt, ended: Millis) -> bool {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        attempt.executions.iter().any(|place| {
-            let seen = &log[*place];
+        attempt.executions.iter().any(|execution| {
+            let seen = &log[*execution];
             let ended = seen.ended.map_or(ended, |at| self.since_start(at));
             seen.mode != runner::Mode::Normal
                 || self
--- a/crates/soak/src/oracle/execution.rs
+++ b/crates/soak/src/oracle/execution.rs
@@ -1,4 +1,4 @@
-//! Judges what a runner ran.
+//! Checks what a runner executed.
 
 use std::sync::PoisonError;
 
@@ -9,7 +9,7 @@
 
 use super::Oracle;
 
-/// How long after it says that it leaves a runner may still get requests.
+/// How long a runner may still receive requests after it has announced that it leaves.
 const DRAIN_TIME: Millis = Millis::new(2_000);
 
 impl Oracle {
--- a/crates/soak/src/oracle/summary.rs
+++ b/crates/soak/src/oracle/summary.rs
@@ -1,4 +1,4 @@
-//! What only the whole run tells.
+//! Checks that need the whole run.
 
 use std::sync::PoisonError;
 
@@ -11,17 +11,17 @@
 use super::Oracle;
 use super::Program;
 
-/// The closed connections without any fault near that are borne.
+/// How many connections may close without any disruption in or shortly before the attempt.
 pub(super) const MAX_UNDISTURBED_CLOSES: usize = 3;
-/// How soon after its client has left a run has to end.
+/// How long an execution may go on after its client has left.
 const MAX_EXECUTION_AFTER_DEPARTURE: Millis = Millis::new(500);
-/// The share of what is judged in sum that may not hold, as a divisor.
+/// For checks with a share: at most one attempt in this many may fail.
 const MAX_FAILED_DIVISOR: usize = 4;
-/// How long after its route's time a request may be held.
+/// How long after its route's time-out a request may still be held.
 const MAX_OVERTIME: Millis = Millis::new(500);
 
 impl Oracle {
-    /// Judges what only the whole run tells.
+    /// Runs the checks that need the whole run.
     pub fn check_whole_run(&mut self) {
         self.check_executions();
         self.check_budgets();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Judges whether runners heard of clients that left.
+    /// Checks whether executions end when their clients leave.
     fn check_departed(&mut self) {
         let departed = std::mem::take(&mut self.departed);
         let checked = departed
@@ -64,7 +64,8 @@
         self.record_share(Check::Gone, checked, what);
     }
 
-    /// Judges whether requests that take longer than their routes allow end then.
+    /// Checks whether requests that would take longer than their route allows end at the route's
+    /// time-out.
     fn check_overlong(&mut self) {
         let overlong = std::mem::take(&mut self.overlong);
         let undisturbed_closes = overlong.iter().filter(|(index, ended)| {
@@ -82,7 +83,8 @@
         self.record_share(Check::Timely, checked, what);
     }
 
-    /// Notes a check that holds where it does for all but a share of the attempts.
+    /// Records a check that counts as broken only if more than one in [`MAX_FAILED_DIVISOR`] of the
+    /// attempts fail it.
     fn record_share(&mut self, check: Check, checked: Vec<(usize, bool)>, what: &str) {
         let failed = checked.iter().filter(|(_, holds)| !holds).count();
         let is_broken = failed * MAX_FAILED_DIVISOR > checked.len();
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Tells whether a run ended soon after its client left; `None` where it would have anyway,
-    /// didn't begin, or something was disturbed.
+    /// Returns whether an execution ended soon after its client left. Returns `None` if it would have
+    /// ended by then anyway, if it never began, or if the attempt was disturbed.
     fn ended_after_departure(&self, index: usize, left: Millis) -> Option<bool> {
         let attempt = &self.attempts[index];
         let soon = left.plus(MAX_EXECUTION_AFTER_DEPARTURE);
@@ -111,7 +113,7 @@
         Some(ended.is_some_and(|ended| ended <= soon))
     }
 
-    /// Judges whether turns are served once nothing is disturbed any more.
+    /// Checks whether turns are served in the quiet phase at the end.
     fn check_quiet_end(&mut self) {
         let quiet = self.history.quiet_from();
         let served = |attempt: &&Attempt| attempt.chain_text.is_some();
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A loopback proxy before a VM, the platform's store or a runner, which delays, resets, cuts or
-//! silences what passes.
+//! A loopback proxy in front of a VM, the platform's store or a runner, which delays, resets, cuts or
+//! silences connections.
 //!
-//! The system acknowledges bytes that the proxy holds back, so a time-out of TCP itself never shows
-//! here as it does on a real link that is cut.
+//! The kernel acknowledges bytes that the proxy holds back. So a time-out of TCP itself never occurs
+//! here, as it would on a real link that is cut.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,52 +21,52 @@
 use tokio::time::sleep;
 use wire::clock::Millis;
 
-/// Bytes that are passed on at once.
+/// The most bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// After so much silence a keep-alive of the product ends a connection. Its probes don't show the
-/// silence here, as the system answers them for the proxy.
+/// After this much silence the product's TCP keep-alive would end a connection. The proxy has to reset
+/// silenced connections itself, because the kernel answers keep-alive probes on its behalf.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(3_200);
-/// The pause before an address is tried again that couldn't be listened on.
+/// The pause before a failed bind to an address is tried again.
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Which way bytes go.
+/// The direction in which bytes flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// From the process that connected.
+    /// From the process that opened the connection.
     Out,
-    /// Back to it.
+    /// Back to that process.
     Back,
 }
 
-/// How a link passes bytes on.
+/// How a link forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// As they come.
+    /// Forwards them as they come.
     Open,
-    /// Each chunk later.
+    /// Delays each chunk by this time.
     Slow(Millis),
-    /// None, until the link is open again.
+    /// Holds all bytes until the link is open again.
     Cut,
-    /// None in this direction, until the link is open again.
+    /// Holds bytes in this direction until the link is open again.
     CutOneWay(Direction),
-    /// Nobody listens, and open connections are reset.
+    /// Refuses new connections and resets open ones.
     Down,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct State {
     mode: Mode,
-    /// Counts the times that open connections were reset.
+    /// How often the open connections were reset.
     resets: u64,
-    /// Counts the times that open connections went silent for good.
+    /// How often the open connections were silenced for good.
     silences: u64,
 }
 
-/// A link.
+/// A link through a proxy.
 #[derive(Debug)]
 pub struct Link {
-    /// Where processes connect.
+    /// The address at which processes connect.
     pub address: SocketAddr,
     state: watch::Sender<State>,
 }
@@ -89,33 +89,33 @@
         Self { address, state }
     }
 
-    /// Sets how bytes are passed on.
+    /// Sets how bytes are forwarded.
     pub fn set_mode(&self, mode: Mode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Resets the connections that are open.
+    /// Resets the open connections.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
 
-    /// Has the connections that are open pass nothing any more, and be reset once a keep-alive of
-    /// the product would have noticed; new ones work.
+    /// Stops forwarding on the open connections for good, and resets them once the product's TCP
+    /// keep-alive would have noticed. New connections work.
     pub fn silence(&self) {
         self.state.send_modify(|state| state.silences += 1);
     }
 }
 
-/// Links of several sources to one target, all at one address.
+/// The links of several sources to one target, all at one address.
 #[derive(Debug)]
 pub struct Group {
-    /// By source.
+    /// The link of each source.
     pub links: Vec<Link>,
 }
 
 impl Group {
-    /// Starts links of so many sources to `target`. `source` tells from both ends of a connection who
-    /// has opened it; it may block.
+    /// Starts links from `count` sources to `target`. `source` returns the index of the source that
+    /// opened a connection, from the addresses of both ends; it may block.
     #[must_use]
     pub fn start<S>(address: SocketAddr, target: SocketAddr, count: usize, source: S) -> Self
     where
@@ -145,13 +145,14 @@
     while let Ok((stream, from)) = listener.accept().await {
         let (source, states) = (source.clone(), states.clone());
         tokio::spawn(async move {
-            // Before its opener is looked for: VMs try one that is stopped dozens of times a second, and
-            // the search for each took the processor from the runners and clients of the run.
+            // Connects to the target before it searches for the opener: VMs try a stopped VM dozens of
+            // times a second, and a search for each try left too little CPU for the runners and
+            // clients of the run.
             let Some(server) = connect(&stream, target).await else {
                 return;
             };
             let found = spawn_blocking(move || source(from, address)).await;
-            // One whose opener is gone already is closed.
+            // If the opener is gone already, the connection is closed.
             if let Ok(Some(at)) = found {
                 forward(stream, server, states[at].clone()).await;
             }
@@ -195,7 +196,7 @@
     }
 }
 
-/// Connects to the target; resets the other end where nobody listens.
+/// Connects to the target; resets the client's connection if nothing listens there.
 async fn connect(client: &TcpStream, target: SocketAddr) -> Option<TcpStream> {
     let server = TcpStream::connect(target).await.ok();
     if server.is_none() {
@@ -206,7 +207,7 @@
 
 async fn forward(mut client: TcpStream, mut server: TcpStream, mut states: watch::Receiver<State>) {
     let initial = *states.borrow();
-    // Without it, small packets wait for others; the link would add what no fault asked for.
+    // Without `TCP_NODELAY` small packets wait for others, a delay that no fault has asked for.
     let prepared = client
         .set_nodelay(true)
         .and_then(|()| server.set_nodelay(true));
@@ -233,16 +234,16 @@
 async fn wait_for_reset(states: &mut watch::Receiver<State>, initial: State) {
     let is_reset = |state: &State| state.resets > initial.resets || state.mode == Mode::Down;
     let is_over = |state: &State| is_reset(state) || state.silences > initial.silences;
-    // A link that is dropped resets its connections, too.
+    // A dropped link also resets its connections.
     if matches!(states.wait_for(is_over).await, Ok(state) if !is_reset(&state)) {
-        // Whatever comes first ends it.
+        // Returns at the keep-alive time-out or at a reset, whichever comes first.
         let _reset = tokio::time::timeout(KEEP_ALIVE_TIMEOUT, states.wait_for(is_reset)).await;
     }
 }
 
-/// Has a connection's end be a reset.
+/// Has the connection close with a reset.
 fn abort(stream: &TcpStream) {
-    // Fails only where the connection is gone already.
+    // Fails only if the connection is gone already.
     let _set = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -264,7 +265,7 @@
     }
 }
 
-/// Waits until the link lets bytes pass.
+/// Waits until the link lets bytes pass, and delays them if it is slow.
 async fn wait_until_open(
     states: &mut watch::Receiver<State>,
     direction: Direction,
--- a/crates/soak/src/request.rs
+++ b/crates/soak/src/request.rs
@@ -1,4 +1,4 @@
-//! What clients ask for.
+//! The requests that clients send.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 
 use crate::body::Pace;
 
-/// How long a route for long turns lets them take.
+/// The time-out of the route for long turns.
 pub const LONG_MS: u64 = 7_000;
-/// The tokens that an event of a stream stands for, as the configuration tells.
+/// The tokens that one event of a stream counts for; set in the configuration of the service.
 pub const EVENT_TOKENS: u64 = 10;
 
 /// A kind of request.
@@ -25,16 +25,16 @@
     Talk,
     /// A turn of a program.
     Kept,
-    /// A turn that takes long.
+    /// A long turn of a program.
     Long,
-    /// A call of a route that was added while the system ran.
+    /// A call of the route that the configuration of this version added.
     Added(u64),
-    /// A call of a route that was dropped.
+    /// A call of the route that the configuration of this version added and a later one dropped.
     Dropped(u64),
 }
 
 impl Kind {
-    /// Yields the path that its route begins with.
+    /// Returns the path prefix of its route.
     #[must_use]
     pub fn prefix(self) -> String {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Yields how long its route lets it take.
+    /// Returns the time-out of its route.
     #[must_use]
     pub const fn timeout(self) -> Duration {
         match self {
@@ -56,53 +56,53 @@
         }
     }
 
-    /// Tells whether it may run once at most.
+    /// Returns whether it may run at most once.
     #[must_use]
     pub const fn runs_once(self) -> bool {
         matches!(self, Self::Order | Self::Kept | Self::Long)
     }
 
-    /// Tells whether it is a turn of a program.
+    /// Returns whether it is a turn of a program.
     #[must_use]
     pub const fn is_turn(self) -> bool {
         matches!(self, Self::Kept | Self::Long)
     }
 }
 
-/// What a client wants; each attempt at it is a request of its own.
+/// What a client asks for. Each attempt at it is a request of its own.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Its kind.
     pub kind: Kind,
-    /// The events of its answer.
+    /// The number of events in its answer.
     pub events: u64,
-    /// The pause before each.
+    /// The pause before each event.
     pub pause: Duration,
-    /// How long the client says that it waits.
+    /// How long the client announces to wait.
     pub deadline: Duration,
-    /// When it leaves without a word, where it does.
+    /// After which time the client leaves without notice, if it does.
     pub leave_after: Option<Duration>,
-    /// How it sends the body.
+    /// How the client sends the body.
     pub pace: Pace,
     /// The input.
     pub input: Bytes,
-    /// What makes it a turn.
+    /// The data of a turn, if the request is one.
     pub turn: Option<Turn>,
 }
 
-/// What makes a request a turn.
+/// The data of a turn.
 #[derive(Clone, Debug)]
 pub struct Turn {
-    /// The program, by its place.
+    /// The index of its program.
     pub program: usize,
-    /// The tokens that all turns of the program may generate.
+    /// The token budget of all turns of the program together.
     pub budget: u64,
-    /// The turn that it continues from.
+    /// The id of the turn that it continues.
     pub previous: Option<String>,
 }
 
 impl Spec {
-    /// Yields the path and query.
+    /// Returns the path and query.
     #[must_use]
     pub fn path(&self) -> String {
         format!(
@@ -113,20 +113,20 @@
         )
     }
 
-    /// Yields how long its runner works on it.
+    /// Returns how long a runner works on it.
     #[must_use]
     pub fn work(&self) -> Duration {
         self.pause * u32::try_from(self.events).unwrap_or(u32::MAX)
     }
 
-    /// Yields the most tokens that it generates.
+    /// Returns the most tokens that it generates.
     #[must_use]
     pub const fn max_tokens(&self) -> u64 {
         self.events * EVENT_TOKENS
     }
 }
 
-/// Yields the whole answer to a request whose runner got `body`.
+/// Returns the complete answer to a request of which the runner received `body`.
 #[must_use]
 pub fn answer(id: &str, body: &[u8], events: u64) -> String {
     let mut whole = String::new();
@@ -138,7 +138,7 @@
     whole
 }
 
-/// Yields what a turn with such an answer adds to its chain.
+/// Returns the text that a turn with this answer appends to its chain.
 #[must_use]
 pub fn output(id: &str, body: &[u8], events: u64) -> String {
     let lines = (1..=events).map(|event| runner::echo(id, body, event) + "\n");
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,7 +1,7 @@
-//! When which fault comes: drawn from a seed, in series and overlapping.
+//! Generates the schedule of faults from a seed; faults come one after the other and overlap.
 //!
-//! Eras of planned work alone and eras of everything take turns, as what may not be lost around a
-//! stop is only owed where no other fault is near.
+//! Phases of planned work alone are mixed with phases of all kinds of faults, because the guarantee that a stop
+//! loses no request only applies if no other fault is near.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -16,51 +16,53 @@
 use crate::fault::Target;
 use crate::proxy::Direction;
 
-/// Before the first fault.
+/// The time before the first fault.
 const LEAD_IN_MS: u64 = 2_000;
-/// After the last fault and before the end: a stop takes its grace, and clients recover.
+/// The time between the last fault and the end, in which a stop can use its whole grace period and
+/// clients recover.
 pub const QUIET_END_MS: u64 = 14_000;
-/// How long an era lasts, from and to.
+/// The shortest and the longest duration of a phase.
 const PHASE_MS: (u64, u64) = (8_000, 16_000);
-/// Between two eras: above the time after a disruption in which promises with a time bound rest.
+/// The time between two phases: more than the time after a disruption in which guarantees with a time
+/// bound don't apply.
 const PHASE_GAP_MS: u64 = 4_500;
-/// Between two lost disks: the time in which a new member has learnt all, with room to spare.
+/// The least time between two lost disks: more than a new member needs to copy all data.
 const WIPE_GAP_MS: u64 = 20_000;
-/// Before a disk is lost, how long the other VMs with a disk must have been left alone.
+/// How long the VMs with a disk must have been undisturbed before a disk is lost.
 const WIPE_CLEARANCE_MS: u64 = 10_000;
 
-/// How long a link is harmed at most.
+/// The longest impairment of a link.
 const MAX_LINK_FAULT_MS: u64 = 4_000;
 
-/// How runners fail.
+/// The failures of [`Kind::RunnerFails`].
 const FAILURES: [Failure; 4] = [
     Failure::BreaksOff,
     Failure::AnswerLost,
     Failure::Full,
     Failure::Crossed,
 ];
-/// How slow ones do.
+/// The failures of [`Kind::RunnerSlow`].
 const SLOW_FAILURES: [Failure; 2] = [Failure::Slow, Failure::Stalls];
 
-/// A fault at its time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Step {
-    /// When, since the start of traffic.
+    /// The time since the start of traffic.
     pub at: Millis,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// How large the fleet is.
+/// The size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// VMs that take callers; they stand first.
+    /// The number of VMs that take callers; they come first in the fleet.
     pub callers: usize,
-    /// VMs with a disk; they follow.
+    /// The number of VMs with a disk; they follow.
     pub disks: usize,
-    /// Data centres, over which VMs of either sort are dealt in turn.
+    /// The number of data centres; VMs of either sort are assigned to them round-robin.
     pub centres: usize,
-    /// Runners.
+    /// The number of runners.
     pub runners: usize,
 }
 
@@ -68,12 +70,13 @@
     random: ChaCha8Rng,
     size: Size,
     steps: Vec<Step>,
-    /// When a disk was lost last, and when VMs with a disk were last disturbed.
+    /// When a disk was last lost, in milliseconds.
     last_wipe: Option<u64>,
+    /// Until when VMs with a disk were last disturbed, in milliseconds.
     disks_disturbed_until: Option<u64>,
 }
 
-/// Draws the faults of a run.
+/// Generates the faults of a run, sorted by time.
 #[must_use]
 pub fn generate(seed: u64, span: Millis, kinds: &[Kind], size: Size) -> Vec<Step> {
     let mut generator = Generator {
@@ -107,7 +110,7 @@
         while at < to {
             let kind = kinds[self.random.random_range(0..kinds.len())];
             self.push_kind(kind, at, to);
-            // Often beside what is under way, sometimes after it.
+            // The next fault often overlaps with this one, and sometimes comes after it.
             at += if self.random.random_bool(0.5) {
                 self.random.random_range(100..1_500)
             } else {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Stops some VMs, each a little after the one before, which may still be stopping.
+    /// Stops some VMs one after the other; the previous one may still be stopping.
     fn stop_series(&mut self, at: u64, to: u64, vms: std::ops::Range<usize>) {
         let count = self.random.random_range(1..=vms.len());
         let first = self.random.random_range(vms.clone());
@@ -249,8 +252,8 @@
         }
     }
 
-    /// Stops all VMs that take callers of a data centre, or all but one: the balancer then goes on
-    /// sending to all of them where they are three or more.
+    /// Stops all VMs of a data centre that take callers, or all but one. If one of three or more is
+    /// left, the balancer goes on sending to all of them.
     fn overlapping_stops(&mut self, at: u64) {
         let centre = self.random.random_range(0..self.size.centres);
         let local = (centre..self.size.callers).step_by(self.size.centres);
@@ -265,8 +268,8 @@
         }
     }
 
-    /// Empties a disk, unless another one may not have been made good yet: two lost disks of three
-    /// are more than the system is asked to bear.
+    /// Wipes a disk, unless another one may not have been restored yet: two lost disks of three are
+    /// more than the system has to tolerate.
     fn push_wipe(&mut self, at: u64) {
         let is_recent =
             |before: Option<u64>, span: u64| before.is_some_and(|before| at < before + span);
--- a/crates/soak/src/vm.rs
+++ b/crates/soak/src/vm.rs
@@ -1,4 +1,4 @@
-//! A VM: its process, started again whenever it ends, as the platform does.
+//! A VM: its process, which is restarted whenever it ends, as the platform does.
 
 use std::fs;
 use std::io;
@@ -24,27 +24,27 @@
 use crate::process::Program;
 use crate::process::Signal;
 
-/// How often a process is looked at.
+/// How often a process is checked for its end.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// After an end, when the platform starts the process again.
+/// The time after which the platform restarts a process that has ended.
 const RESTART_DELAY: Duration = Duration::from_millis(400);
-/// How long a killed VM's start takes until it serves, with room to spare.
+/// How long a killed VM takes from its restart until it serves, with a margin.
 const STARTUP_TIME: Duration = Duration::from_millis(1_500);
 
-/// What a VM is.
+/// The configuration of a VM.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its place in the fleet.
+    /// Its index in the fleet.
     pub index: usize,
     /// Its name.
     pub name: String,
     /// Its address.
     pub ip: IpAddr,
-    /// Its data folder, where it has a disk.
+    /// Its data folder, if it has a disk.
     pub disk: Option<PathBuf>,
     /// Its settings file.
     pub settings: PathBuf,
-    /// Its log.
+    /// Its log file.
     pub log: PathBuf,
     /// The product's binary.
     pub binary: PathBuf,
@@ -53,7 +53,7 @@
 /// A VM.
 #[derive(Debug)]
 pub struct Vm {
-    /// What it is.
+    /// Its configuration.
     pub config: Config,
     state: Mutex<State>,
 }
@@ -61,9 +61,10 @@
 #[derive(Debug, Default)]
 struct State {
     process: Option<Process>,
-    /// When SIGTERM was sent.
+    /// When SIGTERM was sent to the current process.
     term_sent_at: Option<Millis>,
-    /// Whether SIGKILL was sent, or the process was frozen: its end isn't its own any more.
+    /// Whether SIGKILL was sent to the process or it was paused, so that its end no longer tells
+    /// anything about the product.
     interfered: bool,
     /// The disruption that ends once the process is back.
     disruption: Option<DisruptionId>,
@@ -72,7 +73,7 @@
 }
 
 impl Vm {
-    /// Makes a VM without a process.
+    /// Creates a VM without a process.
     #[must_use]
     pub fn new(config: Config) -> Arc<Self> {
         Arc::new(Self {
@@ -81,35 +82,35 @@
         })
     }
 
-    /// Yields where it takes callers.
+    /// Returns the address at which it takes callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         SocketAddr::new(self.config.ip, settings::CALLERS)
     }
 
-    /// Yields where it tells whether it is ready.
+    /// Returns the address at which it reports whether it is ready.
     #[must_use]
     pub fn ready(&self) -> SocketAddr {
         SocketAddr::new(self.config.ip, settings::READY)
     }
 
-    /// Yields where other VMs connect to it.
+    /// Returns the address at which other VMs connect to it.
     #[must_use]
     pub fn peers(&self) -> SocketAddr {
         SocketAddr::new(self.config.ip, settings::PEERS)
     }
 
-    /// Yields the id of its process, where it has one.
+    /// Returns the id of its process, if it has one.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
         self.state().process.as_ref().map(Process::id)
     }
 
-    /// Starts the process and starts it again after each end, for as long as it is polled.
+    /// Starts the process and restarts it after each end, for as long as the future is polled.
     ///
     /// # Errors
     ///
-    /// Fails where the process can't be started or looked at.
+    /// Fails if the process can't be started or its state can't be read.
     pub async fn run(self: Arc<Self>, context: Arc<Context>) -> io::Result<()> {
         loop {
             self.start(&context)?;
@@ -122,11 +123,12 @@
         }
     }
 
-    /// Sends SIGTERM; tells whether there was a process to stop that wasn't stopping.
+    /// Sends SIGTERM. Returns false and sends nothing if there is no process, or if it is already
+    /// stopping, killed or paused.
     ///
     /// # Errors
     ///
-    /// Fails where the signal can't be sent.
+    /// Fails if the signal can't be sent.
     pub fn stop(&self, context: &Context) -> io::Result<bool> {
         let mut state = self.state();
         if state.term_sent_at.is_some() || state.interfered || state.process.is_none() {
@@ -140,14 +142,14 @@
         Ok(true)
     }
 
-    /// Tells whether its process is there and neither stops nor was disturbed.
+    /// Returns whether its process is running and is neither stopping, killed nor paused.
     #[must_use]
     pub fn is_undisturbed(&self) -> bool {
         let state = self.state();
         state.process.is_some() && state.term_sent_at.is_none() && !state.interfered
     }
 
-    /// Yields when SIGTERM was sent to the process that is there.
+    /// Returns when SIGTERM was sent to the current process, unless it was also killed or paused.
     #[must_use]
     pub fn stopped_at(&self) -> Option<Millis> {
         let state = self.state();
@@ -160,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the signal can't be sent.
+    /// Fails if the signal can't be sent.
     pub fn reload(&self, context: &Context) -> io::Result<()> {
         let now = context.oracle().now();
         context.oracle().history.note_reload(self.config.index, now);
@@ -171,7 +173,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the signal can't be sent.
+    /// Fails if the signal can't be sent.
     pub fn kill(&self, context: &Context) -> io::Result<()> {
         self.note_lost(context);
         let mut state = self.state();
@@ -179,21 +181,21 @@
         state.signal(Signal::Kill)
     }
 
-    /// Sends SIGKILL; the next start finds an empty disk.
+    /// Sends SIGKILL and has the next start find an empty disk.
     ///
     /// # Errors
     ///
-    /// Fails where the signal can't be sent.
+    /// Fails if the signal can't be sent.
     pub fn wipe(&self, context: &Context) -> io::Result<()> {
         self.state().wipe = true;
         self.kill(context)
     }
 
-    /// Freezes the process for a while.
+    /// Pauses the process for `span`.
     ///
     /// # Errors
     ///
-    /// Fails where the signal can't be sent.
+    /// Fails if the signal can't be sent.
     pub async fn pause(&self, context: &Context, span: Millis) -> io::Result<()> {
         self.note_lost(context);
         let disruption = {
@@ -207,7 +209,7 @@
         sleep(span.as_duration()).await;
         let mut state = self.state();
         state.signal(Signal::Cont)?;
-        // What comes next is its own again, unless it is being stopped.
+        // Its end tells about the product again, unless it is stopping or about to be killed.
         state.interfered = state.term_sent_at.is_some() || state.disruption.is_some();
         let mut oracle = context.oracle();
         let now = oracle.now();
@@ -216,7 +218,7 @@
         Ok(())
     }
 
-    /// Notes that the VM is lost, where it has a disk.
+    /// Records that the VM is lost, if it has a disk.
     fn note_lost(&self, context: &Context) {
         if self.config.disk.is_some() {
             let mut oracle = context.oracle();
@@ -253,7 +255,7 @@
         Ok(())
     }
 
-    /// Waits for the process's end; kills it where it outlasts its grace.
+    /// Waits until the process ends, and kills it if it outlasts its grace period.
     async fn wait_for_exit(&self, context: &Context) -> io::Result<ExitStatus> {
         loop {
             {
@@ -277,7 +279,7 @@
         }
     }
 
-    /// Judges how the process ended; yields the disruption that ends with its return.
+    /// Records and checks how the process ended. Returns the disruption that ends with its restart.
     fn record_exit(&self, context: &Context, status: ExitStatus) -> Option<DisruptionId> {
         let mut state = self.state();
         state.process = None;
@@ -298,7 +300,7 @@
 
 impl State {
     fn signal(&self, signal: Signal) -> io::Result<()> {
-        // A VM whose process has just ended gets none.
+        // If the process has just ended, there is nothing to signal.
         self.process
             .as_ref()
             .map_or(Ok(()), |process| process.signal(signal))
