--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Which VM gets a new connection, as the platform's balancer decides it.
+//! Chooses the VM for each new connection as the platform's balancer does.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -9,9 +9,9 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// How often VMs are asked whether they are ready, and how long they may take to say so.
+/// How often VMs are asked whether they are ready, and the time-out of each such probe.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// After so many misses a VM gets no new connections.
+/// After this many failed probes in a row a VM gets no new connections.
 const MISS_THRESHOLD: u32 = 2;
 
 /// A VM as the balancer sees it.
@@ -21,9 +21,9 @@
     pub centre: usize,
     /// Where clients connect.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Where it reports whether it is ready.
     pub ready: SocketAddr,
-    /// Answers other than 200 in a row.
+    /// How many probes in a row were not answered with status 200.
     pub misses: u32,
 }
 
@@ -32,27 +32,27 @@
 pub struct Balancer(Mutex<Vec<Row>>);
 
 impl Balancer {
-    /// Makes a balancer of these VMs, none of which is asked yet.
+    /// Creates a balancer of these VMs, none of which has been probed yet.
     #[must_use]
     pub fn new(rows: Vec<Row>) -> Self {
         Self(Mutex::new(rows))
     }
 
-    /// Yields how the VMs stand.
+    /// Returns the state of all VMs.
     #[must_use]
     pub fn rows(&self) -> Vec<Row> {
         let rows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         rows.clone()
     }
 
-    /// Yields where a VM takes clients.
+    /// Returns the address at which clients connect to a VM.
     #[must_use]
     pub fn callers(&self, vm: usize) -> SocketAddr {
         let rows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         rows[vm].callers
     }
 
-    /// Asks all VMs once whether they are ready.
+    /// Probes all VMs once.
     pub async fn probe(&self) {
         let mut probes = JoinSet::new();
         for (index, row) in self.rows().into_iter().enumerate() {
@@ -68,15 +68,15 @@
         }
     }
 
-    /// Chooses a VM for a new connection from a data centre.
+    /// Chooses a VM for a new connection of a client in this data centre.
     #[must_use]
     pub fn choose(&self, centre: usize, hash: usize) -> usize {
         choose(&self.rows(), centre, hash)
     }
 }
 
-/// Chooses among the VMs of the data centre in rotation; among all of it where fewer than half are,
-/// and in other data centres where none is.
+/// Chooses among the VMs of the data centre that are in rotation. If fewer than half of its VMs
+/// are, it chooses among all of them; if none is, among those in rotation in other data centres.
 #[must_use]
 pub fn choose(rows: &[Row], centre: usize, hash: usize) -> usize {
     let all: Vec<usize> = (0..rows.len()).collect();
--- a/crates/soak/src/balancer/tests.rs
+++ b/crates/soak/src/balancer/tests.rs
@@ -23,27 +23,27 @@
 }
 
 #[test]
-fn one_miss_takes_no_vm_out() {
+fn one_missed_probe_keeps_a_vm_in_rotation() {
     let rows = rows(&[(0, 0), (0, MISS_THRESHOLD - 1), (1, 0)]);
     assert_eq!(chosen(&rows, 0), [0, 1]);
 }
 
 #[test]
-fn half_in_rotation_get_all() {
+fn with_half_in_rotation_only_those_are_used() {
     let rows = rows(&[(0, 0), (0, MISS_THRESHOLD), (1, 0)]);
     assert_eq!(chosen(&rows, 0), [0]);
 }
 
-/// Most VMs of a data centre restart at once. The platform goes on sending to all of them, also to
-/// those that have said that they stop.
+/// Most VMs of a data centre restart at once. The platform's balancer then goes on sending to all
+/// of them, including those that have announced that they stop.
 #[test]
-fn fewer_than_half_in_rotation_leave_all_in_use() {
+fn with_fewer_than_half_in_rotation_all_are_used() {
     let rows = rows(&[(0, MISS_THRESHOLD), (0, MISS_THRESHOLD), (0, 0), (1, 0)]);
     assert_eq!(chosen(&rows, 0), [0, 1, 2]);
 }
 
 #[test]
-fn a_data_centre_without_any_is_served_elsewhere() {
+fn a_data_centre_without_any_uses_other_centres() {
     let rows = rows(&[(0, MISS_THRESHOLD), (0, MISS_THRESHOLD), (1, 0), (2, 0)]);
     assert_eq!(chosen(&rows, 0), [2, 3]);
 }
--- a/crates/soak/src/body.rs
+++ b/crates/soak/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of clients' requests, sent at once or slowly.
+//! Request bodies that clients send at once or slowly.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -13,11 +13,11 @@
 use tokio::time::Sleep;
 use tokio::time::sleep;
 
-/// The pieces of a body that is sent slowly.
+/// The number of pieces of a body that is sent slowly.
 const SLOW_PIECES: usize = 4;
-/// The pauses between them.
+/// The number of pauses between those pieces.
 const SLOW_PAUSES: u32 = 3;
-/// After its first half the rest of a body that stops isn't sent before its client leaves.
+/// The pause before the second half of a body that stops: longer than any client stays.
 const NEVER: Duration = Duration::from_hours(1);
 
 /// How a client sends a body.
@@ -27,12 +27,12 @@
     AtOnce,
     /// In pieces, with this pause between them.
     Slow(Duration),
-    /// Half of it, and no more.
+    /// Half of it, and then nothing more.
     Stops,
 }
 
 impl Pace {
-    /// Yields how long sending takes; `None` where it never ends.
+    /// Returns how long sending takes, `None` if it never ends.
     #[must_use]
     pub fn span(self) -> Option<Duration> {
         match self {
@@ -49,12 +49,12 @@
     pieces: VecDeque<Bytes>,
     remaining: u64,
     pause: Duration,
-    /// Until when the next piece waits.
+    /// The pause before the next piece.
     wait: Option<Pin<Box<Sleep>>>,
 }
 
 impl Body {
-    /// Makes a body of these bytes.
+    /// Creates a body from these bytes.
     #[must_use]
     pub fn new(bytes: Bytes, pace: Pace) -> Self {
         let (count, pause) = match pace {
--- a/crates/soak/src/body/tests.rs
+++ b/crates/soak/src/body/tests.rs
@@ -11,12 +11,12 @@
 const TEXT: &[u8] = b"a body of some words";
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_body_is_whole_after_its_span() {
+async fn a_slow_body_is_complete_after_its_span() {
     let pace = Pace::Slow(Duration::from_millis(100));
-    let begun = Instant::now();
+    let started = Instant::now();
     let whole = Body::new(Bytes::from_static(TEXT), pace).collect().await;
     assert_eq!(whole.unwrap().to_bytes(), TEXT);
-    let took = begun.elapsed();
+    let took = started.elapsed();
     let span = pace.span().unwrap();
     assert!(took >= span && took < span + Duration::from_millis(10));
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,6 +1,6 @@
-//! A client that behaves as the platform's documentation describes: it keeps its connection until the
-//! VM closes it, obeys `retry-after`, repeats requests that may be repeated, and runs programs of
-//! several turns.
+//! A client that behaves as the platform's documentation describes: it keeps its connection until
+//! the VM closes it, obeys `retry-after`, repeats requests that may be repeated, and runs programs
+//! of several turns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +29,8 @@
 const MAX_ATTEMPTS: usize = 4;
 /// How often a failed turn is requested again.
 const TURN_RETRIES: usize = 2;
-/// How long an idle connection is reused: four fifths of the idle time that the operators configure.
+/// How long an idle connection is reused: four fifths of the idle time that the operators
+/// configure.
 const REUSE_WINDOW: Duration = Duration::from_secs(12);
 /// A client does not retry with less time left than this.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(100);
@@ -171,7 +172,8 @@
         spec
     }
 
-    /// Runs a program: several turns, each of which continues an earlier one, with calls in between.
+    /// Runs a program: several turns, each of which continues an earlier one, with calls in
+    /// between.
     async fn program(&mut self, end: Instant) {
         let budget = if self.random.random_bool(0.15) {
             self.random.random_range(60..250)
@@ -268,7 +270,8 @@
         Completion::Failed
     }
 
-    /// Returns the idle connection for a first attempt, and a new one to another VM for later attempts.
+    /// Returns the idle connection for a first attempt, and a new one to another VM for later
+    /// attempts.
     async fn connection(&mut self, attempt: usize) -> Option<Connection> {
         let idle = self.idle.take();
         let usable = |idle: &Connection| idle.is_open() && idle.used.elapsed() < REUSE_WINDOW;
--- a/crates/soak/src/disk.rs
+++ b/crates/soak/src/disk.rs
@@ -1,8 +1,8 @@
 //! Watches the disk that the processes under test write to.
 //!
-//! Others share it. Where a sync takes most of a second, VMs with a disk answer nobody in time, which
-//! no fault of the schedule has asked for: it is a disruption like a planned one, and has to be known
-//! as such while it lasts.
+//! Other software shares the disk. If a sync takes most of a second, VMs with a disk don't answer
+//! in time, although no fault of the schedule causes it. Such a stall is therefore recorded as a
+//! disruption while it lasts.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -23,26 +23,26 @@
 
 /// The pause between two syncs.
 const SYNC_PAUSE: Duration = Duration::from_millis(50);
-/// From so long on a sync is a disruption: two in a row are most of the time that a VM with a disk
-/// has for its answer.
+/// A sync that takes longer is a disruption: two in a row take most of the time that a VM with a
+/// disk has for its answer.
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
-/// How much is written each time, about a record of a turn.
+/// How much is written before each sync: about the size of the record of a turn.
 const WRITE_BYTES: usize = 4_096;
 
-/// What the syncs showed.
+/// The stalls of the disk during a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Stalls {
-    /// How many were a disruption.
+    /// How many syncs were a disruption.
     pub count: u64,
-    /// The longest sync.
+    /// The duration of the longest sync.
     pub longest: Millis,
 }
 
-/// Syncs a file in `folder` again and again until `until`.
+/// Writes to a file in `folder` and syncs it, repeatedly until `end`.
 ///
 /// # Errors
 ///
-/// Fails where the file can't be written.
+/// Fails if the file can't be written.
 pub async fn watch(context: Arc<Context>, folder: &Path, end: Instant) -> io::Result<Stalls> {
     let path = folder.join("disk-watch");
     let file = OpenOptions::new().create(true).append(true).open(path)?;
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -35,7 +35,8 @@
     StoreLink,
     /// A runner announces that it leaves, or its entry is removed, and it stops later.
     RunnerLeaves,
-    /// A runner cuts answers off, loses them, refuses requests, or sends the answer of another request.
+    /// A runner cuts answers off, loses them, refuses requests, or sends the answer of another
+    /// request.
     RunnerFails,
     /// A runner goes down without notice and comes back.
     RunnerDown,
@@ -43,8 +44,8 @@
     RunnerLink,
     /// A runner answers slowly, or stalls in the middle of its answers.
     RunnerSlow,
-    /// The link from one VM to another, or all links between one VM and the others, are slowed, cut,
-    /// silenced or reset.
+    /// The link from one VM to another, or all links between one VM and the others, are slowed,
+    /// cut, silenced or reset.
     VmLink,
     /// The links between clients and a VM are slowed, cut, silenced or reset.
     ClientLink,
@@ -216,7 +217,8 @@
     StoreAway(Millis),
     /// A runner announces that it leaves, stops, and later starts again.
     RunnerLeaves(usize),
-    /// A runner's entry is removed without an announcement; the runner stops, and later starts again.
+    /// A runner's entry is removed without an announcement; the runner stops, and later starts
+    /// again.
     RunnerUnlisted(usize),
     /// A runner fails this many requests.
     RunnerFails(usize, Failure, usize),
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -94,9 +94,9 @@
     version: Mutex<u64>,
 }
 
-/// The loopback network of one run. It is derived from the process id and the run's number within the
-/// process, so that concurrent runs don't share addresses. Each [`Block`] of addresses takes one value
-/// of the third octet, or as many as it needs.
+/// The loopback network of one run. It is derived from the process id and the run's number within
+/// the process, so that concurrent runs don't share addresses. Each [`Block`] of addresses takes
+/// one value of the third octet, or as many as it needs.
 #[derive(Clone, Copy, Debug)]
 struct Net {
     second: u8,
@@ -152,8 +152,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the run's folder can't be created, or if it exists already, because it then holds the
-    /// disks of another run.
+    /// Fails if the run's folder can't be created, or if it exists already, because it then holds
+    /// the disks of another run.
     pub async fn new(plan: &Plan) -> io::Result<Self> {
         if let Some(parent) = plan.folder.parent() {
             fs::create_dir_all(parent)?;
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Applies a fault and returns once it is over.
+    /// Applies a fault; if it lasts for some time, waits until it is over.
     ///
     /// # Errors
     ///
@@ -323,8 +323,8 @@
             .put_runner(&backend.id, backend.service, backend.link.address, state);
     }
 
-    /// Writes a configuration that adds one route and drops the oldest one added before. Returns its
-    /// version.
+    /// Writes a configuration that adds one route and drops the oldest one added before. Returns
+    /// its version.
     fn configure(&self) -> u64 {
         let mut version = self.version();
         *version += 1;
@@ -348,8 +348,8 @@
         self.version.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a configuration. Once it has to be in force, requests the added and the dropped route from
-    /// each undisturbed VM that takes callers.
+    /// Writes a configuration. Once it has to be in force, requests the added and the dropped route
+    /// from each undisturbed VM that takes callers.
     async fn configure_and_check(&self) {
         let version = self.configure();
         sleep(Duration::from_millis(settings::APPLY_MS)).await;
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -11,8 +11,8 @@
 /// How long after the grace period the guarantee about a stop still applies.
 const AFTER_GRACE: Millis = Millis::new(1_000);
 /// The start of the last sixth of the grace period, measured from SIGTERM. If a request was sent
-/// within [`SENT_WITHIN`] after SIGTERM and its runner works on it beyond this point, the end of the
-/// process may cut it off.
+/// within [`SENT_WITHIN`] after SIGTERM and its runner works on it beyond this point, the end of
+/// the process may cut it off.
 const STILL_RUNNING_AFTER: Millis = Millis::new(settings::GRACE_S * 1_000 * 5 / 6);
 /// See [`STILL_RUNNING_AFTER`].
 const SENT_WITHIN: Millis = Millis::new(3_000);
@@ -73,7 +73,8 @@
         self.lost_disks.push((vm, at, None));
     }
 
-    /// Records that the process of a VM is back; if the VM has a disk, it counts as lost a little longer.
+    /// Records that the process of a VM is back; if the VM has a disk, it counts as lost a little
+    /// longer.
     pub fn note_disk_back(&mut self, vm: usize, at: Millis) {
         for (_, _, to) in self
             .lost_disks
@@ -113,7 +114,8 @@
         self.quiet.unwrap_or(Millis::new(u64::MAX))
     }
 
-    /// Returns whether something unplanned happened in this span of time or within [`RECOVERY`] before it.
+    /// Returns whether something unplanned happened in this span of time or within [`RECOVERY`]
+    /// before it.
     #[must_use]
     pub fn is_disturbed(&self, from: Millis, to: Millis) -> bool {
         let from = from.since(RECOVERY);
@@ -137,8 +139,8 @@
         })
     }
 
-    /// Returns when the planned work (a stop or a reload) of this VM began during which the request has to
-    /// be answered, `None` if there was none.
+    /// Returns when the planned work (a stop or a reload) of this VM began during which the request
+    /// has to be answered, `None` if there was none.
     #[must_use]
     pub fn planned_work(&self, vm: usize, sent: Millis, ended: Millis) -> Option<Millis> {
         let end = GRACE.plus(AFTER_GRACE);
@@ -152,8 +154,8 @@
         stop.or(reload).map(|(_, at)| *at)
     }
 
-    /// Returns whether the end of the grace period may have cut off an execution: the request was sent
-    /// soon after SIGTERM, and the execution went on into the last sixth of the grace period.
+    /// Returns whether the end of the grace period may have cut off an execution: the request was
+    /// sent soon after SIGTERM, and the execution went on into the last sixth of the grace period.
     #[must_use]
     pub fn is_cut_by_grace(&self, vm: usize, sent: Millis, ended: Millis) -> bool {
         let mut stops = self.stops.iter().filter(|(stopped, _)| *stopped == vm);
--- a/crates/soak/src/history/tests.rs
+++ b/crates/soak/src/history/tests.rs
@@ -9,19 +9,19 @@
 }
 
 #[test]
-fn a_disruption_disturbs_until_promises_hold_again() {
+fn a_disruption_disturbs_until_guarantees_apply_again() {
     let mut history = History::default();
     let disruption = history.begin_disruption(at(5_000));
     assert!(!history.is_disturbed(at(1_000), at(4_999)));
     assert!(history.is_disturbed(at(60_000), at(60_001)), "it lasts");
     history.end_disruption(disruption, at(6_000));
-    let calm = at(6_001).plus(RECOVERY);
+    let recovered = at(6_001).plus(RECOVERY);
     assert!(history.is_disturbed(at(6_001), at(7_000)));
-    assert!(!history.is_disturbed(calm, calm));
+    assert!(!history.is_disturbed(recovered, recovered));
 }
 
 #[test]
-fn a_stop_is_planned_for_its_vm_until_after_its_grace() {
+fn a_stop_is_planned_work_of_its_vm_until_after_its_grace() {
     let mut history = History::default();
     history.note_stop(1, at(5_000));
     let last = at(6_000).plus(GRACE);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_reload_is_planned_for_what_is_sent_until_it_has_to_be_done() {
+fn a_reload_is_planned_work_for_requests_sent_until_it_has_to_be_done() {
     let mut history = History::default();
     history.note_reload(1, at(5_000));
     assert_eq!(
@@ -46,10 +46,10 @@
     assert_eq!(history.planned_work(1, at(7_001), at(7_500)), None);
 }
 
-/// Only what came soon after SIGTERM may be cut by the end of the grace, and only where its runner
-/// was still at work then.
+/// The end of the grace period may only cut off requests that were sent soon after SIGTERM and
+/// whose runner was still working on them then.
 #[test]
-fn a_run_outlasts_a_stop_that_it_came_soon_after() {
+fn a_request_sent_soon_after_a_stop_may_be_cut_by_the_end_of_its_grace() {
     let mut history = History::default();
     history.note_stop(1, at(10_000));
     assert!(history.is_cut_by_grace(1, at(13_000), at(17_000)));
@@ -69,8 +69,8 @@
     assert_eq!(history.leaving_since("i-2", at(2_000)), None);
 }
 
-/// Two of three VMs with a disk are restarted so soon one after the other that the second goes while
-/// the first may still have to learn. That is more than one loss at a time.
+/// Two of three VMs with a disk are restarted in such quick succession that the second goes down
+/// while the first may still have to catch up. That is more than one loss at a time.
 #[test]
 fn two_lost_disks_are_a_disruption() {
     let mut history = History::default();
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,6 @@
-//! A fault soak: the product's real processes on loopback addresses of their own, with stand-ins for
-//! the platform around them, while faults come from outside and the promises to clients are checked.
+//! A soak test under faults. It runs the product's real processes on loopback addresses of their
+//! own, with stand-ins for the platform around them, injects faults from outside and checks the
+//! guarantees given to clients.
 
 use std::fmt::Debug;
 use std::io;
@@ -46,18 +47,19 @@
 pub mod schedule;
 pub mod vm;
 
-/// How often the soak looks whether it is late itself.
+/// The interval at which the soak measures its own lateness.
 const TICK: Duration = Duration::from_millis(10);
-/// How often the report's timeline has a point.
+/// The interval between two points of the report's timeline.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Until nothing is disturbed any more at the end, before how requests fare is judged.
+/// The time after the last fault until the quiet phase begins, in which turns have to be served
+/// again.
 const SETTLE_MS: u64 = 4_000;
 
-/// Plays a run.
+/// Performs a run and returns its report.
 ///
 /// # Errors
 ///
-/// Fails where processes can't be started or signalled, or don't get ready.
+/// Fails if processes can't be started or signalled, or don't become ready in time.
 pub async fn run(plan: &Plan) -> io::Result<Report> {
     let fleet = Arc::new(Fleet::new(plan).await?);
     let mut processes = JoinSet::new();
@@ -157,7 +159,7 @@
     }
 }
 
-/// Notes again and again how attempts have ended.
+/// Samples the counts of attempts until `end`.
 async fn sample(context: Arc<Context>, end: Instant) -> Vec<Sample> {
     let mut samples = Vec::new();
     while Instant::now() < end {
@@ -173,7 +175,7 @@
     samples
 }
 
-/// Measures by how much the soak itself is late at most.
+/// Measures the longest delay of the soak itself until `end`.
 async fn measure_lateness(end: Instant) -> Millis {
     let mut most = Duration::ZERO;
     while Instant::now() < end {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -20,13 +20,13 @@
 use tokio::runtime::Builder;
 use wire::clock::Millis;
 
-/// The outcome of a run; the fault is shown to the person who called it.
+/// The outcome of a run; an error is printed for the user.
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// Threads of the soak; the processes under test need the rest of the machine.
+/// The worker threads of the soak; the processes under test need the rest of the machine.
 const WORKER_THREADS: usize = 2;
 
-/// What isn't done, and why.
+/// The part of the help that explains why no clock is skewed.
 const CLOCK_NOTE: &str = "No clock is skewed: the processes read the time of day once, when they start, \
     and count from there; what they tell each other and keep are spans of time.";
 
@@ -43,34 +43,34 @@
                 .long("seed")
                 .required_unless_present("regressions")
                 .value_parser(value_parser!(u64))
-                .help("Draws the faults and what clients ask"),
+                .help("Seed of the faults and of the requests of clients"),
         )
         .arg(
             Arg::new("for")
                 .long("for")
                 .default_value("60s")
                 .value_parser(span)
-                .help("How long clients ask, in seconds"),
+                .help("How long clients send requests, in seconds"),
         )
-        .arg(count("vms", "6", "VMs that take callers"))
-        .arg(count("runners", "6", "Runners"))
-        .arg(count("clients", "24", "Clients"))
+        .arg(count("vms", "6", "Number of VMs that take callers"))
+        .arg(count("runners", "6", "Number of runners"))
+        .arg(count("clients", "24", "Number of clients"))
         .arg(
             Arg::new("faults")
                 .long("faults")
                 .value_delimiter(',')
                 .value_parser(value_parser!(Kind))
-                .help("What is done to the system; everything where none is named"),
+                .help("Kinds of faults to apply; all kinds if none is given"),
         )
         .arg(path(
             "binary",
-            "The product's binary; else the one beside the soak's",
+            "The product's binary; by default the one in the folder of the soak's own binary",
         ))
         .arg(path(
             "folder",
-            "Where settings, logs and disks are kept; else removed after a clean run",
+            "Folder for settings, logs and disks; without it a temporary one is used and removed after a clean run",
         ))
-        .arg(path("regressions", "Plays the runs of this file instead").conflicts_with("seed"))
+        .arg(path("regressions", "Repeats the runs of this file instead").conflicts_with("seed"))
         .arg(path("svg", "Draws the report's timeline into this file"))
         .arg(
             Arg::new("json")
@@ -151,7 +151,7 @@
         .enable_all()
         .build()?;
     let report = runtime.block_on(soak::run(plan))?;
-    // The processes end with the runtime, before their folder goes.
+    // Dropping the runtime ends the processes before their folder is removed.
     drop(runtime);
     if matches.get_flag("json") {
         println!("{}", serde_json::to_string_pretty(&report)?);
--- a/crates/soak/src/opener.rs
+++ b/crates/soak/src/opener.rs
@@ -1,8 +1,10 @@
-//! Which VM has opened a connection: the kernel tells its socket, and which process holds that.
+//! Finds which VM has opened a connection: the kernel reports the inode of its socket, and `/proc`
+//! shows which process holds that socket.
 //!
-//! VMs don't connect from addresses of their own, so a proxy between them can't tell them apart
-//! otherwise. The kernel is asked for the one socket over netlink; its table of all sockets takes tens
-//! of milliseconds on a busy machine, in which a VM gives its message up.
+//! VMs don't connect from addresses of their own, so a proxy between them can't distinguish them by
+//! address. The kernel is asked for the single socket over netlink, because reading its table of
+//! all sockets takes tens of milliseconds on a busy machine, and a VM gives up its message in that
+//! time.
 
 use std::collections::HashMap;
 use std::fs;
@@ -19,36 +21,39 @@
 use socket2::Socket;
 use socket2::Type;
 
-/// The kernel's numbers for its netlink sockets, and for the family that tells about sockets.
+// Constants of the kernel, under its own names: the address family of netlink sockets, and the
+// netlink protocol that reports on sockets.
 const AF_NETLINK: i32 = 16;
 const NETLINK_SOCK_DIAG: i32 = 4;
-/// The message's type, its flag of a request, and the type of an answer that is a failure.
+// The type and the flag of the request, and the type of an error answer.
 const SOCK_DIAG_BY_FAMILY: u16 = 20;
 const NLM_F_REQUEST: u16 = 1;
 const NLMSG_ERROR: u16 = 2;
-/// The numbers of IPv4 and of TCP.
+// IPv4 and TCP.
 const AF_INET: u8 = 2;
 const IPPROTO_TCP: u8 = 6;
-/// The length of a request, with its header.
+/// The length of a request, including its header.
 const REQUEST_BYTES: u32 = 72;
-/// Where an answer has its type and the socket's inode.
+/// The offset of the message type in an answer.
 const TYPE_OFFSET: usize = 4;
+/// The offset of the socket's inode in an answer.
 const INODE_OFFSET: usize = 84;
 
-/// Which process holds which socket, as it was last looked at.
+/// Caches which process holds which socket.
 ///
-/// All processes are looked through at once, by one thread at a time, and only for a socket that
-/// isn't known. By themselves, hundreds of new connections a second had a search each, which took the
-/// processor from the VMs; these gave their messages up, and opened further connections.
+/// A scan covers all processes, and only one thread scans at a time, for a socket that isn't
+/// cached. With a scan for each of hundreds of new connections a second, the scans took the CPU
+/// from the VMs, which then gave up their messages and opened even more connections.
 #[derive(Debug, Default)]
 pub struct Openers(Mutex<HashMap<String, usize>>);
 
 impl Openers {
-    /// Finds which of these processes has opened the connection between two addresses.
+    /// Returns the index of the process in `pids` that has opened the connection between two
+    /// addresses.
     ///
     /// # Errors
     ///
-    /// Fails where the kernel can't be asked.
+    /// Fails if the kernel can't be asked.
     pub fn find(
         &self,
         pids: impl FnOnce() -> Vec<Option<u32>>,
@@ -70,7 +75,7 @@
     }
 }
 
-/// Looks which sockets these processes hold; one that has ended holds none.
+/// Scans which sockets these processes hold. A process that has ended holds none.
 fn scan(pids: &[Option<u32>]) -> HashMap<String, usize> {
     let mut found = HashMap::new();
     for (index, id) in pids.iter().enumerate() {
@@ -88,7 +93,7 @@
     found
 }
 
-/// Asks the kernel for the inode of the socket with these ends; there may be none any more.
+/// Asks the kernel for the inode of the socket with these ends; `None` if it is closed or gone.
 fn socket_inode(local: SocketAddrV4, remote: SocketAddrV4) -> io::Result<Option<u32>> {
     let protocol = Some(Protocol::from(NETLINK_SOCK_DIAG));
     let mut kernel = Socket::new(Domain::from(AF_NETLINK), Type::DGRAM, protocol)?;
@@ -101,8 +106,9 @@
     }
     let bytes = [0, 1, 2, 3].map(|index| answer[INODE_OFFSET + index]);
     let inode = u32::from_ne_bytes(bytes);
-    // A socket that is closed already, but not yet gone, is nobody's. Looked for, it costs a search
-    // and isn't found; openers that give up meanwhile would make the next ones wait ever longer.
+    // A socket that is closed but not yet gone has no inode, and no process holds it. A scan for it
+    // would find nothing, and openers that give up during the scan would make the next ones wait
+    // ever longer.
     Ok(Some(inode).filter(|inode| *inode != 0))
 }
 
@@ -111,19 +117,19 @@
     bytes.extend(REQUEST_BYTES.to_ne_bytes());
     bytes.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
     bytes.extend(NLM_F_REQUEST.to_ne_bytes());
-    // A number and a sender, which nobody asks for.
+    // The sequence number and the port id of the sender, both unused.
     bytes.extend([0; 8]);
     bytes.extend([AF_INET, IPPROTO_TCP, 0, 0]);
-    // In whatever state.
+    // Sockets in any state.
     bytes.extend([0xff; 4]);
     bytes.extend(local.port().to_be_bytes());
     bytes.extend(remote.port().to_be_bytes());
     for address in [local, remote] {
         bytes.extend(address.ip().octets());
-        // The rest of an IPv6 address.
+        // The part of the field that only IPv6 addresses use.
         bytes.extend([0; 12]);
     }
-    // On any interface, without the kernel's cookie.
+    // Any interface, and no socket cookie.
     bytes.extend([0; 4]);
     bytes.extend([0xff; 8]);
     bytes
--- a/crates/soak/src/opener/tests.rs
+++ b/crates/soak/src/opener/tests.rs
@@ -11,7 +11,7 @@
     let to = listener.local_addr().unwrap();
     let stream = TcpStream::connect(to).unwrap();
     let from = stream.local_addr().unwrap();
-    // The first process of the machine is another one.
+    // Process 1 is a different process.
     let pids = [None, Some(1), Some(process::id())];
     let openers = Openers::default();
     let others = || pids[..2].to_vec();
@@ -20,18 +20,18 @@
     assert_eq!(openers.find(all, from, to).unwrap(), Some(2));
     let nobody = Vec::new;
     let again = openers.find(nobody, from, to).unwrap();
-    assert_eq!(again, Some(2), "it is known by now");
+    assert_eq!(again, Some(2), "it is cached by now");
 }
 
 #[test]
-fn nobody_has_opened_what_is_not_there() {
+fn a_connection_that_does_not_exist_has_no_opener() {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let pids = || vec![Some(process::id())];
     let found = Openers::default().find(pids, nowhere, nowhere);
     assert_eq!(found.unwrap(), None);
 }
 
-/// A VM has given up a connection whose opener is still to be found: nothing is searched for it.
+/// A VM has given up a connection before its opener was looked up: no processes are scanned for it.
 #[test]
 fn nobody_holds_a_closed_socket() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -40,6 +40,6 @@
     let from = stream.local_addr().unwrap();
     let _open = listener.accept().unwrap();
     drop(stream);
-    let search = || panic!("processes were searched");
+    let search = || panic!("processes were scanned");
     assert_eq!(Openers::default().find(search, from, to).unwrap(), None);
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Returns the cases in which a connection closed without any disruption in or shortly before the
-    /// attempt.
+    /// Returns the cases in which a connection closed without any disruption in or shortly before
+    /// the attempt.
     #[must_use]
     pub fn undisturbed_closes(&self) -> &[Case] {
         &self.undisturbed_closes
--- a/crates/soak/src/oracle/summary.rs
+++ b/crates/soak/src/oracle/summary.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Returns whether an execution ended soon after its client left. Returns `None` if it would have
-    /// ended by then anyway, if it never began, or if the attempt was disturbed.
+    /// Returns whether an execution ended soon after its client left. Returns `None` if it would
+    /// have ended by then anyway, if it never began, or if the attempt was disturbed.
     fn ended_after_departure(&self, index: usize, left: Millis) -> Option<bool> {
         let attempt = &self.attempts[index];
         let soon = left.plus(MAX_EXECUTION_AFTER_DEPARTURE);
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -22,7 +22,7 @@
 use super::Oracle;
 use super::summary::MAX_UNDISTURBED_CLOSES;
 
-/// A judge of one VM and the log that its runner writes.
+/// An oracle for one VM, and the log that its runner writes.
 struct Bench {
     oracle: Oracle,
     log: Log,
@@ -56,15 +56,15 @@
         });
     }
 
-    /// Sends and runs a request, and ends it so.
-    fn play(&mut self, spec: &Spec, outcome: impl FnOnce(&str) -> Outcome) -> String {
+    /// Sends a request, executes it and ends it with `outcome`.
+    fn execute(&mut self, spec: &Spec, outcome: impl FnOnce(&str) -> Outcome) -> String {
         let id = self.begin(spec);
         self.run(&id, &spec.path(), &spec.input);
         self.oracle.finish(&id, &outcome(&id));
         id
     }
 
-    /// Lets time pass: the run began so much earlier.
+    /// Advances the time by moving the start of the run into the past.
     fn advance(&mut self, millis: u64) {
         let started = self.oracle.started;
         self.oracle.started = started.checked_sub(Duration::from_millis(millis)).unwrap();
@@ -128,19 +128,19 @@
 }
 
 #[test]
-fn a_whole_answer_breaks_nothing() {
+fn a_complete_answer_breaks_nothing() {
     let mut bench = Bench::new();
-    bench.play(&spec(Kind::Order), whole);
+    bench.execute(&spec(Kind::Order), whole);
     bench.oracle.check_whole_run();
     assert_eq!(bench.broken_checks(), []);
     assert_eq!(bench.oracle.results.row(Check::Order).exercised, 1);
     assert_eq!(bench.oracle.results.row(Check::Lost).exercised, 0);
 }
 
-/// A VM stops while a request that it has passed on runs, and its process ends before the answer
-/// does: the client sees a closed connection.
+/// A VM stops while a runner executes a request that the VM has forwarded. Its process ends before
+/// the answer does, so the client sees a closed connection.
 #[test]
-fn a_request_that_a_stop_cuts_is_lost() {
+fn a_request_that_a_stop_cuts_off_is_lost() {
     for outcome in [
         Outcome::Closed,
         Outcome::Cut(answer("", 200, String::new())),
@@ -154,9 +154,9 @@
     }
 }
 
-/// The connection closes at once on a request that crosses the close: it wasn't read.
+/// The VM closes the connection while a request is on its way, so it has not read the request.
 #[test]
-fn a_request_that_crosses_the_close_is_not_lost() {
+fn a_request_that_the_vm_never_read_is_not_lost() {
     let mut bench = Bench::new();
     bench.stop();
     let id = bench.begin(&spec(Kind::Order));
@@ -164,9 +164,10 @@
     assert_eq!(bench.broken_checks(), []);
 }
 
-/// The connection closes later than that: the VM had read the request, though it never passed it on.
+/// The connection closes so long after the request that the VM must have read it, although it never
+/// forwarded it.
 #[test]
-fn a_request_that_is_held_and_cut_is_lost() {
+fn a_request_that_is_held_and_cut_off_is_lost() {
     let mut bench = Bench::new();
     bench.stop();
     let id = bench.begin(&spec(Kind::Order));
@@ -176,17 +177,17 @@
 }
 
 #[test]
-fn beside_a_disruption_nothing_is_lost() {
+fn during_a_disruption_nothing_counts_as_lost() {
     let mut bench = Bench::new();
     bench.stop();
     bench.oracle.history.begin_disruption(Millis::ZERO);
-    bench.play(&spec(Kind::Order), |_| Outcome::Closed);
+    bench.execute(&spec(Kind::Order), |_| Outcome::Closed);
     assert_eq!(bench.broken_checks(), []);
     assert_eq!(bench.oracle.results.row(Check::Lost).exercised, 0);
 }
 
 #[test]
-fn a_runner_that_broke_off_excuses_its_vm() {
+fn a_runner_that_cut_its_answer_off_excuses_the_vm() {
     let mut bench = Bench::new();
     bench.stop();
     let id = bench.begin(&spec(Kind::Order));
@@ -197,38 +198,38 @@
 }
 
 #[test]
-fn few_closed_connections_are_borne_without_a_fault() {
+fn a_few_closed_connections_are_tolerated_without_a_fault() {
     let mut bench = Bench::new();
     for _ in 0..MAX_UNDISTURBED_CLOSES {
-        bench.play(&spec(Kind::Order), |_| Outcome::Closed);
+        bench.execute(&spec(Kind::Order), |_| Outcome::Closed);
     }
     assert_eq!(
         bench.oracle.undisturbed_closes().len(),
         MAX_UNDISTURBED_CLOSES
     );
-    bench.play(&spec(Kind::Order), |_| Outcome::Closed);
+    bench.execute(&spec(Kind::Order), |_| Outcome::Closed);
     bench.oracle.check_whole_run();
     assert_eq!(bench.broken_checks(), [Check::Calm]);
 }
 
 #[test]
-fn an_answer_without_its_end_must_not_look_whole() {
+fn an_answer_without_its_end_must_not_look_complete() {
     let mut bench = Bench::new();
-    bench.play(&spec(Kind::Look), |id| {
+    bench.execute(&spec(Kind::Look), |id| {
         Outcome::Whole(answer(id, 200, request::answer(id, b"in\n", 2)))
     });
     assert_eq!(bench.broken_checks(), [Check::Order]);
 }
 
 #[test]
-fn a_part_of_an_answer_may_break_off_but_not_skip() {
+fn an_answer_may_be_cut_off_but_not_skip_events() {
     let mut bench = Bench::new();
-    bench.play(&spec(Kind::Talk), |id| {
+    bench.execute(&spec(Kind::Talk), |id| {
         let body = request::answer(id, b"in\n", 2);
         Outcome::GaveUp(Some(answer(id, 200, body)))
     });
     assert_eq!(bench.broken_checks(), []);
-    bench.play(&spec(Kind::Talk), |id| {
+    bench.execute(&spec(Kind::Talk), |id| {
         let body = request::answer(id, b"in\n", 3);
         let second = body.split_once("\n\n").unwrap().1.to_owned();
         Outcome::GaveUp(Some(answer(id, 200, second)))
@@ -237,29 +238,29 @@
 }
 
 #[test]
-fn another_requests_answer_is_seen() {
+fn the_answer_of_another_request_is_detected() {
     let mut bench = Bench::new();
-    bench.play(&spec(Kind::Look), |_| whole("50a0000000000099"));
+    bench.execute(&spec(Kind::Look), |_| whole("50a0000000000099"));
     assert_eq!(bench.broken_checks(), [Check::Own, Check::Order]);
 }
 
 #[test]
-fn what_runs_once_must_not_run_twice() {
+fn a_request_that_runs_at_most_once_must_not_run_twice() {
     for (kind, broken) in [(Kind::Order, vec![Check::Once]), (Kind::Look, vec![])] {
         let mut bench = Bench::new();
-        let id = bench.play(&spec(kind), whole);
+        let id = bench.execute(&spec(kind), whole);
         bench.run(&id, &spec(kind).path(), &spec(kind).input);
         bench.oracle.check_whole_run();
         assert_eq!(bench.broken_checks(), broken);
     }
 }
 
-/// A VM refuses with the promise that a call hasn't run and never will, and a runner gets it before
-/// or after that.
+/// A VM refuses a call, which guarantees that it has not run and never will. A runner receives the
+/// call before or after the refusal.
 #[test]
-fn what_was_refused_must_not_run() {
+fn a_refused_request_must_not_run() {
     let mut bench = Bench::new();
-    bench.play(&spec(Kind::Order), refused);
+    bench.execute(&spec(Kind::Order), refused);
     assert_eq!(bench.broken_checks(), [Check::Refused]);
     let mut bench = Bench::new();
     let id = bench.begin(&spec(Kind::Order));
@@ -274,7 +275,7 @@
 fn a_turn_continues_its_chain() {
     let mut bench = Bench::new();
     let program = bench.oracle.add_program(100);
-    let first = bench.play(&turn(program, 100, None), whole);
+    let first = bench.execute(&turn(program, 100, None), whole);
     let next = turn(program, 100, Some(&first));
     let id = bench.begin(&next);
     let text = format!("in\n{}in\n", request::output(&first, b"in\n", 3));
@@ -291,7 +292,7 @@
 fn a_kept_turn_must_be_found() {
     let mut bench = Bench::new();
     let program = bench.oracle.add_program(100);
-    let first = bench.play(&turn(program, 100, None), whole);
+    let first = bench.execute(&turn(program, 100, None), whole);
     let id = bench.begin(&turn(program, 100, Some(&first)));
     let outcome = Outcome::Whole(answer(&id, 404, String::new()));
     bench.oracle.finish(&id, &outcome);
@@ -304,7 +305,7 @@
         let mut bench = Bench::new();
         let program = bench.oracle.add_program(30);
         for _ in 0..turns {
-            bench.play(&turn(program, 30, None), whole);
+            bench.execute(&turn(program, 30, None), whole);
         }
         bench.oracle.check_whole_run();
         assert_eq!(bench.broken_checks(), broken);
@@ -312,34 +313,35 @@
 }
 
 #[test]
-fn an_unknown_id_at_a_runner_is_seen() {
+fn an_unknown_id_at_a_runner_is_detected() {
     let mut bench = Bench::new();
     bench.run("50b", "/look/x", &Bytes::new());
     bench.oracle.check_whole_run();
     assert_eq!(bench.broken_checks(), [Check::Asked]);
 }
 
-/// A runner says that it leaves, and gets a request later than the VMs have time to learn of it.
+/// A runner announces that it leaves, and receives a request after the time that VMs have to
+/// notice.
 #[test]
-fn a_leaving_runner_must_get_nothing_late() {
+fn a_leaving_runner_must_not_receive_late_requests() {
     let mut bench = Bench::new();
     bench.oracle.history.note_leaving("i-1", Millis::ZERO);
     bench.advance(1_900);
-    bench.play(&spec(Kind::Look), whole);
+    bench.execute(&spec(Kind::Look), whole);
     assert_eq!(bench.broken_checks(), []);
     bench.advance(200);
-    bench.play(&spec(Kind::Look), whole);
+    bench.execute(&spec(Kind::Look), whole);
     assert_eq!(bench.broken_checks(), [Check::Drains]);
 }
 
-/// A configuration adds a route and drops another. A VM that goes by the one before says 404 for the
-/// first, and serves the second.
+/// A configuration adds a route and drops another. A VM that still uses the previous configuration
+/// answers 404 on the added route and serves the dropped one.
 #[test]
-fn an_older_configuration_is_seen() {
+fn an_older_configuration_is_detected() {
     let unknown = |id: &str| Outcome::Whole(answer(id, 404, String::new()));
     for (kind, holds) in [(Kind::Added(3), true), (Kind::Dropped(1), false)] {
         let mut bench = Bench::new();
-        bench.play(&spec(kind), whole);
+        bench.execute(&spec(kind), whole);
         assert_eq!(bench.broken_checks().is_empty(), holds, "{kind:?}");
         let mut bench = Bench::new();
         let id = bench.begin(&spec(kind));
@@ -348,12 +350,12 @@
     }
 }
 
-/// A client leaves while a runner works for it, and the runner is told so at once or never.
+/// A client leaves while a runner works for it, and the runner is told at once or never.
 #[test]
-fn a_runner_must_hear_that_its_client_has_left() {
+fn a_runner_must_be_told_that_its_client_has_left() {
     for (is_told, broken) in [(true, vec![]), (false, vec![Check::Gone])] {
         let mut bench = Bench::new();
-        bench.play(&spec(Kind::Talk), |_| Outcome::GaveUp(None));
+        bench.execute(&spec(Kind::Talk), |_| Outcome::GaveUp(None));
         if !is_told {
             bench.log.lock().unwrap()[0].ended = None;
         }
@@ -362,10 +364,10 @@
     }
 }
 
-/// A runner takes longer than the route allows. The VM ends the request then, or holds it until its
-/// client gives up.
+/// A runner takes longer than the route allows. The VM ends the request at the route's time-out, or
+/// holds it until the client gives up.
 #[test]
-fn a_request_must_end_when_its_routes_time_is_over() {
+fn a_request_must_end_at_its_routes_time_out() {
     for (held_ms, broken) in [(3_400, vec![]), (3_600, vec![Check::Timely])] {
         let mut bench = Bench::new();
         let long = Spec {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a run is to do.
+//! The parameters of a run.
 
 use std::path::PathBuf;
 
@@ -6,23 +6,23 @@
 
 use crate::fault::Kind;
 
-/// What a run is to do.
+/// The parameters of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The product's binary.
     pub binary: PathBuf,
-    /// Where settings, logs and disks go.
+    /// The folder for settings, logs and disks.
     pub folder: PathBuf,
-    /// Draws the faults and what clients ask.
+    /// The seed of the faults and of the requests of clients.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub span: Millis,
-    /// VMs that take callers.
+    /// The number of VMs that take callers.
     pub vms: usize,
-    /// Runners.
+    /// The number of runners.
     pub runners: usize,
-    /// Clients.
+    /// The number of clients.
     pub clients: usize,
-    /// What is done to the system.
+    /// The kinds of faults.
     pub kinds: Vec<Kind>,
 }
--- a/crates/soak/src/plot.rs
+++ b/crates/soak/src/plot.rs
@@ -1,4 +1,5 @@
-//! The report's timeline as a picture: how attempts ended second by second, above what was done.
+//! Draws the report's timeline: a chart of how attempts ended each second, above a chart of the
+//! faults.
 
 use std::error::Error;
 use std::path::Path;
@@ -19,15 +20,15 @@
 use crate::oracle::Counts;
 use crate::report::Report;
 
-/// The picture's size, in pixels.
+/// The size of the picture, in pixels.
 const SIZE: (u32, u32) = (1_200, 700);
 /// The height of the upper chart, in pixels.
 const UPPER_HEIGHT: u32 = 320;
-/// The room for the axes' texts, in pixels.
+/// The space for the labels of the y axes, in pixels.
 const LABEL_SPACE: u32 = 100;
-/// How wide a fault is drawn that says no span.
+/// The width in which a fault without a duration is drawn.
 const DEFAULT_FAULT_WIDTH: Millis = Millis::new(150);
-/// The row of what broke a check.
+/// The row that shows the cases that broke a check.
 const BROKEN_ROW: &str = "broken";
 
 /// The outcome of drawing.
@@ -35,7 +36,7 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A way in which attempts end, as a line of the upper chart.
+/// A line of the upper chart: attempts that ended in one way.
 struct Line {
     name: &'static str,
     color: RGBColor,
@@ -64,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the file can't be written.
+/// Fails if the file can't be written.
 pub fn draw(report: &Report, file: &Path) -> Result<()> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&colors::WHITE)?;
@@ -114,7 +115,7 @@
     Ok(())
 }
 
-/// Yields how many attempts ended in a way, a second.
+/// Returns how many attempts ended in one way per second, by time in seconds.
 fn rates(report: &Report, count: fn(&Counts) -> u64) -> Vec<(f64, f64)> {
     let pairs = report.samples.windows(2).map(|pair| {
         let span = seconds(pair[1].at.since(pair[0].at)).max(0.001);
--- a/crates/soak/src/plot/tests.rs
+++ b/crates/soak/src/plot/tests.rs
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn rates_are_by_second() {
+fn rates_are_per_second() {
     let rates = rates(&report(), |counts| counts.served);
     assert_eq!(rates, [(2.0, 20.0), (4.0, 5.0)]);
 }
 
 #[test]
-fn the_picture_names_what_was_done() {
+fn the_picture_names_the_faults() {
     let file = env::temp_dir().join(format!("chestnutyoke-plot-{}.svg", process::id()));
     draw(&report(), &file).unwrap();
     let text = fs::read_to_string(&file).unwrap();
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the product and the signals that it is sent.
+//! A process of the product and the signals that are sent to it.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -8,18 +8,18 @@
 use std::process::ExitStatus;
 use std::process::Stdio;
 
-/// A signal, by the name that `kill` takes.
+/// A signal that the command `kill` can send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// Ends the process at once.
     Kill,
     /// Asks it to end.
     Term,
-    /// Says that its settings have changed.
+    /// Asks it to reload its settings.
     Hup,
-    /// Freezes it.
+    /// Pauses it.
     Stop,
-    /// Wakes it up.
+    /// Resumes it.
     Cont,
 }
 
@@ -40,11 +40,11 @@
 pub struct Program<'a> {
     /// The product's binary.
     pub binary: &'a Path,
-    /// The role that it takes.
+    /// The role in which it runs.
     pub role: &'a str,
     /// Its settings file.
     pub settings: &'a Path,
-    /// Where its output is added.
+    /// The file to which its output is appended.
     pub log: &'a Path,
 }
 
@@ -55,13 +55,13 @@
 impl Process {
     /// Starts a process.
     ///
-    /// `setpriv` has the kernel kill it when the thread that started it ends. Without, a soak that
-    /// is killed leaves its processes behind, which keep their addresses and go on. It replaces
-    /// itself by the program, so that the process's id stays the same.
+    /// `setpriv` has the kernel kill the process when the thread that started it ends. Without it,
+    /// a killed soak leaves processes behind, which go on running and keep their addresses.
+    /// `setpriv` replaces itself by the program, so the process id stays the same.
     ///
     /// # Errors
     ///
-    /// Fails where the log can't be written or the program can't be started.
+    /// Fails if the log can't be written or the program can't be started.
     pub fn start(program: &Program<'_>) -> io::Result<Self> {
         let log = OpenOptions::new()
             .create(true)
@@ -79,17 +79,17 @@
         Ok(Self(child))
     }
 
-    /// Yields the process's id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
-    /// Sends a signal. The process hasn't been waited for, so its id can't be another's.
+    /// Sends a signal. The process has not been reaped, so its id can't belong to another process.
     ///
     /// # Errors
     ///
-    /// Fails where the signal can't be sent.
+    /// Fails if the signal can't be sent.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = self.0.id().to_string();
         let status = Command::new("kill").arg(signal.flag()).arg(id).status()?;
@@ -99,11 +99,11 @@
         Err(io::Error::other(format!("{signal:?} wasn't sent")))
     }
 
-    /// Yields how the process ended, if it has.
+    /// Returns how the process ended, if it has.
     ///
     /// # Errors
     ///
-    /// Fails where the system can't tell.
+    /// Fails if the kernel can't report it.
     pub fn exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         self.0.try_wait()
     }
@@ -111,7 +111,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Fails only where it has ended already.
+        // Fails only if it has ended already.
         let _gone = self.0.kill();
         let _status = self.0.wait();
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A loopback proxy in front of a VM, the platform's store or a runner, which delays, resets, cuts or
-//! silences connections.
+//! A loopback proxy in front of a VM, the platform's store or a runner, which delays, resets, cuts
+//! or silences connections.
 //!
-//! The kernel acknowledges bytes that the proxy holds back. So a time-out of TCP itself never occurs
-//! here, as it would on a real link that is cut.
+//! The kernel acknowledges bytes that the proxy holds back. So a time-out of TCP itself never
+//! occurs here, as it would on a real link that is cut.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
 
 /// The most bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// After this much silence the product's TCP keep-alive would end a connection. The proxy has to reset
-/// silenced connections itself, because the kernel answers keep-alive probes on its behalf.
+/// After this much silence the product's TCP keep-alive would end a connection. The proxy has to
+/// reset silenced connections itself, because the kernel answers keep-alive probes on its behalf.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(3_200);
 /// The pause before a failed bind to an address is tried again.
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
@@ -145,8 +145,8 @@
     while let Ok((stream, from)) = listener.accept().await {
         let (source, states) = (source.clone(), states.clone());
         tokio::spawn(async move {
-            // Connects to the target before it searches for the opener: VMs try a stopped VM dozens of
-            // times a second, and a search for each try left too little CPU for the runners and
+            // Connects to the target before it searches for the opener: VMs try a stopped VM dozens
+            // of times a second, and a search for each try left too little CPU for the runners and
             // clients of the run.
             let Some(server) = connect(&stream, target).await else {
                 return;
--- a/crates/soak/src/proxy/tests.rs
+++ b/crates/soak/src/proxy/tests.rs
@@ -16,13 +16,13 @@
 use super::Link;
 use super::Mode;
 
-/// Longer than a loopback takes, also on a busy machine.
+/// Longer than a loopback connection takes even on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// How long nothing may come to count as held.
+/// After this long without any byte the bytes count as held back.
 const HOLD_TIME: Duration = Duration::from_millis(150);
 
-/// Starts an echo and a link to it; yields a connection through it.
-async fn through() -> (Link, TcpStream) {
+/// Starts an echo server and a link to it; returns the link and a connection through it.
+async fn echo_through_link() -> (Link, TcpStream) {
     let echo = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let target = echo.local_addr().unwrap();
     tokio::spawn(async move {
@@ -53,36 +53,36 @@
     timeout(TIMEOUT, connected).await.unwrap()
 }
 
-async fn echoed(stream: &mut TcpStream) -> std::io::Result<u8> {
+async fn echo_byte(stream: &mut TcpStream) -> std::io::Result<u8> {
     stream.write_all(b"x").await?;
     stream.read_u8().await
 }
 
 #[tokio::test]
 async fn an_open_link_passes_bytes() {
-    let (_link, mut stream) = through().await;
-    let byte = timeout(TIMEOUT, echoed(&mut stream)).await.unwrap();
+    let (_link, mut stream) = echo_through_link().await;
+    let byte = timeout(TIMEOUT, echo_byte(&mut stream)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
 
 #[tokio::test]
 async fn a_slow_link_passes_bytes_later() {
-    let (link, mut stream) = through().await;
+    let (link, mut stream) = echo_through_link().await;
     link.set_mode(Mode::Slow(Millis::new(100)));
-    let begun = std::time::Instant::now();
-    let byte = timeout(TIMEOUT, echoed(&mut stream)).await.unwrap();
+    let started = std::time::Instant::now();
+    let byte = timeout(TIMEOUT, echo_byte(&mut stream)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
-    assert!(begun.elapsed() >= Duration::from_millis(200));
+    assert!(started.elapsed() >= Duration::from_millis(200));
 }
 
 #[tokio::test]
-async fn a_cut_holds_bytes_until_it_ends() {
+async fn a_cut_link_holds_bytes_until_it_is_open_again() {
     for cut in [
         Mode::Cut,
         Mode::CutOneWay(Direction::Out),
         Mode::CutOneWay(Direction::Back),
     ] {
-        let (link, mut stream) = through().await;
+        let (link, mut stream) = echo_through_link().await;
         link.set_mode(cut);
         stream.write_all(b"x").await.unwrap();
         assert!(
@@ -95,26 +95,26 @@
     }
 }
 
-/// Connections go silent without a reset, as where a middlebox has dropped their flows. They stay
+/// Connections go silent without a reset, as if a middlebox had dropped their flows. They stay
 /// silent; new ones work.
 #[tokio::test]
 async fn a_silenced_connection_stays_silent() {
-    let (link, mut stream) = through().await;
-    timeout(TIMEOUT, echoed(&mut stream))
+    let (link, mut stream) = echo_through_link().await;
+    timeout(TIMEOUT, echo_byte(&mut stream))
         .await
         .unwrap()
         .unwrap();
     link.silence();
-    assert!(timeout(HOLD_TIME, echoed(&mut stream)).await.is_err());
-    let mut fresh = connect(link.address).await;
-    let byte = timeout(TIMEOUT, echoed(&mut fresh)).await.unwrap();
+    assert!(timeout(HOLD_TIME, echo_byte(&mut stream)).await.is_err());
+    let mut new = connect(link.address).await;
+    let byte = timeout(TIMEOUT, echo_byte(&mut new)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
 
 #[tokio::test]
 async fn a_link_that_is_down_resets_and_refuses() {
-    let (link, mut stream) = through().await;
-    timeout(TIMEOUT, echoed(&mut stream))
+    let (link, mut stream) = echo_through_link().await;
+    timeout(TIMEOUT, echo_byte(&mut stream))
         .await
         .unwrap()
         .unwrap();
@@ -128,31 +128,34 @@
     };
     timeout(TIMEOUT, refused).await.unwrap();
     link.set_mode(Mode::Open);
-    let mut fresh = connect(link.address).await;
-    let byte = timeout(TIMEOUT, echoed(&mut fresh)).await.unwrap();
+    let mut new = connect(link.address).await;
+    let byte = timeout(TIMEOUT, echo_byte(&mut new)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
 
-/// What one VM sends another is cut, while a third one still reaches it.
+/// The link from one VM to another is cut, while a third VM still reaches the target.
 #[tokio::test]
-async fn links_of_a_fan_are_cut_by_themselves() {
-    let (echo, _stream) = through().await;
+async fn links_of_a_group_are_cut_independently() {
+    let (echo, _stream) = echo_through_link().await;
     let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = free.local_addr().unwrap();
     drop(free);
-    // The first to connect is the first source.
+    // Sources are numbered in the order in which they connect.
     let count = Arc::new(AtomicUsize::new(0));
     let source = move |_from, _to| Some(count.fetch_add(1, Ordering::SeqCst));
     let group = Group::start(address, echo.address, 2, source);
     let mut first = connect(address).await;
-    timeout(TIMEOUT, echoed(&mut first)).await.unwrap().unwrap();
+    timeout(TIMEOUT, echo_byte(&mut first))
+        .await
+        .unwrap()
+        .unwrap();
     let mut second = connect(address).await;
-    timeout(TIMEOUT, echoed(&mut second))
+    timeout(TIMEOUT, echo_byte(&mut second))
         .await
         .unwrap()
         .unwrap();
     group.links[0].set_mode(Mode::Cut);
-    assert!(timeout(HOLD_TIME, echoed(&mut first)).await.is_err());
-    let byte = timeout(TIMEOUT, echoed(&mut second)).await.unwrap();
+    assert!(timeout(HOLD_TIME, echo_byte(&mut first)).await.is_err());
+    let byte = timeout(TIMEOUT, echo_byte(&mut second)).await.unwrap();
     assert_eq!(byte.unwrap(), b'x');
 }
--- a/crates/soak/src/regression.rs
+++ b/crates/soak/src/regression.rs
@@ -1,4 +1,4 @@
-//! Seeds that once showed a fault, kept in a file.
+//! Reads the file of runs that once failed.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use crate::fault::Kind;
 use crate::plan::Plan;
 
-/// The file can't be read.
+/// The file can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("the regressions can't be read: {_0}")]
 pub struct Fault(#[error(not(source))] String);
@@ -18,29 +18,29 @@
 /// The outcome of reading the file.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// A run that once showed a fault.
+/// A run that once failed.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Run {
     /// Its seed.
     pub seed: u64,
-    /// How long clients asked, in seconds.
+    /// How long clients sent requests, in seconds.
     pub for_s: u64,
-    /// VMs that took callers.
+    /// The number of VMs that took callers.
     pub vms: usize,
-    /// Runners.
+    /// The number of runners.
     #[serde(default = "default_runners")]
     pub runners: usize,
-    /// Clients.
+    /// The number of clients.
     #[serde(default = "default_clients")]
     pub clients: usize,
-    /// What was done to the system.
+    /// The kinds of faults.
     pub faults: Vec<Kind>,
     /// Why the run failed.
     pub cause: String,
 }
 
 impl Run {
-    /// Plans to play the run again, with this binary, in this folder, for at most `most`.
+    /// Returns the plan that repeats the run with this binary, in this folder, for at most `most`.
     #[must_use]
     pub fn plan(&self, binary: PathBuf, folder: PathBuf, most: Millis) -> Plan {
         Plan {
@@ -56,12 +56,12 @@
     }
 }
 
-/// As many as the command line takes where it isn't told.
+/// Returns the default of the command line.
 const fn default_runners() -> usize {
     6
 }
 
-/// As many as the command line takes where it isn't told.
+/// Returns the default of the command line.
 const fn default_clients() -> usize {
     24
 }
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// Fails where a run lacks something or names an unknown fault.
+/// Fails if a run lacks a key or names an unknown fault.
 pub fn parse(text: &str) -> Result<Vec<Run>> {
     let file: File = toml::from_str(text).map_err(|fault| Fault(fault.to_string()))?;
     Ok(file.run)
--- a/crates/soak/src/regression/tests.rs
+++ b/crates/soak/src/regression/tests.rs
@@ -8,11 +8,11 @@
 
 use super::parse;
 
-/// The file beside the crate's sources.
+/// The file of regressions in the crate's folder.
 const FILE: &str = include_str!("../../regressions.toml");
 
 #[test]
-fn each_kept_run_says_why_it_failed() {
+fn each_run_says_why_it_failed() {
     for run in parse(FILE).unwrap() {
         assert!(!run.faults.is_empty(), "{run:?}");
         assert!(run.cause.len() > 20, "{run:?}");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_short_form_does_what_the_whole_run_begins_with() {
+fn a_shortened_run_has_the_first_faults_of_the_whole_run() {
     for run in parse(FILE).unwrap() {
         let plan = |most: u64| run.plan(PathBuf::new(), PathBuf::new(), Millis::new(most));
         assert_eq!(plan(u64::MAX).span, Millis::new(run.for_s * 1_000));
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run found.
+//! The report of a run.
 
 use std::fmt;
 use std::fmt::Display;
@@ -13,41 +13,42 @@
 use crate::oracle::Counts;
 use crate::schedule::Step;
 
-/// What a run found.
+/// The report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// When clients began, since the start of the run, as all times here.
+    /// When clients began. Like all times here it counts from the start of the run.
     pub traffic_from: Millis,
-    /// What was done, and when.
+    /// The faults that were applied, and when.
     pub done: Vec<Step>,
-    /// How clients' attempts ended.
+    /// How many attempts of clients ended in which way.
     pub counts: Counts,
-    /// How many had ended so by then, second by second.
+    /// The same counts once a second.
     pub samples: Vec<Sample>,
-    /// The checks.
+    /// The results of the checks.
     pub checks: Results,
-    /// Connections that closed on their request without a fault near, where they were few.
+    /// Connections that closed on a request without any disruption in or shortly before it, if they
+    /// were few enough not to break a check.
     pub calm: Vec<Case>,
-    /// The longest time by which the soak itself was late: its clients and runners stood still for
-    /// so long, and the processes perhaps as well.
+    /// The longest delay of the soak itself: its clients and runners stood still for this long, and
+    /// perhaps the processes under test as well.
     pub late: Millis,
-    /// Whether the disk that the processes write to stood still.
+    /// The stalls of the disk that the processes write to.
     pub disk: Stalls,
 }
 
-/// How clients' attempts had ended by a moment.
+/// The counts of attempts at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Sample {
-    /// When.
+    /// The time.
     pub at: Millis,
-    /// How they had ended.
+    /// How many attempts had ended in which way.
     pub counts: Counts,
 }
 
 impl Report {
-    /// Tells whether all checks held.
+    /// Returns whether all checks held.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.checks.broken_checks() == 0
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,7 +1,7 @@
 //! Generates the schedule of faults from a seed; faults come one after the other and overlap.
 //!
-//! Phases of planned work alone are mixed with phases of all kinds of faults, because the guarantee that a stop
-//! loses no request only applies if no other fault is near.
+//! Phases of planned work alone are mixed with phases of all kinds of faults, because the guarantee
+//! that a stop loses no request only applies if no other fault is near.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -23,8 +23,8 @@
 pub const QUIET_END_MS: u64 = 14_000;
 /// The shortest and the longest duration of a phase.
 const PHASE_MS: (u64, u64) = (8_000, 16_000);
-/// The time between two phases: more than the time after a disruption in which guarantees with a time
-/// bound don't apply.
+/// The time between two phases: more than the time after a disruption in which guarantees with a
+/// time bound don't apply.
 const PHASE_GAP_MS: u64 = 4_500;
 /// The least time between two lost disks: more than a new member needs to copy all data.
 const WIPE_GAP_MS: u64 = 20_000;
--- a/crates/soak/src/schedule/tests.rs
+++ b/crates/soak/src/schedule/tests.rs
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_again() {
+fn a_seed_always_generates_the_same_schedule() {
     let kinds = Kind::value_variants();
     assert_eq!(generated(7, kinds), generated(7, kinds));
     assert_ne!(generated(7, kinds), generated(8, kinds));
 }
 
 #[test]
-fn each_kind_is_drawn_and_leaves_the_end_quiet() {
+fn each_kind_is_generated_and_leaves_the_end_quiet() {
     for kind in Kind::value_variants() {
         let steps = generated(3, &[*kind]);
         assert!(!steps.is_empty(), "{kind:?}");
@@ -39,8 +39,8 @@
     }
 }
 
-/// Two disks lost before the first one was made good again would be more than the system promises
-/// to bear, and the run would blame it for that.
+/// If a second disk were lost before the first one is restored, that would be more than the system
+/// has to tolerate, and the run would report failures that are none.
 #[test]
 fn no_two_disks_are_lost_near_each_other() {
     for seed in 0..200 {
@@ -55,7 +55,7 @@
     }
 }
 
-/// All VMs of a data centre are told to stop before the first one has ended.
+/// All VMs of a data centre are asked to stop before the first one has ended.
 #[test]
 fn stops_of_a_data_centre_overlap() {
     let steps = generated(1, &[Kind::Overlap]);
--- a/crates/soak/src/vm.rs
+++ b/crates/soak/src/vm.rs
@@ -209,7 +209,7 @@
         sleep(span.as_duration()).await;
         let mut state = self.state();
         state.signal(Signal::Cont)?;
-        // Its end tells about the product again, unless it is stopping or about to be killed.
+        // Its end tells about the product again, unless it is stopping or was killed.
         state.interfered = state.term_sent_at.is_some() || state.disruption.is_some();
         let mut oracle = context.oracle();
         let now = oracle.now();
