--- a/crates/soak/src/body.rs
+++ b/crates/soak/src/body.rs
@@ -18,7 +18,7 @@
 /// The number of pauses between those pieces.
 const SLOW_PAUSES: u32 = 3;
 /// The pause before the second half of a body that stops: longer than any client stays.
-const NEVER: Duration = Duration::from_hours(1);
+const STOP_PAUSE: Duration = Duration::from_hours(1);
 
 /// How a client sends a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
         let (count, pause) = match pace {
             Pace::AtOnce => (1, Duration::ZERO),
             Pace::Slow(pause) => (SLOW_PIECES, pause),
-            Pace::Stops => (2, NEVER),
+            Pace::Stops => (2, STOP_PAUSE),
         };
         Self {
             remaining: bytes.len() as u64,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -245,7 +245,7 @@
                 program: program.as_deref(),
                 turn: spec.turn.as_ref().map(|turn| caller::Turn {
                     budget: turn.budget,
-                    most: spec.max_tokens(),
+                    max_tokens: spec.max_tokens(),
                     previous: turn.previous.as_deref(),
                 }),
                 body: spec.input.clone(),
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -116,7 +116,7 @@
 }
 
 /// How many addresses a block has for each value of the third octet.
-const ADDRESSES_PER_NUMBER: usize = 200;
+const ADDRESSES_PER_OCTET: usize = 200;
 
 impl Net {
     /// Returns the network of the next run.
@@ -124,25 +124,25 @@
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let id = process::id();
-        let part = |value: u32| u8::try_from(value).unwrap_or_default();
+        let octet = |value: u32| u8::try_from(value).unwrap_or_default();
         Self {
-            second: part(1 + id % 250),
-            third: part(10 + (id / 250 + run) % 20 * 12),
+            second: octet(1 + id % 250),
+            third: octet(10 + (id / 250 + run) % 20 * 12),
         }
     }
 
     fn ip(self, block: Block, index: usize) -> IpAddr {
-        let part = |value: usize| u8::try_from(value).unwrap_or_default();
-        let third = self.third + block as u8 + part(index / ADDRESSES_PER_NUMBER);
+        let octet = |value: usize| u8::try_from(value).unwrap_or_default();
+        let third = self.third + block as u8 + octet(index / ADDRESSES_PER_OCTET);
         IpAddr::from([
             127,
             self.second,
             third,
-            part(1 + index % ADDRESSES_PER_NUMBER),
+            octet(1 + index % ADDRESSES_PER_OCTET),
         ])
     }
 
-    fn link(self, block: Block, index: usize, port: u16) -> SocketAddr {
+    fn address(self, block: Block, index: usize, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip(block, index), port)
     }
 }
@@ -160,11 +160,11 @@
         }
         fs::create_dir(&plan.folder)?;
         let net = Net::next();
-        let store = Store::start(net.link(Block::Store, 0, STORE_PORT)).await;
+        let store = Store::start(net.address(Block::Store, 0, STORE_PORT)).await;
         let mut vms = Vec::new();
         let mut store_links = Vec::new();
         for index in 0..plan.vms + DISK_VMS {
-            let address = net.link(Block::StoreLinks, index, STORE_PORT);
+            let address = net.address(Block::StoreLinks, index, STORE_PORT);
             store_links.push(Link::start(address, store.address));
             vms.push(Vm::new(prepare_vm(plan, net, index)?));
         }
@@ -469,7 +469,7 @@
         openers.find(ids, from, to).ok().flatten()
     };
     let group = |(index, vm): (usize, &Arc<Vm>)| {
-        let address = net.link(Block::VmLinks, index, settings::PEERS);
+        let address = net.address(Block::VmLinks, index, settings::PEERS);
         Group::start(address, vm.peers(), vms.len(), source.clone())
     };
     vms.iter().enumerate().map(group).collect()
@@ -481,7 +481,7 @@
         return Vec::new();
     }
     let link = |(index, vm): (usize, &Arc<Vm>)| {
-        let address = net.link(Block::ClientLinks, index, settings::CALLERS);
+        let address = net.address(Block::ClientLinks, index, settings::CALLERS);
         Link::start(address, vm.callers())
     };
     vms[..plan.vms].iter().enumerate().map(link).collect()
@@ -498,7 +498,7 @@
         format!("front-{centre}-{}", index / DISK_VMS + 1)
     };
     let disk = is_disk.then(|| plan.folder.join(&name));
-    let advertised = net.link(Block::VmLinks, index, settings::PEERS);
+    let advertised = net.address(Block::VmLinks, index, settings::PEERS);
     let text = settings::text(&settings::Vm {
         name: &name,
         centre,
@@ -507,7 +507,7 @@
             .kinds
             .contains(&FaultKind::VmLink)
             .then_some(advertised),
-        store: net.link(Block::StoreLinks, index, STORE_PORT),
+        store: net.address(Block::StoreLinks, index, STORE_PORT),
         disk: disk.as_deref(),
     });
     let file = plan.folder.join(format!("{name}.toml"));
@@ -526,12 +526,12 @@
 /// Starts a runner and the link to it; two of three runners serve `models`, the third `ops`.
 async fn start_backend(net: Net, at: usize, log: runner::Log) -> Backend {
     let id = format!("i-{at:02}");
-    let address = net.link(Block::Runners, at, RUNNER_PORT);
+    let address = net.address(Block::Runners, at, RUNNER_PORT);
     let runner = Runner::start_logging(&id, address, log).await;
     Backend {
         id,
         service: if at % 3 == 2 { "ops" } else { "models" },
         runner,
-        link: Link::start(net.link(Block::RunnerLinks, at, RUNNER_PORT), address),
+        link: Link::start(net.address(Block::RunnerLinks, at, RUNNER_PORT), address),
     }
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -76,11 +76,7 @@
     /// Records that the process of a VM is back; if the VM has a disk, it counts as lost a little
     /// longer.
     pub fn note_disk_back(&mut self, vm: usize, at: Millis) {
-        for (_, _, to) in self
-            .lost_disks
-            .iter_mut()
-            .filter(|(lost_disks, ..)| *lost_disks == vm)
-        {
+        for (_, _, to) in self.lost_disks.iter_mut().filter(|(lost, ..)| *lost == vm) {
             to.get_or_insert(at.plus(CATCH_UP));
         }
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -27,7 +27,7 @@
 const WORKER_THREADS: usize = 2;
 
 /// The part of the help that explains why no clock is skewed.
-const CLOCK_NOTE: &str = "No clock is skewed: the processes read the time of day once, when they start, \
+const CLOCKS: &str = "No clock is skewed: the processes read the time of day once, when they start, \
     and count from there; what they tell each other and keep are spans of time.";
 
 fn command() -> Command {
@@ -37,7 +37,7 @@
     };
     Command::new("soak")
         .about("Runs real processes under faults and checks what clients and runners see")
-        .after_help(CLOCK_NOTE)
+        .after_help(CLOCKS)
         .arg(
             Arg::new("seed")
                 .long("seed")
@@ -68,7 +68,7 @@
         ))
         .arg(path(
             "folder",
-            "Folder for settings, logs and disks; without it a temporary one is used and removed after a clean run",
+            "Folder for settings, logs and disks; by default a temporary one, removed after a clean run",
         ))
         .arg(path("regressions", "Repeats the runs of this file instead").conflicts_with("seed"))
         .arg(path("svg", "Draws the report's timeline into this file"))
--- a/crates/soak/src/oracle/answer.rs
+++ b/crates/soak/src/oracle/answer.rs
@@ -66,10 +66,11 @@
 
     fn check_proper(&mut self, index: usize, answer: &Answer, continues: bool) {
         let status = answer.status;
-        let is_own = matches!(status, 402 | 408 | 421 | 429);
-        let is_kept = continues && matches!(status, 404 | 410);
+        let has_own_check = matches!(status, 402 | 408 | 421 | 429);
+        let is_missing_turn = continues && matches!(status, 404 | 410);
         let is_whole = self.attempts[index].body_sent_at().is_some();
-        let is_denied = matches!(status, 300..=499) && is_whole && !is_own && !is_kept;
+        let is_denied =
+            matches!(status, 300..=499) && is_whole && !has_own_check && !is_missing_turn;
         let what = || format!("status {status}: {}", answer.body);
         self.record(Check::Proper, index, is_denied.then(what));
     }
--- a/crates/soak/src/oracle/execution.rs
+++ b/crates/soak/src/oracle/execution.rs
@@ -19,20 +19,20 @@
             log[self.checked..].to_vec()
         };
         for seen in unchecked {
-            let place = self.checked;
+            let log_index = self.checked;
             self.checked += 1;
-            self.check_execution(place, &seen);
+            self.check_execution(log_index, &seen);
         }
     }
 
-    fn check_execution(&mut self, place: usize, seen: &Seen) {
+    fn check_execution(&mut self, log_index: usize, seen: &Seen) {
         let Some(index) = self.find(&seen.id) else {
             let case = self.case(&seen.id, "", "no client sent this id".to_owned());
             self.results.record(Check::Asked, Some(case));
             return;
         };
         let spec = self.attempts[index].spec.clone();
-        let came = self.since_start(seen.at);
+        let arrived = self.since_start(seen.at);
         let expected = self.expected_body(index);
         let is_same = seen.path == spec.path() && seen.body.ends_with(&spec.input);
         let what = || format!("{} got path {} or another body", seen.runner, seen.path);
@@ -55,10 +55,11 @@
             let what = format!("it ran at {} after status {status}", seen.runner);
             self.record(check, index, Some(what));
         }
-        if let Some(left) = self.history.leaving_since(&seen.runner, came) {
-            let is_late = came > left.plus(DRAIN_TIME) && !self.history.is_disturbed(left, came);
+        if let Some(left) = self.history.leaving_since(&seen.runner, arrived) {
+            let is_late =
+                arrived > left.plus(DRAIN_TIME) && !self.history.is_disturbed(left, arrived);
             let what = || {
-                let span = came.since(left).as_u64();
+                let span = arrived.since(left).as_u64();
                 format!(
                     "{} ran it {span} ms after it said that it leaves",
                     seen.runner
@@ -66,6 +67,6 @@
             };
             self.record(Check::Drains, index, is_late.then(what));
         }
-        self.attempts[index].executions.push(place);
+        self.attempts[index].executions.push(log_index);
     }
 }
--- a/crates/soak/src/oracle/summary.rs
+++ b/crates/soak/src/oracle/summary.rs
@@ -68,7 +68,7 @@
     /// time-out.
     fn check_overlong(&mut self) {
         let overlong = std::mem::take(&mut self.overlong);
-        let undisturbed_closes = overlong.iter().filter(|(index, ended)| {
+        let undisturbed = overlong.iter().filter(|(index, ended)| {
             let sent = self.attempts[*index].sent;
             !self.history.is_disturbed(sent, *ended)
         });
@@ -78,7 +78,7 @@
                 *ended <= self.attempts[*index].deadline.plus(MAX_OVERTIME),
             )
         };
-        let checked = undisturbed_closes.map(in_time).collect();
+        let checked = undisturbed.map(in_time).collect();
         let what = "it was held for longer than its route allows";
         self.record_share(Check::Timely, checked, what);
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -222,7 +222,7 @@
                     pump(from_server, to_client, Direction::Back, initial, back_states),
                 )
             } => forwarded.map(|_| ()),
-            _reset = wait_for_reset(&mut states, initial) => Err(io::ErrorKind::ConnectionReset.into()),
+            _reset = reset_signal(&mut states, initial) => Err(io::ErrorKind::ConnectionReset.into()),
         }
     };
     if prepared.and(forwarded).is_err() {
@@ -231,7 +231,7 @@
     }
 }
 
-async fn wait_for_reset(states: &mut watch::Receiver<State>, initial: State) {
+async fn reset_signal(states: &mut watch::Receiver<State>, initial: State) {
     let is_reset = |state: &State| state.resets > initial.resets || state.mode == Mode::Down;
     let is_over = |state: &State| is_reset(state) || state.silences > initial.silences;
     // A dropped link also resets its connections.
