--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -52,9 +52,9 @@
                 .value_parser(span)
                 .help("How long clients send requests, in seconds"),
         )
-        .arg(count("vms", "6", "Number of VMs that take callers"))
-        .arg(count("runners", "6", "Number of runners"))
-        .arg(count("clients", "24", "Number of clients"))
+        .arg(count("vms", "6", "VMs that take callers"))
+        .arg(count("runners", "6", "Runners"))
+        .arg(count("clients", "24", "Clients"))
         .arg(
             Arg::new("faults")
                 .long("faults")
