--- a/crates/node/tests/request/metrics.rs
+++ b/crates/node/tests/request/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics that a node serves.
 
-use fakes::figures;
+use fakes::metrics;
 use http_body_util::BodyExt;
 use serde_json::json;
 use standin::client;
@@ -20,7 +20,7 @@
 #[tokio::test]
 async fn the_documentation_lists_every_metric() {
     let fleet = Fleet::plain().await;
-    figures::compare("serve", &scrape(&fleet).await);
+    metrics::compare("serve", &scrape(&fleet).await);
 }
 
 // A whole turn, a streamed turn and a refusal are each counted under their own label.
--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Which VM gets a new connection, as the platform's balancer decides it.
+//! Chooses the VM for each new connection as the platform's balancer does.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -9,10 +9,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// How often VMs are asked whether they are ready, and how long they may take to say so.
-pub const ASK: Duration = Duration::from_secs(1);
-/// After so many misses a VM gets no new connections.
-const MISSES: u32 = 2;
+/// How often VMs are asked whether they are ready, and the time-out of each such probe.
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// After this many failed probes in a row a VM gets no new connections.
+const MISS_THRESHOLD: u32 = 2;
 
 /// A VM as the balancer sees it.
 #[derive(Clone, Debug)]
@@ -21,9 +21,9 @@
     pub centre: usize,
     /// Where clients connect.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Where it reports whether it is ready.
     pub ready: SocketAddr,
-    /// Answers other than 200 in a row.
+    /// How many probes in a row were not answered with status 200.
     pub misses: u32,
 }
 
@@ -32,69 +32,72 @@
 pub struct Balancer(Mutex<Vec<Row>>);
 
 impl Balancer {
-    /// Makes a balancer of these VMs, none of which is asked yet.
+    /// Creates a balancer of these VMs, none of which has been probed yet.
     #[must_use]
     pub fn new(rows: Vec<Row>) -> Self {
         Self(Mutex::new(rows))
     }
 
-    /// Yields how the VMs stand.
+    /// Returns the state of all VMs.
     #[must_use]
     pub fn rows(&self) -> Vec<Row> {
         let rows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         rows.clone()
     }
 
-    /// Yields where a VM takes clients.
+    /// Returns the address at which clients connect to a VM.
     #[must_use]
     pub fn callers(&self, vm: usize) -> SocketAddr {
         let rows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         rows[vm].callers
     }
 
-    /// Asks all VMs once whether they are ready.
-    pub async fn ask(&self) {
-        let mut asked = JoinSet::new();
-        for (at, row) in self.rows().into_iter().enumerate() {
-            asked.spawn(async move {
-                let status = timeout(ASK, caller::status(row.ready, "/-/readyz")).await;
-                (at, status == Ok(Some(200)))
+    /// Probes all VMs once.
+    pub async fn probe(&self) {
+        let mut probes = JoinSet::new();
+        for (index, row) in self.rows().into_iter().enumerate() {
+            probes.spawn(async move {
+                let status = timeout(PROBE_INTERVAL, caller::status(row.ready, "/-/readyz")).await;
+                (index, status == Ok(Some(200)))
             });
         }
-        while let Some(Ok((at, is_ready))) = asked.join_next().await {
+        while let Some(Ok((index, is_ready))) = probes.join_next().await {
             let mut rows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let row = &mut rows[at];
+            let row = &mut rows[index];
             row.misses = if is_ready { 0 } else { row.misses + 1 };
         }
     }
 
-    /// Chooses a VM for a new connection from a data centre.
+    /// Chooses a VM for a new connection of a client in this data centre.
     #[must_use]
     pub fn choose(&self, centre: usize, hash: usize) -> usize {
         choose(&self.rows(), centre, hash)
     }
 }
 
-/// Chooses among the VMs of the data centre in rotation; among all of it where fewer than half are,
-/// and in other data centres where none is.
+/// Chooses among the VMs of the data centre that are in rotation. If fewer than half of its VMs
+/// are, it chooses among all of them; if none is, among those in rotation in other data centres.
 #[must_use]
 pub fn choose(rows: &[Row], centre: usize, hash: usize) -> usize {
     let all: Vec<usize> = (0..rows.len()).collect();
-    let own: Vec<usize> = of(&all, |at| rows[at].centre == centre);
-    let in_rotation = of(&own, |at| rows[at].misses < MISSES);
-    if in_rotation.len() * 2 >= own.len() && !in_rotation.is_empty() {
+    let local: Vec<usize> = filter(&all, |index| rows[index].centre == centre);
+    let in_rotation = filter(&local, |index| rows[index].misses < MISS_THRESHOLD);
+    if in_rotation.len() * 2 >= local.len() && !in_rotation.is_empty() {
         return in_rotation[hash % in_rotation.len()];
     }
     if !in_rotation.is_empty() {
-        return own[hash % own.len()];
+        return local[hash % local.len()];
     }
-    let elsewhere = of(&all, |at| rows[at].misses < MISSES);
-    let usable = if elsewhere.is_empty() { all } else { elsewhere };
+    let remote = filter(&all, |index| rows[index].misses < MISS_THRESHOLD);
+    let usable = if remote.is_empty() { all } else { remote };
     usable[hash % usable.len()]
 }
 
-fn of(rows: &[usize], wanted: impl Fn(usize) -> bool) -> Vec<usize> {
-    rows.iter().copied().filter(|at| wanted(*at)).collect()
+fn filter(rows: &[usize], wanted: impl Fn(usize) -> bool) -> Vec<usize> {
+    rows.iter()
+        .copied()
+        .filter(|index| wanted(*index))
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The deployment of a run: the product's processes, the stand-ins that they work with, and the
-//! links between, and what the faults do to them.
+//! The deployment of a run: the product's processes, the stand-ins for the platform, the links
+//! between them, and how each fault is applied to them.
 
 use std::fs;
 use std::io;
@@ -30,39 +30,40 @@
 use crate::body::Pace;
 use crate::check::Check;
 use crate::connection::Connection;
+use crate::context::Context;
 use crate::fault::Fault;
-use crate::fault::Harm;
+use crate::fault::Impairment;
 use crate::fault::Kind as FaultKind;
-use crate::fault::Pair;
+use crate::fault::Target;
 use crate::opener::Openers;
 use crate::oracle::Oracle;
 use crate::plan::Plan;
-use crate::proxy::Fan;
+use crate::proxy::Group;
 use crate::proxy::Link;
 use crate::proxy::Mode;
 use crate::request::Kind;
 use crate::request::LONG_MS;
-use crate::request::Want;
-use crate::vm::Place;
+use crate::request::Spec;
+use crate::vm::Config;
 use crate::vm::Vm;
-use crate::world::World;
-
-/// How many VMs with a disk there are, in as many data centres.
-pub const DISKS: usize = 3;
-/// How long the start of all processes may take.
-const START: Duration = Duration::from_secs(30);
-/// How long a runner that leaves goes on: longer than the longest request.
-const LEAVES_AFTER: Duration = Duration::from_secs(8);
-/// How long it is gone until it starts again.
-const GONE: Duration = Duration::from_secs(2);
-/// After a crash, when a runner's entry lapses: three heartbeats.
-const LAPSE: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
-/// How long after SIGTERM a VM may still say that it is ready.
-const LEAVES: Duration = Duration::from_secs(4);
-/// How many of the routes that configurations add are in force at a time.
-const ROUTES: u64 = 2;
-/// The ports of the store and the runners.
+
+/// The number of VMs with a disk, and of data centres: each has one.
+pub const DISK_VMS: usize = 3;
+/// How long all processes together may take to start.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a leaving runner keeps running: longer than the longest request.
+const RUNNER_EXIT_DELAY: Duration = Duration::from_secs(8);
+/// How long a runner that has left stays down before it starts again.
+const RUNNER_DOWNTIME: Duration = Duration::from_secs(2);
+/// How long after a crash a runner's entry lapses: three heartbeats.
+const ENTRY_LAPSE: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
+/// How long after SIGTERM a VM may still report ready.
+const UNREADY_DEADLINE: Duration = Duration::from_secs(4);
+/// How many of the routes that configurations add are present at a time.
+const ADDED_ROUTES: u64 = 2;
+/// The port of the store.
 const STORE_PORT: u16 = 8142;
+/// The port of the runners.
 const RUNNER_PORT: u16 = 8080;
 
 /// A runner and the link to it.
@@ -74,37 +75,37 @@
     link: Link,
 }
 
-/// A deployment.
+/// The deployment of a run.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What its parts share.
-    pub world: Arc<World>,
-    /// VMs that take callers, and behind them those with a disk.
+    /// What the parts of the run share.
+    pub context: Arc<Context>,
+    /// The VMs that take callers, followed by those with a disk.
     pub vms: Vec<Arc<Vm>>,
     store: Store,
-    /// By VM.
+    /// The link of each VM to the store.
     store_links: Vec<Link>,
-    /// What VMs send each other, by target; only where a run disturbs it.
-    vm_links: Vec<Fan>,
-    /// What clients send, by VM; only where a run disturbs it.
+    /// The links between VMs, by target; empty unless the run impairs them.
+    vm_links: Vec<Group>,
+    /// The links from clients, by VM; empty unless the run impairs them.
     client_links: Vec<Link>,
     runners: Vec<Backend>,
-    /// The configuration's version.
+    /// The version of the latest configuration.
     version: Mutex<u64>,
 }
 
-/// Addresses of one run: the process's id and the run's number in it choose the net, so that runs
-/// beside each other don't meet. A part of the net is one number in the address's third place, or as
-/// many as it needs.
+/// The loopback network of one run. It is derived from the process id and the run's number within
+/// the process, so that concurrent runs don't share addresses. Each [`Block`] of addresses takes
+/// one value of the third octet, or as many as it needs.
 #[derive(Clone, Copy, Debug)]
 struct Net {
     second: u8,
     third: u8,
 }
 
-/// A part of a run's net, by the first of its numbers.
+/// A block of addresses in the network of a run; the value is the offset of its first third octet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum Block {
     Vms = 0,
     StoreLinks = 2,
     VmLinks = 4,
@@ -114,30 +115,35 @@
     Store = 10,
 }
 
-/// How many addresses each number of a part has.
-const NET_SIZE: usize = 200;
+/// How many addresses a block has for each value of the third octet.
+const ADDRESSES_PER_OCTET: usize = 200;
 
 impl Net {
-    /// Yields the net of the next run.
+    /// Returns the network of the next run.
     fn next() -> Self {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let id = process::id();
-        let part = |value: u32| u8::try_from(value).unwrap_or_default();
+        let octet = |value: u32| u8::try_from(value).unwrap_or_default();
         Self {
-            second: part(1 + id % 250),
-            third: part(10 + (id / 250 + run) % 20 * 12),
+            second: octet(1 + id % 250),
+            third: octet(10 + (id / 250 + run) % 20 * 12),
         }
     }
 
-    fn ip(self, of: Part, at: usize) -> IpAddr {
-        let part = |value: usize| u8::try_from(value).unwrap_or_default();
-        let third = self.third + of as u8 + part(at / NET_SIZE);
-        IpAddr::from([127, self.second, third, part(1 + at % NET_SIZE)])
+    fn ip(self, block: Block, index: usize) -> IpAddr {
+        let octet = |value: usize| u8::try_from(value).unwrap_or_default();
+        let third = self.third + block as u8 + octet(index / ADDRESSES_PER_OCTET);
+        IpAddr::from([
+            127,
+            self.second,
+            third,
+            octet(1 + index % ADDRESSES_PER_OCTET),
+        ])
     }
 
-    fn link(self, of: Part, at: usize, port: u16) -> SocketAddr {
-        SocketAddr::new(self.ip(of, at), port)
+    fn address(self, block: Block, index: usize, port: u16) -> SocketAddr {
+        SocketAddr::new(self.ip(block, index), port)
     }
 }
 
@@ -146,41 +152,42 @@
     ///
     /// # Errors
     ///
-    /// Fails where the run's folder can't be made; one that is there holds another run's disks.
+    /// Fails if the run's folder can't be created, or if it exists already, because it then holds
+    /// the disks of another run.
     pub async fn new(plan: &Plan) -> io::Result<Self> {
         if let Some(parent) = plan.folder.parent() {
             fs::create_dir_all(parent)?;
         }
         fs::create_dir(&plan.folder)?;
         let net = Net::next();
-        let store = Store::start(net.link(Part::Store, 0, STORE_PORT)).await;
+        let store = Store::start(net.address(Block::Store, 0, STORE_PORT)).await;
         let mut vms = Vec::new();
         let mut store_links = Vec::new();
-        for at in 0..plan.vms + DISKS {
-            let address = net.link(Part::StoreLinks, at, STORE_PORT);
+        for index in 0..plan.vms + DISK_VMS {
+            let address = net.address(Block::StoreLinks, index, STORE_PORT);
             store_links.push(Link::start(address, store.address));
-            vms.push(Vm::new(place(plan, net, at)?));
+            vms.push(Vm::new(prepare_vm(plan, net, index)?));
         }
         let vm_links = vm_links(plan, net, &vms);
         let client_links = client_links(plan, net, &vms);
         let log = runner::Log::default();
         let mut runners = Vec::new();
-        for at in 0..plan.runners {
-            runners.push(backend(net, at, log.clone()).await);
+        for index in 0..plan.runners {
+            runners.push(start_backend(net, index, log.clone()).await);
         }
-        let rows = vms[..plan.vms].iter().enumerate().map(|(at, vm)| Row {
-            centre: at % DISKS,
+        let rows = vms[..plan.vms].iter().enumerate().map(|(index, vm)| Row {
+            centre: index % DISK_VMS,
             callers: client_links
-                .get(at)
+                .get(index)
                 .map_or(vm.callers(), |link| link.address),
             ready: vm.ready(),
             misses: 2,
         });
         let balancer = Balancer::new(rows.collect());
-        let names = vms.iter().map(|vm| vm.place.name.clone()).collect();
+        let names = vms.iter().map(|vm| vm.config.name.clone()).collect();
         let oracle = Oracle::new(Instant::now(), names, log);
         Ok(Self {
-            world: Arc::new(World::new(balancer, DISKS, oracle)),
+            context: Arc::new(Context::new(balancer, DISK_VMS, oracle)),
             vms,
             store,
             store_links,
@@ -191,128 +198,133 @@
         })
     }
 
-    /// Waits until all VMs serve.
+    /// Waits until all VMs are ready to serve.
     ///
     /// # Errors
     ///
-    /// Fails where they don't in time.
-    pub async fn ready(&self) -> io::Result<()> {
+    /// Fails if they are not ready in time.
+    pub async fn wait_until_ready(&self) -> io::Result<()> {
         for backend in &self.runners {
-            self.enter(backend, "ready");
+            self.write_entry(backend, "ready");
         }
         self.configure();
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            self.world.balancer.ask().await;
-            let rows = self.world.balancer.rows();
+            self.context.balancer.probe().await;
+            let rows = self.context.balancer.rows();
             let is_ready = rows.iter().all(|row| row.misses == 0);
-            if is_ready && self.store.members() == DISKS {
-                // The last member has still to learn what the others hold.
+            if is_ready && self.store.members() == DISK_VMS {
+                // The last member still has to copy what the others hold.
                 sleep(Duration::from_secs(1)).await;
                 return Ok(());
             }
-            if begun.elapsed() > START {
+            if started.elapsed() > START_TIMEOUT {
                 return Err(io::Error::other(format!("not ready in time: {rows:?}")));
             }
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Does what a fault says, to its end.
+    /// Applies a fault; if it lasts for some time, waits until it is over.
     ///
     /// # Errors
     ///
-    /// Fails where a signal can't be sent.
+    /// Fails if a signal can't be sent.
     pub async fn apply(&self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Stop(vm) => self.stop(&self.vms[vm]).await?,
-            Fault::Reload(vm) => self.vms[vm].reload(&self.world)?,
-            Fault::Configure => self.configure_and_ask().await,
-            Fault::Kill(vm) => self.vms[vm].kill(&self.world)?,
-            Fault::Pause(vm, span) => self.vms[vm].pause(&self.world, span).await?,
-            Fault::Wipe(vm) => self.vms[vm].wipe(&self.world)?,
+            Fault::Reload(vm) => self.vms[vm].reload(&self.context)?,
+            Fault::Configure => self.configure_and_check().await,
+            Fault::Kill(vm) => self.vms[vm].kill(&self.context)?,
+            Fault::Pause(vm, span) => self.vms[vm].pause(&self.context, span).await?,
+            Fault::Wipe(vm) => self.vms[vm].wipe(&self.context)?,
             Fault::StoreAway(span) => {
                 self.store.set_down(true);
-                self.disrupt(span).await;
+                self.disrupt_for(span).await;
                 self.store.set_down(false);
             }
-            Fault::RunnerLeaves(at) => self.leave(&self.runners[at], true_entry).await,
-            Fault::RunnerUnlisted(at) => self.leave(&self.runners[at], no_entry).await,
-            Fault::RunnerFails(at, failure, count) => {
-                self.runners[at].runner.play(&vec![failure.mode(); count]);
+            Fault::RunnerLeaves(index) => self.drain(&self.runners[index], mark_draining).await,
+            Fault::RunnerUnlisted(index) => self.drain(&self.runners[index], remove_entry).await,
+            Fault::RunnerFails(index, failure, count) => {
+                self.runners[index]
+                    .runner
+                    .play(&vec![failure.mode(); count]);
             }
-            Fault::RunnerDown(at, span) => self.crash(&self.runners[at], span).await,
-            Fault::Link(pair, harm, span) => {
-                let links = self.links(pair, harm);
-                for (link, harm) in &links {
-                    harm_link(link, *harm);
+            Fault::RunnerDown(index, span) => self.take_down(&self.runners[index], span).await,
+            Fault::Link(target, impairment, span) => {
+                let links = self.links(target, impairment);
+                for (link, impairment) in &links {
+                    impair(link, *impairment);
                 }
-                self.disrupt(span).await;
+                self.disrupt_for(span).await;
                 for (link, _) in links {
                     link.set_mode(Mode::Open);
                 }
             }
             Fault::SlowBodies(span) => {
-                self.world.slow_down();
+                self.context.begin_slow_bodies();
                 sleep(span.as_duration()).await;
-                self.world.hurry();
+                self.context.end_slow_bodies();
             }
         }
         Ok(())
     }
 
-    /// Yields the links of a pair, each with its harm.
-    fn links(&self, pair: Pair, harm: Harm) -> Vec<(&Link, Harm)> {
-        match pair {
-            Pair::Store(vm) => vec![(&self.store_links[vm], harm)],
-            Pair::Runner(at) => vec![(&self.runners[at].link, harm)],
-            Pair::Client(vm) => vec![(&self.client_links[vm], harm)],
-            Pair::Vms(from, to) => vec![(&self.vm_links[to].links[from], harm)],
-            Pair::Around(vm) => {
-                let from = self.vm_links.iter().map(|fan| (&fan.links[vm], harm));
+    /// Returns the links of a target, each with its impairment.
+    fn links(&self, target: Target, impairment: Impairment) -> Vec<(&Link, Impairment)> {
+        match target {
+            Target::Store(vm) => vec![(&self.store_links[vm], impairment)],
+            Target::Runner(index) => vec![(&self.runners[index].link, impairment)],
+            Target::Client(vm) => vec![(&self.client_links[vm], impairment)],
+            Target::Vms(from, to) => vec![(&self.vm_links[to].links[from], impairment)],
+            Target::Around(vm) => {
+                let from = self
+                    .vm_links
+                    .iter()
+                    .map(|group| (&group.links[vm], impairment));
                 let to = self.vm_links[vm].links.iter();
-                let to = to.map(|link| (link, harm.from_other_end()));
+                let to = to.map(|link| (link, impairment.from_other_end()));
                 from.chain(to).collect()
             }
         }
     }
 
-    /// Notes a disruption for a while.
-    async fn disrupt(&self, span: Millis) {
-        let ticket = {
-            let mut oracle = self.world.oracle();
+    /// Records a disruption that lasts for `span`.
+    async fn disrupt_for(&self, span: Millis) {
+        let disruption = {
+            let mut oracle = self.context.oracle();
             let now = oracle.now();
-            oracle.history.disrupt(now)
+            oracle.history.begin_disruption(now)
         };
         sleep(span.as_duration()).await;
-        let mut oracle = self.world.oracle();
+        let mut oracle = self.context.oracle();
         let now = oracle.now();
-        oracle.history.restore(ticket, now);
+        oracle.history.end_disruption(disruption, now);
     }
 
     async fn stop(&self, vm: &Vm) -> io::Result<()> {
-        if !vm.stop(&self.world)? || vm.place.disk.is_some() {
+        if !vm.stop(&self.context)? || vm.config.disk.is_some() {
             return Ok(());
         }
-        let begun = vm.stopped_at();
-        sleep(LEAVES).await;
+        let started = vm.stopped_at();
+        sleep(UNREADY_DEADLINE).await;
         let status = caller::status(vm.ready(), "/-/readyz").await;
-        if begun.is_some() && vm.stopped_at() == begun {
+        if started.is_some() && vm.stopped_at() == started {
             let broken = (status == Some(200)).then_some("still ready");
-            self.world
+            self.context
                 .oracle()
-                .note_vm(Check::Leaves, vm.place.at, broken);
+                .record_vm(Check::Leaves, vm.config.index, broken);
         }
         Ok(())
     }
 
-    fn enter(&self, backend: &Backend, state: &str) {
+    fn write_entry(&self, backend: &Backend, state: &str) {
         self.store
-            .enter(&backend.id, backend.service, backend.link.address, state);
+            .put_runner(&backend.id, backend.service, backend.link.address, state);
     }
 
-    /// Writes a configuration with a route that the one before lacks, and without one that it has;
-    /// yields its version.
+    /// Writes a configuration that adds one route and drops the oldest one added before. Returns
+    /// its version.
     fn configure(&self) -> u64 {
         let mut version = self.version();
         *version += 1;
@@ -321,11 +333,11 @@
             ",{}",
             store::route("long", "stream", "models", LONG_MS, kept)
         );
-        let oldest = version.saturating_sub(ROUTES - 1).max(1);
+        let oldest = version.saturating_sub(ADDED_ROUTES - 1).max(1);
         for version in oldest..=*version {
             let name = format!("new-{version}");
             let rest = r#","attempts":2"#;
-            let route = store::route(&name, "idempotent", "ops", store::USUAL_MS, rest);
+            let route = store::route(&name, "idempotent", "ops", store::DEFAULT_TIMEOUT_MS, rest);
             more = format!("{more},{route}");
         }
         self.store.configure(*version, &more);
@@ -336,154 +348,157 @@
         self.version.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a configuration, and asks each sound VM for the routes that it adds and drops once it
-    /// has to be in force.
-    async fn configure_and_ask(&self) {
+    /// Writes a configuration. Once it has to be in force, requests the added and the dropped route
+    /// from each undisturbed VM that takes callers.
+    async fn configure_and_check(&self) {
         let version = self.configure();
         sleep(Duration::from_millis(settings::APPLY_MS)).await;
-        let callers = self.vms.iter().filter(|vm| vm.place.disk.is_none());
-        for vm in callers.filter(|vm| vm.is_sound()) {
-            // A later one may have dropped the route again.
+        let callers = self.vms.iter().filter(|vm| vm.config.disk.is_none());
+        for vm in callers.filter(|vm| vm.is_undisturbed()) {
+            // A later configuration may have dropped the route again.
             if *self.version() == version {
-                self.ask(vm, Kind::Added(version)).await;
+                self.probe(vm, Kind::Added(version)).await;
             }
-            if version > ROUTES {
-                self.ask(vm, Kind::Dropped(version - ROUTES)).await;
+            if version > ADDED_ROUTES {
+                self.probe(vm, Kind::Dropped(version - ADDED_ROUTES)).await;
             }
         }
     }
 
-    /// Asks a VM once, whatever the balancer says.
-    async fn ask(&self, vm: &Vm, kind: Kind) {
-        let want = Want {
+    /// Sends one request to a VM, regardless of the balancer.
+    async fn probe(&self, vm: &Vm, kind: Kind) {
+        let spec = Spec {
             kind,
             events: 1,
             pause: Duration::ZERO,
             deadline: Duration::from_secs(1),
-            leaves: None,
+            leave_after: None,
             pace: Pace::AtOnce,
             input: "which configuration\n".into(),
             turn: None,
         };
-        let Ok(mut connection) = Connection::open(vm.place.at, vm.callers()).await else {
+        let Ok(mut connection) = Connection::open(vm.config.index, vm.callers()).await else {
             return;
         };
-        let id = self.world.oracle().begin(vm.place.at, &want, want.deadline);
-        let request = caller::request(&caller::Ask {
+        let id = self
+            .context
+            .oracle()
+            .begin(vm.config.index, &spec, spec.deadline);
+        let request = caller::request(&caller::Params {
             id: &id,
-            path: &want.path(),
-            deadline: want.deadline,
+            path: &spec.path(),
+            deadline: spec.deadline,
             program: None,
             turn: None,
-            body: want.input.clone(),
+            body: spec.input.clone(),
         });
-        let request = request.map(|_| Body::new(want.input.clone(), want.pace));
-        let until = Instant::now() + want.deadline;
-        let outcome = connection.ask(request, until).await;
-        self.world.oracle().finish(&id, &outcome);
+        let request = request.map(|_| Body::new(spec.input.clone(), spec.pace));
+        let until = Instant::now() + spec.deadline;
+        let outcome = connection.send(request, until).await;
+        self.context.oracle().finish(&id, &outcome);
     }
 
-    /// Has a runner leave and come back; `tell` writes or removes its entry.
-    async fn leave(&self, backend: &Backend, tell: fn(&Self, &Backend)) {
+    /// Has a runner leave and come back; `update_entry` marks its entry as draining or removes it.
+    async fn drain(&self, backend: &Backend, update_entry: fn(&Self, &Backend)) {
         {
-            let mut oracle = self.world.oracle();
+            let mut oracle = self.context.oracle();
             let now = oracle.now();
-            if oracle.history.left_at(&backend.id, now).is_some() {
+            if oracle.history.leaving_since(&backend.id, now).is_some() {
                 return;
             }
-            oracle.history.leave(&backend.id, now);
+            oracle.history.note_leaving(&backend.id, now);
         }
-        tell(self, backend);
-        sleep(LEAVES_AFTER).await;
-        no_entry(self, backend);
+        update_entry(self, backend);
+        sleep(RUNNER_EXIT_DELAY).await;
+        remove_entry(self, backend);
         backend.link.set_mode(Mode::Down);
-        sleep(GONE).await;
+        sleep(RUNNER_DOWNTIME).await;
         self.come_back(backend);
     }
 
     fn come_back(&self, backend: &Backend) {
-        let mut oracle = self.world.oracle();
+        let mut oracle = self.context.oracle();
         let now = oracle.now();
-        oracle.history.come_back(&backend.id, now);
+        oracle.history.note_runner_back(&backend.id, now);
         drop(oracle);
         backend.link.set_mode(Mode::Open);
-        self.enter(backend, "ready");
+        self.write_entry(backend, "ready");
     }
 
-    /// Has a runner go at once; its entry lapses if it is away for long.
-    async fn crash(&self, backend: &Backend, span: Millis) {
+    /// Takes a runner down without notice; its entry lapses if it is down for long.
+    async fn take_down(&self, backend: &Backend, span: Millis) {
         backend.link.set_mode(Mode::Down);
         let lapse = async {
-            sleep(LAPSE).await;
-            if span.as_duration() > LAPSE {
-                no_entry(self, backend);
+            sleep(ENTRY_LAPSE).await;
+            if span.as_duration() > ENTRY_LAPSE {
+                remove_entry(self, backend);
             }
         };
-        tokio::join!(self.disrupt(span), lapse);
+        tokio::join!(self.disrupt_for(span), lapse);
         self.come_back(backend);
     }
 }
 
-fn true_entry(fleet: &Fleet, backend: &Backend) {
-    fleet.enter(backend, "draining");
+fn mark_draining(fleet: &Fleet, backend: &Backend) {
+    fleet.write_entry(backend, "draining");
 }
 
-fn no_entry(fleet: &Fleet, backend: &Backend) {
+fn remove_entry(fleet: &Fleet, backend: &Backend) {
     fleet.store.remove_runner(&backend.id);
 }
 
-fn harm_link(link: &Link, harm: Harm) {
-    match harm {
-        Harm::Slow(span) => link.set_mode(Mode::Slow(span)),
-        Harm::Cut => link.set_mode(Mode::Cut),
-        Harm::CutOneWay(way) => link.set_mode(Mode::CutOneWay(way)),
-        Harm::Reset => link.reset(),
-        Harm::Silence => link.silence(),
+fn impair(link: &Link, impairment: Impairment) {
+    match impairment {
+        Impairment::Slow(span) => link.set_mode(Mode::Slow(span)),
+        Impairment::Cut => link.set_mode(Mode::Cut),
+        Impairment::CutOneWay(direction) => link.set_mode(Mode::CutOneWay(direction)),
+        Impairment::Reset => link.reset(),
+        Impairment::Silence => link.silence(),
     }
 }
 
-/// Starts proxies between VMs, where the run disturbs what they send each other.
-fn vm_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Fan> {
+/// Starts the proxies between VMs if the run impairs their links.
+fn vm_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Group> {
     if !plan.kinds.contains(&FaultKind::VmLink) {
         return Vec::new();
     }
     let all: Arc<[Arc<Vm>]> = vms.into();
     let openers = Arc::new(Openers::default());
     let source = move |from, to| {
-        let ids = || all.iter().map(|vm| vm.id()).collect();
+        let ids = || all.iter().map(|vm| vm.pid()).collect();
         openers.find(ids, from, to).ok().flatten()
     };
-    let fan = |(at, vm): (usize, &Arc<Vm>)| {
-        let address = net.link(Part::VmLinks, at, settings::PEERS);
-        Fan::start(address, vm.peers(), vms.len(), source.clone())
+    let group = |(index, vm): (usize, &Arc<Vm>)| {
+        let address = net.address(Block::VmLinks, index, settings::PEERS);
+        Group::start(address, vm.peers(), vms.len(), source.clone())
     };
-    vms.iter().enumerate().map(fan).collect()
+    vms.iter().enumerate().map(group).collect()
 }
 
-/// Starts proxies between clients and VMs, where the run disturbs what they send.
+/// Starts the proxies between clients and VMs if the run impairs their links.
 fn client_links(plan: &Plan, net: Net, vms: &[Arc<Vm>]) -> Vec<Link> {
     if !plan.kinds.contains(&FaultKind::ClientLink) {
         return Vec::new();
     }
-    let link = |(at, vm): (usize, &Arc<Vm>)| {
-        let address = net.link(Part::ClientLinks, at, settings::CALLERS);
+    let link = |(index, vm): (usize, &Arc<Vm>)| {
+        let address = net.address(Block::ClientLinks, index, settings::CALLERS);
         Link::start(address, vm.callers())
     };
     vms[..plan.vms].iter().enumerate().map(link).collect()
 }
 
-/// Prepares a VM's folder and settings file.
-fn place(plan: &Plan, net: Net, at: usize) -> io::Result<Place> {
-    let ip = net.ip(Part::Vms, at);
-    let centre = ["a", "b", "c"][at % DISKS];
-    let is_disk = at >= plan.vms;
+/// Writes a VM's settings file and returns how to run it.
+fn prepare_vm(plan: &Plan, net: Net, index: usize) -> io::Result<Config> {
+    let ip = net.ip(Block::Vms, index);
+    let centre = ["a", "b", "c"][index % DISK_VMS];
+    let is_disk = index >= plan.vms;
     let name = if is_disk {
         format!("store-{centre}-1")
     } else {
-        format!("front-{centre}-{}", at / DISKS + 1)
+        format!("front-{centre}-{}", index / DISK_VMS + 1)
     };
     let disk = is_disk.then(|| plan.folder.join(&name));
-    let advertised = net.link(Part::VmLinks, at, settings::PEERS);
+    let advertised = net.address(Block::VmLinks, index, settings::PEERS);
     let text = settings::text(&settings::Vm {
         name: &name,
         centre,
@@ -492,13 +507,13 @@
             .kinds
             .contains(&FaultKind::VmLink)
             .then_some(advertised),
-        store: net.link(Part::StoreLinks, at, STORE_PORT),
+        store: net.address(Block::StoreLinks, index, STORE_PORT),
         disk: disk.as_deref(),
     });
     let file = plan.folder.join(format!("{name}.toml"));
     fs::write(&file, text)?;
-    Ok(Place {
-        at,
+    Ok(Config {
+        index,
         ip,
         disk,
         settings: file,
@@ -508,15 +523,15 @@
     })
 }
 
-/// Starts a runner: two of three serve models.
-async fn backend(net: Net, at: usize, log: runner::Log) -> Backend {
+/// Starts a runner and the link to it; two of three runners serve `models`, the third `ops`.
+async fn start_backend(net: Net, at: usize, log: runner::Log) -> Backend {
     let id = format!("i-{at:02}");
-    let address = net.link(Part::Runners, at, RUNNER_PORT);
+    let address = net.address(Block::Runners, at, RUNNER_PORT);
     let runner = Runner::start_logging(&id, address, log).await;
     Backend {
         id,
         service: if at % 3 == 2 { "ops" } else { "models" },
         runner,
-        link: Link::start(net.link(Part::RunnerLinks, at, RUNNER_PORT), address),
+        link: Link::start(net.address(Block::RunnerLinks, at, RUNNER_PORT), address),
     }
 }
--- a/crates/soak/src/opener.rs
+++ b/crates/soak/src/opener.rs
@@ -1,8 +1,10 @@
-//! Which VM has opened a connection: the kernel tells its socket, and which process holds that.
+//! Finds which VM has opened a connection: the kernel reports the inode of its socket, and `/proc`
+//! shows which process holds that socket.
 //!
-//! VMs don't connect from addresses of their own, so a proxy between them can't tell them apart
-//! otherwise. The kernel is asked for the one socket over netlink; its table of all sockets takes tens
-//! of milliseconds on a busy machine, in which a VM gives its message up.
+//! VMs don't connect from addresses of their own, so a proxy between them can't distinguish them by
+//! address. The kernel is asked for the single socket over netlink, because reading its table of
+//! all sockets takes tens of milliseconds on a busy machine, and a VM gives up its message in that
+//! time.
 
 use std::collections::HashMap;
 use std::fs;
@@ -19,61 +21,64 @@
 use socket2::Socket;
 use socket2::Type;
 
-/// The kernel's numbers for its netlink sockets, and for the family that tells about sockets.
-const NETLINK: i32 = 16;
-const SOCK_DIAG: i32 = 4;
-/// The message's type, its flag of a request, and the type of an answer that is a failure.
-const BY_FAMILY: u16 = 20;
-const REQUEST: u16 = 1;
-const FAILURE: u16 = 2;
-/// The numbers of IPv4 and of TCP.
-const IPV4: u8 = 2;
-const TCP: u8 = 6;
-/// The length of a request, with its header.
-const LENGTH: u32 = 72;
-/// Where an answer has its type and the socket's inode.
-const TYPE_AT: usize = 4;
-const INODE_AT: usize = 84;
+// Constants of the kernel, under its own names: the address family of netlink sockets, and the
+// netlink protocol that reports on sockets.
+const AF_NETLINK: i32 = 16;
+const NETLINK_SOCK_DIAG: i32 = 4;
+// The type and the flag of the request, and the type of an error answer.
+const SOCK_DIAG_BY_FAMILY: u16 = 20;
+const NLM_F_REQUEST: u16 = 1;
+const NLMSG_ERROR: u16 = 2;
+// IPv4 and TCP.
+const AF_INET: u8 = 2;
+const IPPROTO_TCP: u8 = 6;
+/// The length of a request, including its header.
+const REQUEST_BYTES: u32 = 72;
+/// The offset of the message type in an answer.
+const TYPE_OFFSET: usize = 4;
+/// The offset of the socket's inode in an answer.
+const INODE_OFFSET: usize = 84;
 
-/// Which process holds which socket, as it was last looked at.
+/// Caches which process holds which socket.
 ///
-/// All processes are looked through at once, by one thread at a time, and only for a socket that
-/// isn't known. By themselves, hundreds of new connections a second had a search each, which took the
-/// processor from the VMs; these gave their messages up, and opened further connections.
+/// A scan covers all processes, and only one thread scans at a time, for a socket that isn't
+/// cached. With a scan for each of hundreds of new connections a second, the scans took the CPU
+/// from the VMs, which then gave up their messages and opened even more connections.
 #[derive(Debug, Default)]
 pub struct Openers(Mutex<HashMap<String, usize>>);
 
 impl Openers {
-    /// Finds which of these processes has opened the connection between two addresses.
+    /// Returns the index of the process in `pids` that has opened the connection between two
+    /// addresses.
     ///
     /// # Errors
     ///
-    /// Fails where the kernel can't be asked.
+    /// Fails if the kernel can't be asked.
     pub fn find(
         &self,
-        ids: impl FnOnce() -> Vec<Option<u32>>,
+        pids: impl FnOnce() -> Vec<Option<u32>>,
         from: SocketAddr,
         to: SocketAddr,
     ) -> io::Result<Option<usize>> {
         let (SocketAddr::V4(from), SocketAddr::V4(to)) = (from, to) else {
             return Ok(None);
         };
-        let Some(inode) = inode(from, to)? else {
+        let Some(inode) = socket_inode(from, to)? else {
             return Ok(None);
         };
         let socket = format!("socket:[{inode}]");
         let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if !known.contains_key(&socket) {
-            *known = look(&ids());
+            *known = scan(&pids());
         }
         Ok(known.get(&socket).copied())
     }
 }
 
-/// Looks which sockets these processes hold; one that has ended holds none.
-fn look(ids: &[Option<u32>]) -> HashMap<String, usize> {
+/// Scans which sockets these processes hold. A process that has ended holds none.
+fn scan(pids: &[Option<u32>]) -> HashMap<String, usize> {
     let mut found = HashMap::new();
-    for (at, id) in ids.iter().enumerate() {
+    for (index, id) in pids.iter().enumerate() {
         let Some(id) = id else {
             continue;
         };
@@ -82,48 +87,49 @@
         };
         let targets = files.flatten().map(|file| fs::read_link(file.path()));
         for target in targets.flatten() {
-            found.insert(target.to_string_lossy().into_owned(), at);
+            found.insert(target.to_string_lossy().into_owned(), index);
         }
     }
     found
 }
 
-/// Asks the kernel for the inode of the socket with these ends; there may be none any more.
-fn inode(local: SocketAddrV4, remote: SocketAddrV4) -> io::Result<Option<u32>> {
-    let protocol = Some(Protocol::from(SOCK_DIAG));
-    let mut kernel = Socket::new(Domain::from(NETLINK), Type::DGRAM, protocol)?;
+/// Asks the kernel for the inode of the socket with these ends; `None` if it is closed or gone.
+fn socket_inode(local: SocketAddrV4, remote: SocketAddrV4) -> io::Result<Option<u32>> {
+    let protocol = Some(Protocol::from(NETLINK_SOCK_DIAG));
+    let mut kernel = Socket::new(Domain::from(AF_NETLINK), Type::DGRAM, protocol)?;
     kernel.write_all(&request(local, remote))?;
     let mut answer = [0; 1024];
     let length = kernel.read(&mut answer)?;
-    let kind = u16::from_ne_bytes([answer[TYPE_AT], answer[TYPE_AT + 1]]);
-    if kind == FAILURE || length < INODE_AT + 4 {
+    let kind = u16::from_ne_bytes([answer[TYPE_OFFSET], answer[TYPE_OFFSET + 1]]);
+    if kind == NLMSG_ERROR || length < INODE_OFFSET + 4 {
         return Ok(None);
     }
-    let bytes = [0, 1, 2, 3].map(|at| answer[INODE_AT + at]);
+    let bytes = [0, 1, 2, 3].map(|index| answer[INODE_OFFSET + index]);
     let inode = u32::from_ne_bytes(bytes);
-    // A socket that is closed already, but not yet gone, is nobody's. Looked for, it costs a search
-    // and isn't found; openers that give up meanwhile would make the next ones wait ever longer.
+    // A socket that is closed but not yet gone has no inode, and no process holds it. A scan for it
+    // would find nothing, and openers that give up during the scan would make the next ones wait
+    // ever longer.
     Ok(Some(inode).filter(|inode| *inode != 0))
 }
 
 fn request(local: SocketAddrV4, remote: SocketAddrV4) -> Vec<u8> {
     let mut bytes = Vec::new();
-    bytes.extend(LENGTH.to_ne_bytes());
-    bytes.extend(BY_FAMILY.to_ne_bytes());
-    bytes.extend(REQUEST.to_ne_bytes());
-    // A number and a sender, which nobody asks for.
+    bytes.extend(REQUEST_BYTES.to_ne_bytes());
+    bytes.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
+    bytes.extend(NLM_F_REQUEST.to_ne_bytes());
+    // The sequence number and the port id of the sender, both unused.
     bytes.extend([0; 8]);
-    bytes.extend([IPV4, TCP, 0, 0]);
-    // In whatever state.
+    bytes.extend([AF_INET, IPPROTO_TCP, 0, 0]);
+    // Sockets in any state.
     bytes.extend([0xff; 4]);
     bytes.extend(local.port().to_be_bytes());
     bytes.extend(remote.port().to_be_bytes());
     for address in [local, remote] {
         bytes.extend(address.ip().octets());
-        // The rest of an IPv6 address.
+        // The part of the field that only IPv6 addresses use.
         bytes.extend([0; 12]);
     }
-    // On any interface, without the kernel's cookie.
+    // Any interface, and no socket cookie.
     bytes.extend([0; 4]);
     bytes.extend([0xff; 8]);
     bytes
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A loopback proxy before a VM, the platform's store or a runner, which delays, resets, cuts or
-//! silences what passes.
+//! A loopback proxy in front of a VM, the platform's store or a runner, which delays, resets, cuts
+//! or silences connections.
 //!
-//! The system acknowledges bytes that the proxy holds back, so a time-out of TCP itself never shows
-//! here as it does on a real link that is cut.
+//! The kernel acknowledges bytes that the proxy holds back. So a time-out of TCP itself never
+//! occurs here, as it would on a real link that is cut.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,52 +21,52 @@
 use tokio::time::sleep;
 use wire::clock::Millis;
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
-/// After so much silence a keep-alive of the product ends a connection. Its probes don't show the
-/// silence here, as the system answers them for the proxy.
-const KEEP_ALIVE: Duration = Duration::from_millis(3_200);
-/// The pause before an address is tried again that couldn't be listened on.
-const AGAIN: Duration = Duration::from_millis(20);
+/// The most bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// After this much silence the product's TCP keep-alive would end a connection. The proxy has to
+/// reset silenced connections itself, because the kernel answers keep-alive probes on its behalf.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(3_200);
+/// The pause before a failed bind to an address is tried again.
+const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Which way bytes go.
+/// The direction in which bytes flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
-    /// From the process that connected.
+pub enum Direction {
+    /// From the process that opened the connection.
     Out,
-    /// Back to it.
+    /// Back to that process.
     Back,
 }
 
-/// How a link passes bytes on.
+/// How a link forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// As they come.
+    /// Forwards them as they come.
     Open,
-    /// Each chunk later.
+    /// Delays each chunk by this time.
     Slow(Millis),
-    /// None, until the link is open again.
+    /// Holds all bytes until the link is open again.
     Cut,
-    /// None in this direction, until the link is open again.
-    CutOneWay(Way),
-    /// Nobody listens, and open connections are reset.
+    /// Holds bytes in this direction until the link is open again.
+    CutOneWay(Direction),
+    /// Refuses new connections and resets open ones.
     Down,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct State {
     mode: Mode,
-    /// Counts the times that open connections were reset.
+    /// How often the open connections were reset.
     resets: u64,
-    /// Counts the times that open connections went silent for good.
+    /// How often the open connections were silenced for good.
     silences: u64,
 }
 
-/// A link.
+/// A link through a proxy.
 #[derive(Debug)]
 pub struct Link {
-    /// Where processes connect.
+    /// The address at which processes connect.
     pub address: SocketAddr,
     state: watch::Sender<State>,
 }
@@ -76,7 +76,7 @@
     #[must_use]
     pub fn start(address: SocketAddr, target: SocketAddr) -> Self {
         let link = Self::new(address);
-        tokio::spawn(listen(address, target, link.state.subscribe()));
+        tokio::spawn(serve(address, target, link.state.subscribe()));
         link
     }
 
@@ -89,33 +89,33 @@
         Self { address, state }
     }
 
-    /// Sets how bytes are passed on.
+    /// Sets how bytes are forwarded.
     pub fn set_mode(&self, mode: Mode) {
         self.state.send_modify(|state| state.mode = mode);
     }
 
-    /// Resets the connections that are open.
+    /// Resets the open connections.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
 
-    /// Has the connections that are open pass nothing any more, and be reset once a keep-alive of
-    /// the product would have noticed; new ones work.
+    /// Stops forwarding on the open connections for good, and resets them once the product's TCP
+    /// keep-alive would have noticed. New connections work.
     pub fn silence(&self) {
         self.state.send_modify(|state| state.silences += 1);
     }
 }
 
-/// Links of several sources to one target, all at one address.
+/// The links of several sources to one target, all at one address.
 #[derive(Debug)]
-pub struct Fan {
-    /// By source.
+pub struct Group {
+    /// The link of each source.
     pub links: Vec<Link>,
 }
 
-impl Fan {
-    /// Starts links of so many sources to `target`. `source` tells from both ends of a connection who
-    /// has opened it; it may block.
+impl Group {
+    /// Starts links from `count` sources to `target`. `source` returns the index of the source that
+    /// opened a connection, from the addresses of both ends; it may block.
     #[must_use]
     pub fn start<S>(address: SocketAddr, target: SocketAddr, count: usize, source: S) -> Self
     where
@@ -123,12 +123,12 @@
     {
         let links: Vec<Link> = (0..count).map(|_| Link::new(address)).collect();
         let states = links.iter().map(|link| link.state.subscribe()).collect();
-        tokio::spawn(fan_out(address, target, states, source));
+        tokio::spawn(serve_group(address, target, states, source));
         Self { links }
     }
 }
 
-async fn fan_out<S>(
+async fn serve_group<S>(
     address: SocketAddr,
     target: SocketAddr,
     states: Vec<watch::Receiver<State>>,
@@ -139,27 +139,28 @@
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
-            Err(_) => sleep(AGAIN).await,
+            Err(_) => sleep(BIND_RETRY_PAUSE).await,
         }
     };
     while let Ok((stream, from)) = listener.accept().await {
         let (source, states) = (source.clone(), states.clone());
         tokio::spawn(async move {
-            // Before its opener is looked for: VMs try one that is stopped dozens of times a second, and
-            // the search for each took the processor from the runners and clients of the run.
-            let Some(far) = connect(&stream, target).await else {
+            // Connects to the target before it searches for the opener: VMs try a stopped VM dozens
+            // of times a second, and a search for each try left too little CPU for the runners and
+            // clients of the run.
+            let Some(server) = connect(&stream, target).await else {
                 return;
             };
             let found = spawn_blocking(move || source(from, address)).await;
-            // One whose opener is gone already is closed.
+            // If the opener is gone already, the connection is closed.
             if let Ok(Some(at)) = found {
-                pass_on(stream, far, states[at].clone()).await;
+                forward(stream, server, states[at].clone()).await;
             }
         });
     }
 }
 
-async fn listen(address: SocketAddr, target: SocketAddr, mut states: watch::Receiver<State>) {
+async fn serve(address: SocketAddr, target: SocketAddr, mut states: watch::Receiver<State>) {
     loop {
         if states
             .wait_for(|state| state.mode != Mode::Down)
@@ -169,7 +170,7 @@
             return;
         }
         let Ok(listener) = TcpListener::bind(address).await else {
-            sleep(AGAIN).await;
+            sleep(BIND_RETRY_PAUSE).await;
             continue;
         };
         let mut down = states.clone();
@@ -188,73 +189,75 @@
     while let Ok((stream, _from)) = listener.accept().await {
         let states = states.clone();
         tokio::spawn(async move {
-            if let Some(far) = connect(&stream, target).await {
-                pass_on(stream, far, states).await;
+            if let Some(server) = connect(&stream, target).await {
+                forward(stream, server, states).await;
             }
         });
     }
 }
 
-/// Connects to the target; resets the other end where nobody listens.
-async fn connect(near: &TcpStream, target: SocketAddr) -> Option<TcpStream> {
-    let far = TcpStream::connect(target).await.ok();
-    if far.is_none() {
-        abort(near);
+/// Connects to the target; resets the client's connection if nothing listens there.
+async fn connect(client: &TcpStream, target: SocketAddr) -> Option<TcpStream> {
+    let server = TcpStream::connect(target).await.ok();
+    if server.is_none() {
+        abort(client);
     }
-    far
+    server
 }
 
-async fn pass_on(mut near: TcpStream, mut far: TcpStream, mut states: watch::Receiver<State>) {
-    let born = *states.borrow();
-    // Without it, small packets wait for others; the link would add what no fault asked for.
-    let prepared = near.set_nodelay(true).and_then(|()| far.set_nodelay(true));
-    let (out, back) = (states.clone(), states.clone());
-    let passed = {
-        let (from_near, to_near) = near.split();
-        let (from_far, to_far) = far.split();
+async fn forward(mut client: TcpStream, mut server: TcpStream, mut states: watch::Receiver<State>) {
+    let initial = *states.borrow();
+    // Without `TCP_NODELAY` small packets wait for others, a delay that no fault has asked for.
+    let prepared = client
+        .set_nodelay(true)
+        .and_then(|()| server.set_nodelay(true));
+    let (out_states, back_states) = (states.clone(), states.clone());
+    let forwarded = {
+        let (from_client, to_client) = client.split();
+        let (from_server, to_server) = server.split();
         tokio::select! {
-            passed = async {
+            forwarded = async {
                 tokio::try_join!(
-                    pump(from_near, to_far, Way::Out, born, out),
-                    pump(from_far, to_near, Way::Back, born, back),
+                    pump(from_client, to_server, Direction::Out, initial, out_states),
+                    pump(from_server, to_client, Direction::Back, initial, back_states),
                 )
-            } => passed.map(|_| ()),
-            _reset = reset(&mut states, born) => Err(io::ErrorKind::ConnectionReset.into()),
+            } => forwarded.map(|_| ()),
+            _reset = reset_signal(&mut states, initial) => Err(io::ErrorKind::ConnectionReset.into()),
         }
     };
-    if prepared.and(passed).is_err() {
-        abort(&near);
-        abort(&far);
+    if prepared.and(forwarded).is_err() {
+        abort(&client);
+        abort(&server);
     }
 }
 
-async fn reset(states: &mut watch::Receiver<State>, born: State) {
-    let is_reset = |state: &State| state.resets > born.resets || state.mode == Mode::Down;
-    let is_over = |state: &State| is_reset(state) || state.silences > born.silences;
-    // A link that is dropped resets its connections, too.
+async fn reset_signal(states: &mut watch::Receiver<State>, initial: State) {
+    let is_reset = |state: &State| state.resets > initial.resets || state.mode == Mode::Down;
+    let is_over = |state: &State| is_reset(state) || state.silences > initial.silences;
+    // A dropped link also resets its connections.
     if matches!(states.wait_for(is_over).await, Ok(state) if !is_reset(&state)) {
-        // Whatever comes first ends it.
-        let _reset = tokio::time::timeout(KEEP_ALIVE, states.wait_for(is_reset)).await;
+        // Returns at the keep-alive time-out or at a reset, whichever comes first.
+        let _reset = tokio::time::timeout(KEEP_ALIVE_TIMEOUT, states.wait_for(is_reset)).await;
     }
 }
 
-/// Has a connection's end be a reset.
+/// Has the connection close with a reset.
 fn abort(stream: &TcpStream) {
-    // Fails only where the connection is gone already.
+    // Fails only if the connection is gone already.
     let _set = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
 async fn pump(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
-    way: Way,
-    born: State,
+    direction: Direction,
+    initial: State,
     mut states: watch::Receiver<State>,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let count = from.read(&mut buffer).await?;
-        pass(&mut states, way, born).await?;
+        wait_until_open(&mut states, direction, initial).await?;
         if count == 0 {
             return to.shutdown().await;
         }
@@ -262,15 +265,19 @@
     }
 }
 
-/// Waits until the link lets bytes pass.
-async fn pass(states: &mut watch::Receiver<State>, way: Way, born: State) -> io::Result<()> {
+/// Waits until the link lets bytes pass, and delays them if it is slow.
+async fn wait_until_open(
+    states: &mut watch::Receiver<State>,
+    direction: Direction,
+    initial: State,
+) -> io::Result<()> {
     let is_open = |state: &State| {
         let held = match state.mode {
             Mode::Cut | Mode::Down => true,
-            Mode::CutOneWay(cut) => cut == way,
+            Mode::CutOneWay(cut) => cut == direction,
             Mode::Open | Mode::Slow(_) => false,
         };
-        !held && state.silences == born.silences
+        !held && state.silences == initial.silences
     };
     let gone = || io::Error::from(io::ErrorKind::ConnectionReset);
     let mode = states.wait_for(is_open).await.map_err(|_| gone())?.mode;
