--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -53,9 +53,9 @@
 }
 
 /// Calls other VMs for the journal.
-pub struct PeerClient(Weak<Core>);
+pub struct Client(Weak<Core>);
 
-impl PeerClient {
+impl Client {
     /// Makes the journal's access to other VMs. It holds a weak reference because the node owns the
     /// journals.
     #[must_use]
@@ -83,7 +83,7 @@
 }
 
 #[async_trait]
-impl Peers for PeerClient {
+impl Peers for Client {
     async fn hold(&self, holder: &Holder, shard: &id::Shard, held: &Batch) -> Result<()> {
         let batch = Hold {
             process: holder.incarnation,
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -275,7 +275,7 @@
     let copies = copies::holders(core, shard);
     let setup = Setup {
         platform: core.platform.clone(),
-        peers: Arc::new(copies::PeerClient::new(core)),
+        peers: Arc::new(copies::Client::new(core)),
         vm: core.settings.vm.name.clone(),
         shard: shard.clone(),
         seed: rand::random(),
--- a/crates/node/src/dispatch/choose.rs
+++ b/crates/node/src/dispatch/choose.rs
@@ -10,7 +10,6 @@
 use crate::core::Core;
 use crate::dispatch::endpoint_state;
 use crate::dispatch::endpoint_state::Content;
-use crate::dispatch::endpoint_state::EndpointState;
 use crate::dispatch::scheduler::Work;
 use crate::view::View;
 
@@ -32,7 +31,7 @@
 pub(super) fn choose(
     core: &Core,
     view: &View,
-    states: &[EndpointState],
+    states: &[endpoint_state::State],
     work: &Work,
     now: Millis,
 ) -> Option<Placement> {
--- a/crates/node/src/dispatch/ejection.rs
+++ b/crates/node/src/dispatch/ejection.rs
@@ -10,7 +10,7 @@
 use wire::id;
 
 use crate::core::Core;
-use crate::dispatch::endpoint_state::EndpointState;
+use crate::dispatch::endpoint_state;
 
 /// Ejects and restores endpoints. Called about once a second.
 pub fn sweep(core: &Arc<Core>) {
@@ -19,7 +19,7 @@
     let mut state = core.scheduler.lock();
     state.drain_rate.roll(now);
     state.sync(&view, now);
-    let is_known = |s: &EndpointState| view.config.endpoint(s.endpoint.as_str()).is_some();
+    let is_known = |s: &endpoint_state::State| view.config.endpoint(s.endpoint.as_str()).is_some();
     state.endpoints.retain(|s| is_known(s) || s.in_flight() > 0);
     for pool in pools(&view.config) {
         sweep_pool(&mut state.endpoints, &pool, now);
@@ -41,7 +41,7 @@
     names.into_iter().map(members).collect()
 }
 
-fn sweep_pool(states: &mut [EndpointState], pool: &[&id::Endpoint], now: Millis) {
+fn sweep_pool(states: &mut [endpoint_state::State], pool: &[&id::Endpoint], now: Millis) {
     let find = |name: &&id::Endpoint| states.binary_search_by(|s| s.endpoint.cmp(name)).ok();
     let indexes: Vec<usize> = pool.iter().filter_map(find).collect();
     let mut detectors: Vec<eject::Detector> =
--- a/crates/node/src/dispatch/endpoint_state.rs
+++ b/crates/node/src/dispatch/endpoint_state.rs
@@ -38,7 +38,7 @@
 
 /// What this VM knows about one endpoint.
 #[derive(Clone, Debug)]
-pub struct EndpointState {
+pub struct State {
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// Detects from its calls whether it fails or is slow.
@@ -57,7 +57,7 @@
     suspect_calls: u32,
 }
 
-impl EndpointState {
+impl State {
     /// Creates the state of an endpoint that this VM has known since `since`.
     #[must_use]
     pub fn new(endpoint: id::Endpoint, since: Millis) -> Self {
--- a/crates/node/src/dispatch/endpoint_state/tests.rs
+++ b/crates/node/src/dispatch/endpoint_state/tests.rs
@@ -18,7 +18,7 @@
 /// prefix. The same report is seen again with each change of the view and must count only once.
 #[test]
 fn one_slow_report_hardly_changes_the_speed() {
-    let mut state = EndpointState::new(id::Endpoint::parse("fast").unwrap(), Millis::ZERO);
+    let mut state = State::new(id::Endpoint::parse("fast").unwrap(), Millis::ZERO);
     state.record_report(&load(90.0, 1));
     for _ in 0..20 {
         state.record_report(&load(60.0, 2));
--- a/crates/node/src/dispatch/scheduler.rs
+++ b/crates/node/src/dispatch/scheduler.rs
@@ -31,7 +31,6 @@
 use crate::dispatch::choose::choose;
 use crate::dispatch::endpoint_state;
 use crate::dispatch::endpoint_state::Content;
-use crate::dispatch::endpoint_state::EndpointState;
 use crate::view::View;
 
 /// One in this many places of the queue is reserved for urgent calls.
@@ -90,7 +89,7 @@
 pub struct Scheduler(Mutex<State>);
 
 pub(super) struct State {
-    pub(super) endpoints: Vec<EndpointState>,
+    pub(super) endpoints: Vec<endpoint_state::State>,
     queue: Queue<Waiter>,
     pub(super) drain_rate: DrainRate,
     retry_budget: retry::Budget,
@@ -317,7 +316,7 @@
 
 /// Counts a call that waits for its preferred endpoint, so that calls behind it don't plan with the
 /// same slot.
-fn count_claim(endpoints: &mut [EndpointState], placement: Option<&Placement>) {
+fn count_claim(endpoints: &mut [endpoint_state::State], placement: Option<&Placement>) {
     let Some(placement) = placement.filter(|placement| !placement.can_start()) else {
         return;
     };
@@ -330,7 +329,7 @@
 /// Assigns a slot at the chosen endpoint to a call.
 fn assign_slot(
     core: &Arc<Core>,
-    endpoints: &mut [EndpointState],
+    endpoints: &mut [endpoint_state::State],
     work: &Work,
     placement: Placement,
     now: Millis,
@@ -405,7 +404,7 @@
             let starting = now.since(self.started_at) < slow_start::DURATION;
             let since = if starting { Millis::ZERO } else { now };
             self.endpoints
-                .insert(at, EndpointState::new(endpoint.clone(), since));
+                .insert(at, endpoint_state::State::new(endpoint.clone(), since));
             at
         })
     }
--- a/crates/node/src/owner/last_endpoint.rs
+++ b/crates/node/src/owner/last_endpoint.rs
@@ -5,9 +5,9 @@
 
 /// The endpoint at which each program ran last, sorted by program.
 #[derive(Debug, Default)]
-pub struct LastEndpoints(Vec<(id::Program, id::Endpoint)>);
+pub struct Map(Vec<(id::Program, id::Endpoint)>);
 
-impl LastEndpoints {
+impl Map {
     /// Returns the endpoint at which a program ran last.
     #[must_use]
     pub fn find(&self, program: &id::Program) -> Option<&id::Endpoint> {
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -35,7 +35,7 @@
 use crate::owner::call;
 use crate::owner::feed::Feed;
 use crate::owner::feed::Sink;
-use crate::owner::last_endpoint::LastEndpoints;
+use crate::owner::last_endpoint;
 use crate::owner::maintenance;
 use crate::owner::message;
 use crate::owner::message::Answer;
@@ -78,7 +78,7 @@
     pub(super) log: Log,
     pub(super) myself: ActorRef<Message>,
     pub(super) pending: pending::List,
-    pub(super) last_endpoints: LastEndpoints,
+    pub(super) last_endpoints: last_endpoint::Map,
     /// Whether the shard refuses new work. Never reset, because work accepted between the report
     /// that the shard is drained and the actor's end would be lost.
     draining: bool,
@@ -103,7 +103,7 @@
             log: arguments.log,
             myself,
             pending: pending::List::default(),
-            last_endpoints: LastEndpoints::default(),
+            last_endpoints: last_endpoint::Map::default(),
             draining: false,
             drain_waiters: Vec::new(),
         })
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -62,11 +62,11 @@
             Kind::Idempotent | Kind::AtMostOnce => plain::serve(job, guard).await,
         },
         Err(refusal) => {
-            let info = refuse::RequestInfo {
+            let info = refuse::Info {
                 request: &id,
                 program: program.as_deref().unwrap_or_default(),
                 waited: Millis::from(arrived.elapsed()),
-                ..refuse::RequestInfo::default()
+                ..refuse::Info::default()
             };
             let mut response = refuse::respond(&node, &refusal, &info);
             if expects_continue {
--- a/crates/relay/src/exchange/incoming.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -9,13 +9,13 @@
 use crate::fleet;
 use crate::ingest;
 use crate::node::Node;
-use crate::peers::PeerStatus;
+use crate::peers;
 use crate::roster::Roster;
 
 /// Applies a message.
 pub fn apply(node: &Arc<Node>, received: Message) {
     let now = node.clock.now();
-    let status = PeerStatus {
+    let status = peers::Status {
         roster: received.roster,
         config: received.config,
         lifecycle: received.course,
--- a/crates/relay/src/exchange/outgoing.rs
+++ b/crates/relay/src/exchange/outgoing.rs
@@ -5,7 +5,7 @@
 use wire::clock::Millis;
 
 use crate::node::Node;
-use crate::peers::ExchangeRole;
+use crate::peers;
 use crate::peers::Lifecycle;
 use crate::roster::Roster;
 use crate::tally;
@@ -68,11 +68,11 @@
         peer.is_some_and(|peer| peer.centre == settings.centre)
     };
     match peers.exchange_role(&settings.vm, &settings.centre, now) {
-        ExchangeRole::Direct | ExchangeRole::Leaf => {
+        peers::Role::Direct | peers::Role::Leaf => {
             let tallies = node.fleet().tallies(now, |_| false);
             (Origin::Vm(settings.vm.clone()), tallies)
         }
-        ExchangeRole::Hub => {
+        peers::Role::Hub => {
             let (recipient, origin) = if in_own_centre(to) {
                 (Recipient::SameCentre(to), Origin::Others)
             } else {
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -42,7 +42,7 @@
 
 /// The properties of a request that determine its placement.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementRequest<'a> {
+pub struct Request<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Capabilities of the service's engines; `None` for a plain service.
@@ -67,7 +67,7 @@
 
 /// The runner chosen for a request, with the figures behind the choice.
 #[derive(Clone, Debug)]
-pub struct ChosenRunner {
+pub struct Choice {
     /// Id of the runner.
     pub id: String,
     /// Address that takes requests.
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -9,9 +9,9 @@
 use policy::prefix::Demand;
 use wire::clock::Millis;
 
-use crate::fleet::ChosenRunner;
+use crate::fleet::Choice;
 use crate::fleet::Fleet;
-use crate::fleet::PlacementRequest;
+use crate::fleet::Request;
 use crate::fleet::runner::Runner;
 
 /// Presumed milliseconds a token before any runner of the service was measured, which is the first
@@ -51,7 +51,7 @@
 
     /// Returns the median pace of the service's runners, which is presumed for runners without
     /// measurements of their own.
-    fn median_pace(&self, request: &PlacementRequest<'_>) -> f64 {
+    fn median_pace(&self, request: &Request<'_>) -> f64 {
         let of_service = self
             .runners
             .iter()
@@ -66,7 +66,7 @@
 
     /// Chooses a runner; `None` if the service has no eligible one.
     #[must_use]
-    pub fn choose(&self, request: &PlacementRequest<'_>) -> Option<ChosenRunner> {
+    pub fn choose(&self, request: &Request<'_>) -> Option<Choice> {
         let mut usable: Vec<&Runner> = self
             .runners
             .iter()
@@ -106,7 +106,7 @@
         let choice = place::choose(&candidates, &call, &Weights::default())?;
         let runner = usable[choice.index];
         let candidate = &candidates[choice.index];
-        Some(ChosenRunner {
+        Some(Choice {
             id: runner.id.clone(),
             address: runner.entry.address,
             occupied: place::occupied(candidate),
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -13,9 +13,9 @@
 use wire::clock::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fleet::PlacementRequest;
+use crate::fleet::Request;
 use crate::fleet::health;
-use crate::tally::PeerReports;
+use crate::tally;
 
 /// Prompt tokens that an engine reads in the time in which it generates one token. The ratio is
 /// about the same for fast and slow engines, because both times come from the same arithmetic.
@@ -42,7 +42,7 @@
     /// Requests of this VM in flight at the runner.
     pub own_requests: u32,
     /// What other VMs reported of the runner.
-    pub(super) peer_reports: PeerReports,
+    pub(super) peer_reports: tally::Reports,
     /// The load that the runner reported last, and when.
     pub(super) load: Option<(Load, Millis)>,
     /// Hash of the id, by which runners are ranked.
@@ -87,7 +87,7 @@
             id: id.to_owned(),
             entry,
             own_requests: 0,
-            peer_reports: PeerReports::default(),
+            peer_reports: tally::Reports::default(),
             load: None,
             prompt_cache: Cache::new(memory_tokens),
             pace: Mean::default(),
@@ -103,7 +103,7 @@
         }
     }
 
-    pub(super) fn is_eligible(&self, request: &PlacementRequest<'_>) -> bool {
+    pub(super) fn is_eligible(&self, request: &Request<'_>) -> bool {
         self.entry.service == request.service
             && self.entry.state == State::Ready
             && !self.unreachable
@@ -112,7 +112,7 @@
             && !request.excluded.contains(&self.id)
     }
 
-    pub(super) fn candidate(&self, request: &PlacementRequest<'_>, median_pace: f64) -> Candidate {
+    pub(super) fn candidate(&self, request: &Request<'_>, median_pace: f64) -> Candidate {
         let (others, _) = self.peer_reports.all(request.now);
         let known = self.own_requests + others;
         // The runner's own report counts if it is higher than what is known here: another VM that
--- a/crates/relay/src/fleet/tests.rs
+++ b/crates/relay/src/fleet/tests.rs
@@ -8,8 +8,8 @@
 
 use super::Change;
 use super::Fleet;
-use super::PlacementRequest;
 use super::REMOTE_COST_AT_MOST_ONCE_MS;
+use super::Request;
 use crate::tally::Origin;
 use crate::tally::Tally;
 
@@ -63,8 +63,8 @@
     fleet
 }
 
-fn request(excluded: &[String]) -> PlacementRequest<'_> {
-    PlacementRequest {
+fn request(excluded: &[String]) -> Request<'_> {
+    Request {
         service: "models",
         engine: Some(ENGINE),
         prompt: &PROMPT,
@@ -97,7 +97,7 @@
     fleet.runner("i-4").unwrap().note_prompt(&PROMPT, NOW);
     fleet.note_tallies(&vm("front-b"), &[tally("i-4", 40, 0)], NOW);
     assert_ne!(fleet.choose(&request(&[])).unwrap().id, "i-4");
-    let later = PlacementRequest {
+    let later = Request {
         now: NOW.plus(Millis::new(2_000)),
         ..request(&[])
     };
@@ -141,7 +141,7 @@
     );
     assert!(fleet.unreachable().is_empty());
     // A second break in a row holds the runner off for twice the first span.
-    let later = PlacementRequest {
+    let later = Request {
         now: NOW.plus(Millis::new(500)),
         ..request(&[])
     };
@@ -213,7 +213,7 @@
     };
     runner.note_load(load, NOW);
     assert_eq!(fleet.choose(&request(&[])).unwrap().id, "i-1");
-    let later = PlacementRequest {
+    let later = Request {
         now: NOW.plus(Millis::new(500)),
         ..request(&[])
     };
@@ -233,7 +233,7 @@
         };
         fleet.set(id, entry, 0);
     }
-    let request = PlacementRequest {
+    let request = Request {
         engine: None,
         prompt: &[],
         prompt_tokens: 0,
@@ -242,7 +242,7 @@
     };
     for salt in 0..16 {
         let chosen = fleet
-            .choose(&PlacementRequest { salt, ..request })
+            .choose(&Request { salt, ..request })
             .expect("three runners are known");
         assert_eq!(chosen.id, "i-1");
     }
@@ -299,7 +299,7 @@
     fleet.note_tallies(&vm("front-b"), &[tally("i-0", 0, 1)], NOW);
     let count_chosen = |fleet: &Fleet| {
         let choices = (0..16).filter_map(|salt| {
-            fleet.choose(&PlacementRequest {
+            fleet.choose(&Request {
                 salt,
                 ..request(&[])
             })
@@ -330,7 +330,7 @@
         let just_before = now.since(Millis::new(1));
         let is_used = |now| {
             fleet
-                .choose(&PlacementRequest {
+                .choose(&Request {
                     now,
                     ..request(&[])
                 })
@@ -351,7 +351,7 @@
     now = now.plus(Millis::new(250));
     assert!(
         fleet
-            .choose(&PlacementRequest {
+            .choose(&Request {
                 now,
                 ..request(&[])
             })
@@ -368,7 +368,7 @@
     let count_chosen = |fleet: &Fleet, now| {
         let choices = (0..16).filter_map(|salt| {
             let request = request(&[]);
-            fleet.choose(&PlacementRequest {
+            fleet.choose(&Request {
                 salt,
                 now,
                 ..request
@@ -420,7 +420,7 @@
     }
     fleet.set("i-new", entry(State::Ready), ENGINE.memory_tokens);
     for salt in 0..42 {
-        let burst = PlacementRequest {
+        let burst = Request {
             prompt: &[],
             salt,
             ..request(&[])
--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -146,8 +146,8 @@
     );
     let change = set_runner(node, &id, decoded);
     let weight = match change {
-        fleet::Change::Unchanged => roster::ChangeKind::Heartbeat,
-        _ => roster::ChangeKind::Significant,
+        fleet::Change::Unchanged => roster::Change::Heartbeat,
+        _ => roster::Change::Significant,
     };
     node.roster().set(&id, &entry.value, entry.revision, weight);
     fleet::log_change(&change, &line);
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -25,14 +25,12 @@
 use wire::event::Event;
 
 use crate::fleet;
-use crate::fleet::ChosenRunner;
-use crate::fleet::PlacementRequest;
 use crate::metrics::Counter;
 use crate::metrics::Latency;
 use crate::metrics::Outcome;
 use crate::node::Node;
 use crate::reachability;
-use crate::refuse::RequestInfo;
+use crate::refuse;
 use crate::stream;
 use crate::table::Table;
 
@@ -82,7 +80,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The runner.
-    pub runner: ChosenRunner,
+    pub runner: fleet::Choice,
     /// When the attempt was sent.
     pub sent_at: Instant,
     node: Arc<Node>,
@@ -144,8 +142,8 @@
 
     /// Returns the details of this request that go with a refusal.
     #[must_use]
-    pub fn request_info(&self) -> RequestInfo<'_> {
-        RequestInfo {
+    pub fn request_info(&self) -> refuse::Info<'_> {
+        refuse::Info {
             request: &self.call.id,
             program: self.call.program.as_deref().unwrap_or_default(),
             route: &self.route.name,
@@ -156,9 +154,9 @@
 
     /// Chooses a runner that is not in `not`.
     #[must_use]
-    pub fn choose(&self, excluded: &[String]) -> Option<ChosenRunner> {
+    pub fn choose(&self, excluded: &[String]) -> Option<fleet::Choice> {
         let engine = self.table.engine(&self.service);
-        let want = PlacementRequest {
+        let want = fleet::Request {
             service: &self.service,
             engine,
             prompt: &self.prompt,
@@ -184,7 +182,7 @@
     /// `deadline`.
     pub async fn send(
         &self,
-        runner: ChosenRunner,
+        runner: fleet::Choice,
         payload: Payload,
         last_event: Option<u64>,
         deadline: Instant,
@@ -224,7 +222,7 @@
         }
     }
 
-    fn begin_attempt(&self, runner: ChosenRunner) -> Attempt {
+    fn begin_attempt(&self, runner: fleet::Choice) -> Attempt {
         let now = self.node.clock.now();
         {
             let mut fleet = self.node.fleet();
--- a/crates/relay/src/member_health.rs
+++ b/crates/relay/src/member_health.rs
@@ -121,7 +121,7 @@
 
 /// The health of the members, according to checks and turns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemberHealth {
+pub struct Health {
     service: TurnService,
     /// Failed checks since the last successful one.
     failed_checks: u32,
@@ -134,7 +134,7 @@
     failing_since: Millis,
 }
 
-impl MemberHealth {
+impl Health {
     /// Records the result of a check. Returns whether it changes whether turns are served.
     pub fn record_check(&mut self, check: Check, now: Millis) -> bool {
         match check {
--- a/crates/relay/src/member_health/tests.rs
+++ b/crates/relay/src/member_health/tests.rs
@@ -1,8 +1,8 @@
 use wire::clock::Millis;
 
 use super::Check;
+use super::Health;
 use super::MAX_NAMED_VMS;
-use super::MemberHealth;
 use super::RETRY_DELAY;
 use super::format_names;
 
@@ -12,8 +12,8 @@
     START.plus(Millis::new(ms))
 }
 
-fn serving() -> MemberHealth {
-    let mut health = MemberHealth::default();
+fn serving() -> Health {
+    let mut health = Health::default();
     assert!(
         health.record_check(Check::Enough, START),
         "turns are served from now on"
@@ -81,7 +81,7 @@
 /// All processes were killed. A VM that has just started needs only some time, not another VM.
 #[test]
 fn retry_delay_is_short_just_after_the_start() {
-    let mut health = MemberHealth::default();
+    let mut health = Health::default();
     assert!(!health.record_check(Check::TooFew, START));
     assert!(!health.serves_turns());
     assert_eq!(health.retry_after(later(3_000)), RETRY_DELAY);
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -21,7 +21,7 @@
 use wire::clock::Millis;
 
 use crate::fleet::Fleet;
-use crate::member_health::MemberHealth;
+use crate::member_health;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::roster::Roster;
@@ -94,7 +94,7 @@
     /// Set once the process begins to stop.
     stop: watch::Sender<Option<Stop>>,
     /// Whether enough VMs with a disk answer.
-    member_health: Mutex<MemberHealth>,
+    member_health: Mutex<member_health::Health>,
     /// Held while a doubt about whether enough VMs with a disk answer is being checked.
     pub suspicion_check: tokio::sync::Mutex<()>,
     /// When the list of runners was last known to be current, in milliseconds.
@@ -239,7 +239,7 @@
     }
 
     /// Locks the state that tells whether enough VMs with a disk answer.
-    pub fn member_health(&self) -> MutexGuard<'_, MemberHealth> {
+    pub fn member_health(&self) -> MutexGuard<'_, member_health::Health> {
         self.member_health
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -75,7 +75,7 @@
 
 /// The state that a VM reports of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerStatus {
+pub struct Status {
     /// Revision of the VM's roster.
     pub roster: u64,
     /// Revision of the VM's configuration.
@@ -86,7 +86,7 @@
 
 /// The part of a VM in the exchange, from its own view of the other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExchangeRole {
+pub enum Role {
     /// Exchanges with all other VMs.
     Direct,
     /// The first VM of its data centre. Exchanges with its leaves and with the other hubs.
@@ -138,7 +138,7 @@
     }
 
     /// Records the state that a VM reported.
-    pub fn note_status(&mut self, vm: &str, status: PeerStatus, now: Millis) {
+    pub fn note_status(&mut self, vm: &str, status: Status, now: Millis) {
         if let Ok(index) = self.find(vm) {
             let peer = &mut self.known[index];
             peer.last_heard = now;
@@ -216,14 +216,14 @@
 
     /// Returns the part of the VM `own` in the exchange.
     #[must_use]
-    pub fn exchange_role(&self, own: &str, centre: &str, now: Millis) -> ExchangeRole {
+    pub fn exchange_role(&self, own: &str, centre: &str, now: Millis) -> Role {
         if self.is_direct() {
-            return ExchangeRole::Direct;
+            return Role::Direct;
         }
         if self.is_first(own, centre, now) {
-            return ExchangeRole::Hub;
+            return Role::Hub;
         }
-        ExchangeRole::Leaf
+        Role::Leaf
     }
 
     /// Returns the VMs with which the VM `own` starts an exchange. Where VMs exchange pairwise, the
@@ -237,13 +237,13 @@
     pub fn exchange_targets(&self, own: &str, centre: &str, now: Millis) -> Vec<Peer> {
         let role = self.exchange_role(own, centre, now);
         let mut asked = Vec::new();
-        if role == ExchangeRole::Direct {
+        if role == Role::Direct {
             asked.extend(self.known.iter().filter(|peer| peer.vm.as_str() > own));
         } else {
             let own_search = self.find_hub(centre, |vm| vm < own, now);
             asked.extend(own_search.probed(now));
             asked.extend(own_search.hub);
-            if role == ExchangeRole::Hub {
+            if role == Role::Hub {
                 let others = self.centres().into_iter().filter(|other| *other != centre);
                 for search in others.map(|other| self.find_hub(other, |_| true, now)) {
                     if own_search.probes_other_centres(now) {
@@ -266,7 +266,7 @@
 
     /// Finds the hub of a data centre among the VMs that `counts` selects, and the silent VMs
     /// before it.
-    fn find_hub(&self, centre: &str, counts: impl Fn(&str) -> bool, now: Millis) -> HubSearch<'_> {
+    fn find_hub(&self, centre: &str, counts: impl Fn(&str) -> bool, now: Millis) -> Search<'_> {
         let known = self.known.iter();
         let mut counted = known.filter(|peer| peer.centre == centre && counts(&peer.vm));
         let mut silent = Vec::new();
@@ -277,17 +277,17 @@
             }
             answers
         });
-        HubSearch { silent, hub }
+        Search { silent, hub }
     }
 }
 
 /// The VMs of a data centre in the order of their names, up to its hub.
-struct HubSearch<'a> {
+struct Search<'a> {
     silent: Vec<&'a Peer>,
     hub: Option<&'a Peer>,
 }
 
-impl<'a> HubSearch<'a> {
+impl<'a> Search<'a> {
     /// Returns the silent VMs that are probed now: the first [`PROBED_SILENT`], and one chosen by
     /// the time.
     fn probed(&self, now: Millis) -> impl Iterator<Item = &'a Peer> {
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -1,10 +1,10 @@
 use wire::clock::Millis;
 
-use super::ExchangeRole;
 use super::Lifecycle;
 use super::MAX_DIRECT_PEERS;
-use super::PeerStatus;
 use super::Peers;
+use super::Role;
+use super::Status;
 
 const NOW: Millis = Millis::new(10_000);
 
@@ -26,10 +26,7 @@
 #[test]
 fn few_vms_exchange_pairwise() {
     let peers = peers(6);
-    assert_eq!(
-        peers.exchange_role("vm-000", "a", NOW),
-        ExchangeRole::Direct
-    );
+    assert_eq!(peers.exchange_role("vm-000", "a", NOW), Role::Direct);
     assert_eq!(asked(&peers, "vm-003", "a", NOW), ["vm-004", "vm-005"]);
     assert!(asked(&peers, "vm-005", "c", NOW).is_empty());
 }
@@ -39,7 +36,7 @@
     let peers = peers(MAX_DIRECT_PEERS + 60);
     assert_eq!(asked(&peers, "vm-030", "a", NOW), ["vm-000"]);
     assert_eq!(asked(&peers, "vm-000", "a", NOW), ["vm-001", "vm-002"]);
-    assert_eq!(peers.exchange_role("vm-000", "a", NOW), ExchangeRole::Hub);
+    assert_eq!(peers.exchange_role("vm-000", "a", NOW), Role::Hub);
 }
 
 /// A hub freezes. The VMs of its data centre no longer learn of other VMs' requests and would all
@@ -50,16 +47,13 @@
     let mut peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
     for number in 1..MAX_DIRECT_PEERS + 60 {
-        peers.note_status(&format!("vm-{number:03}"), PeerStatus::default(), later);
+        peers.note_status(&format!("vm-{number:03}"), Status::default(), later);
     }
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000", "vm-003"]);
-    assert_eq!(peers.exchange_role("vm-003", "a", later), ExchangeRole::Hub);
+    assert_eq!(peers.exchange_role("vm-003", "a", later), Role::Hub);
     assert!(asked(&peers, "vm-003", "a", later).contains(&"vm-000".to_owned()));
-    peers.note_status("vm-000", PeerStatus::default(), later);
-    assert_eq!(
-        peers.exchange_role("vm-003", "a", later),
-        ExchangeRole::Leaf
-    );
+    peers.note_status("vm-000", Status::default(), later);
+    assert_eq!(peers.exchange_role("vm-003", "a", later), Role::Leaf);
     assert_eq!(asked(&peers, "vm-030", "a", later), ["vm-000"]);
 }
 
@@ -97,7 +91,7 @@
     assert!(!peers.is_reader("vm-001", NOW));
     let later = Millis::new(11_100);
     for vm in ["vm-002", "vm-003"] {
-        peers.note_status(vm, PeerStatus::default(), later);
+        peers.note_status(vm, Status::default(), later);
     }
     assert!(peers.is_reader("vm-001", later), "the first is silent");
     assert!(!peers.is_reader("vm-003", later));
@@ -110,15 +104,15 @@
 #[test]
 fn stopping_readers_are_skipped() {
     let mut peers = peers(6);
-    let stopping = PeerStatus {
+    let stopping = Status {
         lifecycle: Lifecycle::Stops,
-        ..PeerStatus::default()
+        ..Status::default()
     };
     for vm in ["vm-000", "vm-001"] {
         peers.note_status(vm, stopping, NOW);
     }
     assert!(peers.is_reader("vm-002", NOW));
     assert!(!peers.is_reader("vm-003", NOW));
-    peers.note_status("vm-000", PeerStatus::default(), NOW);
+    peers.note_status("vm-000", Status::default(), NOW);
     assert!(!peers.is_reader("vm-002", NOW), "the first is back");
 }
--- a/crates/relay/src/refuse.rs
+++ b/crates/relay/src/refuse.rs
@@ -19,7 +19,7 @@
 
 /// What is known about a refused request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RequestInfo<'a> {
+pub struct Info<'a> {
     /// The request's id.
     pub request: &'a str,
     /// Its program; empty if it names none.
@@ -57,23 +57,23 @@
 #[must_use]
 pub fn task_died(node: &Node, request: &str) -> Response<Body> {
     let refusal = Refusal::new(Code::Internal, "").ran(Ran::Unknown);
-    let info = RequestInfo {
+    let info = Info {
         request,
-        ..RequestInfo::default()
+        ..Info::default()
     };
     respond(node, &refusal, &info)
 }
 
 /// Logs a refusal, and builds the response for it.
 #[must_use]
-pub fn respond(node: &Node, refusal: &Refusal, info: &RequestInfo<'_>) -> Response<Body> {
+pub fn respond(node: &Node, refusal: &Refusal, info: &Info<'_>) -> Response<Body> {
     let outcome = match refusal.ran {
         Ran::No => Outcome::Refused,
         Ran::Unknown | Ran::Yes => Outcome::Failed,
     };
     node.metrics.count_outcome(info.kind, outcome);
     node.metrics.count_refusal(refusal.code);
-    let RequestInfo {
+    let Info {
         request,
         program,
         route,
--- a/crates/relay/src/roster.rs
+++ b/crates/relay/src/roster.rs
@@ -18,7 +18,7 @@
 
 /// Whether other VMs need to learn of a change of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangeKind {
+pub enum Change {
     /// Only a heartbeat.
     Heartbeat,
     /// A runner appeared, began to leave or is gone.
@@ -27,19 +27,19 @@
 
 impl Roster {
     /// Adds or updates an entry.
-    pub fn set(&mut self, id: &str, bytes: &[u8], revision: u64, kind: ChangeKind) {
+    pub fn set(&mut self, id: &str, bytes: &[u8], revision: u64, change: Change) {
         match self.find(id) {
             Ok(index) => self.entries[index].1 = bytes.to_vec(),
             Err(index) => self.entries.insert(index, (id.to_owned(), bytes.to_vec())),
         }
-        self.note_change(revision, kind);
+        self.note_change(revision, change);
     }
 
     /// Removes an entry.
     pub fn remove(&mut self, id: &str, revision: u64) {
         if let Ok(index) = self.find(id) {
             self.entries.remove(index);
-            self.note_change(revision, ChangeKind::Significant);
+            self.note_change(revision, Change::Significant);
         }
     }
 
@@ -49,7 +49,7 @@
         self.entries
             .retain(|(id, _)| listed.binary_search(id).is_ok());
         if self.entries.len() < before {
-            self.note_change(revision, ChangeKind::Significant);
+            self.note_change(revision, Change::Significant);
         }
     }
 
@@ -67,8 +67,8 @@
             .binary_search_by(|(key, _)| key.as_str().cmp(id))
     }
 
-    fn note_change(&mut self, revision: u64, kind: ChangeKind) {
-        if kind == ChangeKind::Significant {
+    fn note_change(&mut self, revision: u64, change: Change) {
+        if change == Change::Significant {
             self.revision = self.revision.max(revision);
         }
     }
--- a/crates/relay/src/roster/tests.rs
+++ b/crates/relay/src/roster/tests.rs
@@ -1,12 +1,12 @@
-use super::ChangeKind;
+use super::Change;
 use super::Roster;
 
 #[test]
 fn heartbeats_keep_the_revision() {
     let mut roster = Roster::default();
-    roster.set("i-2", b"ready", 5, ChangeKind::Significant);
-    roster.set("i-1", b"ready", 6, ChangeKind::Significant);
-    roster.set("i-2", b"ready, seq 2", 9, ChangeKind::Heartbeat);
+    roster.set("i-2", b"ready", 5, Change::Significant);
+    roster.set("i-1", b"ready", 6, Change::Significant);
+    roster.set("i-2", b"ready, seq 2", 9, Change::Heartbeat);
     assert_eq!(roster.revision, 6);
     let ids: Vec<&str> = roster.entries.iter().map(|(id, _)| id.as_str()).collect();
     assert_eq!(ids, ["i-1", "i-2"]);
@@ -19,8 +19,8 @@
 #[test]
 fn only_listed_entries_are_kept() {
     let mut roster = Roster::default();
-    roster.set("i-1", b"ready", 5, ChangeKind::Significant);
-    roster.set("i-2", b"ready", 6, ChangeKind::Significant);
+    roster.set("i-1", b"ready", 5, Change::Significant);
+    roster.set("i-2", b"ready", 6, Change::Significant);
     roster.retain_listed(&["i-1".to_owned(), "i-2".to_owned()], 8);
     assert_eq!(roster.revision, 6);
     roster.retain_listed(&["i-2".to_owned(), "i-3".to_owned()], 9);
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -63,7 +63,7 @@
 
 /// How a stream ended.
 #[derive(Debug)]
-enum StreamEnd {
+enum End {
     /// The runner sent all of the stream.
     Complete,
     /// The runner broke the stream off; holds the reason.
@@ -75,7 +75,7 @@
 }
 
 /// The state of a stream that is passed on to the caller.
-struct StreamState {
+struct State {
     parts: mpsc::Sender<Part>,
     reader: Reader,
     /// The data of the events, each followed by a line feed, as later turns repeat them.
@@ -244,7 +244,7 @@
         account::settle(job, account, 0);
         return;
     }
-    let mut state = StreamState {
+    let mut state = State {
         parts: sender,
         reader: Reader::default(),
         output: BytesMut::new(),
@@ -263,17 +263,11 @@
     finish(job, account, state, end, status.as_u16()).await;
 }
 
-async fn finish(
-    job: &Job,
-    account: Option<Account>,
-    state: StreamState,
-    end: StreamEnd,
-    status: u16,
-) {
+async fn finish(job: &Job, account: Option<Account>, state: State, end: End, status: u16) {
     let mut state = state;
     let used = account::used(job, account, state.events);
     match end {
-        StreamEnd::Complete => {
+        End::Complete => {
             let keep_started = Instant::now();
             let output = std::mem::take(&mut state.output).freeze();
             let success = (200..300).contains(&status);
@@ -295,15 +289,15 @@
             let _gone = state.parts.send(Part::End).await;
             job.log_answered(&state.runner, status, state.events, state.first_event_after);
         }
-        StreamEnd::Broken(why) => {
+        End::Broken(why) => {
             account::settle(job, account, used);
             log_broken(job, &state, Break::Runner, &why);
         }
-        StreamEnd::CallerGone => {
+        End::CallerGone => {
             account::settle(job, account, used);
             job.log_caller_gone(state.events);
         }
-        StreamEnd::TimedOut => {
+        End::TimedOut => {
             account::settle(job, account, used);
             log_broken(job, &state, Break::Late, "the time is over");
         }
@@ -314,10 +308,10 @@
 async fn forward_stream(
     job: &Job,
     history: &[Bytes],
-    state: &mut StreamState,
+    state: &mut State,
     reply: Reply,
     attempt: Attempt,
-) -> StreamEnd {
+) -> End {
     let mut reply = reply;
     let mut attempt = attempt;
     let mut resumes = 0;
@@ -326,12 +320,12 @@
         state.first_event_at = None;
         let end = forward_events(job, state, &mut reply).await;
         record_pace(job, &attempt, state, events_before, &end);
-        let StreamEnd::Broken(why) = end else {
+        let End::Broken(why) = end else {
             return end;
         };
         resumes += 1;
         if !job.route.resumable || resumes > MAX_RESUMES || job.time_left() == Millis::ZERO {
-            return StreamEnd::Broken(why);
+            return End::Broken(why);
         }
         match resume(job, history, state, &attempt, &why).await {
             Ok(next) => {
@@ -348,10 +342,10 @@
 async fn resume(
     job: &Job,
     history: &[Bytes],
-    state: &mut StreamState,
+    state: &mut State,
     attempt: &Attempt,
     why: &str,
-) -> Result<(Reply, Attempt), StreamEnd> {
+) -> Result<(Reply, Attempt), End> {
     state.reader = Reader::default();
     let same_runner = attempt.runner.clone();
     log::info!(
@@ -384,18 +378,18 @@
     };
     let opened = tokio::select! {
         opened = retry_same_runner => opened,
-        () = caller.closed() => return Err(StreamEnd::CallerGone),
+        () = caller.closed() => return Err(End::CallerGone),
     };
     match opened {
         Ok((reply, attempt)) if reply.head.status.is_success() => {
             job.node.metrics.count(Counter::Resumed);
             Ok((reply, attempt))
         }
-        Ok((reply, _)) => Err(StreamEnd::Broken(format!(
+        Ok((reply, _)) => Err(End::Broken(format!(
             "{why}; then status {}",
             reply.head.status
         ))),
-        Err(refusal) => Err(StreamEnd::Broken(format!("{why}; then {refusal}"))),
+        Err(refusal) => Err(End::Broken(format!("{why}; then {refusal}"))),
     }
 }
 
@@ -403,13 +397,7 @@
 ///
 /// Measured from the runner's first event on. Otherwise the wait for a slot and the reading of the
 /// prompt would make a runner that only got long prompts look slow.
-fn record_pace(
-    job: &Job,
-    attempt: &Attempt,
-    state: &StreamState,
-    events_before: u64,
-    end: &StreamEnd,
-) {
+fn record_pace(job: &Job, attempt: &Attempt, state: &State, events_before: u64, end: &End) {
     let events = state.events - events_before;
     let now = job.node.clock.now();
     let mut fleet = job.node.fleet();
@@ -417,42 +405,42 @@
         return;
     };
     match end {
-        StreamEnd::Broken(_) => runner.note_failed(now),
-        StreamEnd::Complete if events > 1 => {
+        End::Broken(_) => runner.note_failed(now),
+        End::Complete if events > 1 => {
             let engine = job.table.engine(&job.service);
             let tokens = engine.map_or(1, |engine| engine.event_tokens) * (events - 1);
             let first_event_at = state.first_event_at.unwrap_or_else(Instant::now);
             runner.note_success(tokens, Millis::from(first_event_at.elapsed()), now);
         }
-        StreamEnd::Complete | StreamEnd::CallerGone | StreamEnd::TimedOut => {}
+        End::Complete | End::CallerGone | End::TimedOut => {}
     }
 }
 
-async fn forward_events(job: &Job, state: &mut StreamState, reply: &mut Reply) -> StreamEnd {
+async fn forward_events(job: &Job, state: &mut State, reply: &mut Reply) -> End {
     loop {
         let data = tokio::select! {
             data = reply.body.data() => data,
-            () = state.parts.closed() => return StreamEnd::CallerGone,
-            () = tokio::time::sleep_until(job.deadline) => return StreamEnd::TimedOut,
+            () = state.parts.closed() => return End::CallerGone,
+            () = tokio::time::sleep_until(job.deadline) => return End::TimedOut,
         };
         match data {
             Ok(Some(bytes)) => {
                 if let Err(fault) = state.reader.push(&bytes) {
-                    return StreamEnd::Broken(fault.to_string());
+                    return End::Broken(fault.to_string());
                 }
             }
             Ok(None) if state.reader.has_partial_event() => {
-                return StreamEnd::Broken("the runner ended the stream within an event".to_owned());
+                return End::Broken("the runner ended the stream within an event".to_owned());
             }
-            Ok(None) => return StreamEnd::Complete,
-            Err(fault) => return StreamEnd::Broken(fault.to_string()),
+            Ok(None) => return End::Complete,
+            Err(fault) => return End::Broken(fault.to_string()),
         }
         while let Some(event) = state.reader.pop() {
             if event.id.is_some()
                 && state.last_event_id.is_some()
                 && event.id <= state.last_event_id
             {
-                return StreamEnd::Broken(
+                return End::Broken(
                     "the runner sent an event id that is not above the last one".to_owned(),
                 );
             }
@@ -472,30 +460,30 @@
             let sent = timeout_at(job.deadline, state.parts.send(Part::Data(event.bytes)));
             match sent.await {
                 Ok(Ok(())) => {}
-                Ok(Err(_)) => return StreamEnd::CallerGone,
-                Err(_) => return StreamEnd::TimedOut,
+                Ok(Err(_)) => return End::CallerGone,
+                Err(_) => return End::TimedOut,
             }
         }
     }
 }
 
 /// Passes on an answer that isn't a stream of events: a failure of the runner itself.
-async fn forward_body(job: &Job, state: &mut StreamState, reply: Reply) -> StreamEnd {
+async fn forward_body(job: &Job, state: &mut State, reply: Reply) -> End {
     let mut reply = reply;
     loop {
         let data = tokio::select! {
             data = reply.body.data() => data,
-            () = state.parts.closed() => return StreamEnd::CallerGone,
-            () = tokio::time::sleep_until(job.deadline) => return StreamEnd::TimedOut,
+            () = state.parts.closed() => return End::CallerGone,
+            () = tokio::time::sleep_until(job.deadline) => return End::TimedOut,
         };
         match data {
             Ok(Some(bytes)) => {
                 if state.parts.send(Part::Data(bytes)).await.is_err() {
-                    return StreamEnd::CallerGone;
+                    return End::CallerGone;
                 }
             }
-            Ok(None) => return StreamEnd::Complete,
-            Err(fault) => return StreamEnd::Broken(fault.to_string()),
+            Ok(None) => return End::Complete,
+            Err(fault) => return End::Broken(fault.to_string()),
         }
     }
 }
@@ -547,7 +535,7 @@
     true
 }
 
-fn log_broken(job: &Job, state: &StreamState, cause: Break, why: &str) {
+fn log_broken(job: &Job, state: &State, cause: Break, why: &str) {
     job.node
         .metrics
         .count_outcome(Some(job.route.kind), Outcome::Failed);
--- a/crates/relay/src/subject.rs
+++ b/crates/relay/src/subject.rs
@@ -5,7 +5,7 @@
 use adapter::kv::Freshness;
 use wire::clock::Millis;
 
-use crate::peers::ExchangeRole;
+use crate::peers;
 
 /// How long a watch waits at the service for a change.
 const WATCH_TIMEOUT: Millis = Millis::new(20_000);
@@ -79,12 +79,12 @@
 /// exchanges. The configuration and the runners' entries come in the same messages, so both are
 /// current as long as the entries are. When they aren't, the VM asks the service itself.
 #[must_use]
-pub const fn source(subject: Subject, role: ExchangeRole, is_reader: bool, stale: bool) -> Source {
+pub const fn source(subject: Subject, role: peers::Role, is_reader: bool, stale: bool) -> Source {
     match (subject, role) {
         (Subject::Runners, _) if is_reader || stale => Source::Store,
         (Subject::Runners, _) => Source::Peers,
-        (Subject::Config, ExchangeRole::Leaf) if !stale => Source::Peers,
-        (Subject::Own, ExchangeRole::Leaf) => Source::Copy,
+        (Subject::Config, peers::Role::Leaf) if !stale => Source::Peers,
+        (Subject::Own, peers::Role::Leaf) => Source::Copy,
         (Subject::Config | Subject::Own, _) => Source::Store,
     }
 }
--- a/crates/relay/src/tally.rs
+++ b/crates/relay/src/tally.rs
@@ -63,7 +63,7 @@
 
 /// The latest reports of other VMs about one runner.
 #[derive(Clone, Debug, Default)]
-pub struct PeerReports(Vec<Report>);
+pub struct Reports(Vec<Report>);
 
 #[derive(Clone, Debug)]
 struct Report {
@@ -73,7 +73,7 @@
     at: Millis,
 }
 
-impl PeerReports {
+impl Reports {
     /// Replaces the report of an origin; `None` removes it, as the origin has nothing to report.
     ///
     /// Empty reports aren't stored: otherwise a hub would have a report for each runner and VM, and
--- a/crates/relay/src/tally/tests.rs
+++ b/crates/relay/src/tally/tests.rs
@@ -2,8 +2,8 @@
 use wire::clock::Millis;
 
 use super::Origin;
-use super::PeerReports;
 use super::Recipient;
+use super::Reports;
 use super::Tally;
 use super::is_forwarded;
 
@@ -23,7 +23,7 @@
 
 /// Returns what a VM that considers itself a hub sends to another one of its data centre that does
 /// as well.
-fn forwarded_sum(from: &PeerReports, own: u32, to: &str) -> Tally {
+fn forwarded_sum(from: &Reports, own: u32, to: &str) -> Tally {
     let counts = |origin: &Origin| is_forwarded(origin, Recipient::SameCentre(to), "a", |_| true);
     tally(own + from.sum(NOW, counts).0)
 }
@@ -33,7 +33,7 @@
 /// all runners would look full, and callers would be refused although the runners are idle.
 #[test]
 fn two_hubs_do_not_forward_each_others_sums() {
-    let (mut a, mut b) = (PeerReports::default(), PeerReports::default());
+    let (mut a, mut b) = (Reports::default(), Reports::default());
     a.note(&vm("leaf"), Some(&tally(2)), NOW);
     b.note(&vm("leaf"), Some(&tally(2)), NOW);
     for _ in 0..20 {
@@ -48,7 +48,7 @@
 
 #[test]
 fn latest_sum_of_a_data_centre_counts_whoever_sent_it() {
-    let mut reports = PeerReports::default();
+    let mut reports = Reports::default();
     let centre = Origin::Centre("b".to_owned());
     reports.note(&centre, Some(&tally(5)), NOW);
     reports.note(&centre, Some(&tally(7)), NOW);
@@ -59,7 +59,7 @@
 
 #[test]
 fn empty_reports_are_not_stored() {
-    let mut reports = PeerReports::default();
+    let mut reports = Reports::default();
     reports.note(&vm("idle"), None, NOW);
     assert!(reports.0.is_empty());
     reports.note(&vm("busy"), Some(&tally(2)), NOW);
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -10,7 +10,7 @@
 /// the order of their keys.
 #[derive(Debug, Default)]
 pub struct Cache {
-    turns: HashMap<Key, CachedTurn>,
+    turns: HashMap<Key, Entry>,
     order: VecDeque<Key>,
     bytes: usize,
     capacity: usize,
@@ -18,7 +18,7 @@
 
 /// A cached turn.
 #[derive(Clone, Debug)]
-pub struct CachedTurn {
+pub struct Entry {
     /// The turn's input and output.
     pub text: Bytes,
     /// The turn that it continued from.
@@ -41,7 +41,7 @@
             return;
         }
         self.bytes += text.len();
-        self.turns.insert(key, CachedTurn { text, previous });
+        self.turns.insert(key, Entry { text, previous });
         self.order.push_back(key);
         while self.bytes > self.capacity {
             let Some(oldest) = self.order.pop_front() else {
@@ -55,7 +55,7 @@
 
     /// Finds a turn.
     #[must_use]
-    pub fn find(&self, key: Key) -> Option<CachedTurn> {
+    pub fn find(&self, key: Key) -> Option<Entry> {
         self.turns.get(&key).cloned()
     }
 }
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -167,10 +167,10 @@
                     _ => failed += 1,
                 }
                 match quorum::write_state(group.len(), done, failed) {
-                    quorum::WriteState::Waiting => {}
-                    quorum::WriteState::Majority | quorum::WriteState::All => return Ok(()),
-                    quorum::WriteState::Failed if list_changed => break,
-                    quorum::WriteState::Failed => return Err(Fault::TooFew),
+                    quorum::State::Waiting => {}
+                    quorum::State::Majority | quorum::State::All => return Ok(()),
+                    quorum::State::Failed if list_changed => break,
+                    quorum::State::Failed => return Err(Fault::TooFew),
                 }
             }
             if !list_changed {
@@ -203,7 +203,7 @@
         let mut failed = 0;
         let mut list_changed = false;
         let mut deadline = Instant::now() + call::ANSWER_TIMEOUT * 2;
-        let mut state = quorum::WriteState::Waiting;
+        let mut state = quorum::State::Waiting;
         // Ends early when the time for the stragglers is over.
         while let Ok(Some(answer)) = timeout_at(deadline, answers.recv()).await {
             match answer {
@@ -218,12 +218,12 @@
             let before = state;
             state = quorum::write_state(group.len(), known.len(), failed);
             match state {
-                quorum::WriteState::Majority if failed + known.len() == group.len() => break,
-                quorum::WriteState::Majority if before == quorum::WriteState::Waiting => {
+                quorum::State::Majority if failed + known.len() == group.len() => break,
+                quorum::State::Majority if before == quorum::State::Waiting => {
                     deadline = Instant::now() + STRAGGLER_WAIT;
                 }
-                quorum::WriteState::Waiting | quorum::WriteState::Majority => {}
-                quorum::WriteState::All | quorum::WriteState::Failed => break,
+                quorum::State::Waiting | quorum::State::Majority => {}
+                quorum::State::All | quorum::State::Failed => break,
             }
         }
         let own = Entry {
@@ -232,10 +232,8 @@
             used: None,
         };
         match state {
-            quorum::WriteState::All => {
-                Ok(quorum::check_budget(&quorum::union(&known), &own, budget))
-            }
-            quorum::WriteState::Majority => {
+            quorum::State::All => Ok(quorum::check_budget(&quorum::union(&known), &own, budget)),
+            quorum::State::Majority => {
                 known.extend(
                     self.read_entries(&list, &group, reservation.program)
                         .await?,
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -53,7 +53,7 @@
 
 /// A record found when the folder was opened.
 #[derive(Debug)]
-pub struct FoundRecord {
+pub struct Entry {
     /// The record.
     pub record: Record,
     /// Where its frame is stored.
@@ -119,11 +119,7 @@
 /// # Errors
 ///
 /// Fails if the folder can't be read or written.
-pub fn open(
-    folder: &Path,
-    bytes: u64,
-    on_record: &mut dyn FnMut(FoundRecord),
-) -> io::Result<Opened> {
+pub fn open(folder: &Path, bytes: u64, on_record: &mut dyn FnMut(Entry)) -> io::Result<Opened> {
     fs::create_dir_all(folder)?;
     let identity = read_identity(folder)?;
     let numbers = segment_numbers(folder)?;
@@ -207,11 +203,7 @@
 }
 
 /// Reads a segment up to its end or the first torn frame, and returns the length read.
-fn scan_segment(
-    folder: &Path,
-    number: u64,
-    on_record: &mut dyn FnMut(FoundRecord),
-) -> io::Result<u64> {
+fn scan_segment(folder: &Path, number: u64, on_record: &mut dyn FnMut(Entry)) -> io::Result<u64> {
     let mut file = File::open(segment_path(folder, number))?;
     let mut buffer: Vec<u8> = Vec::new();
     let mut chunk = vec![0; 256 * 1024];
@@ -228,7 +220,7 @@
                         offset: offset + at as u64,
                         length: u32::try_from(length).unwrap_or(u32::MAX),
                     };
-                    on_record(FoundRecord { record, location });
+                    on_record(Entry { record, location });
                     at += length;
                 }
                 Parsed::Incomplete => break,
--- a/crates/replica/src/disk/tests.rs
+++ b/crates/replica/src/disk/tests.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use rstest::rstest;
 
-use super::FoundRecord;
+use super::Entry;
 use super::Identity;
 use super::open;
 use crate::record;
@@ -35,7 +35,7 @@
 
     fn records(&self) -> Vec<Record> {
         let mut records = Vec::new();
-        open(&self.0, 100_000_000, &mut |found: FoundRecord| {
+        open(&self.0, 100_000_000, &mut |found: Entry| {
             records.push(found.record);
         })
         .unwrap();
--- a/crates/replica/src/index.rs
+++ b/crates/replica/src/index.rs
@@ -17,7 +17,7 @@
 
 /// A turn in the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct IndexEntry {
+pub struct Entry {
     /// The turn that it continues.
     pub previous: Option<Key>,
     /// Where it is stored.
@@ -27,18 +27,18 @@
 /// The turns of a member. It is a map because tens of thousands arrive in no order of their keys.
 #[derive(Debug, Default)]
 pub struct Index {
-    turns: HashMap<Key, IndexEntry>,
+    turns: HashMap<Key, Entry>,
 }
 
 impl Index {
     /// Adds a turn.
-    pub fn insert(&mut self, key: Key, entry: IndexEntry) {
+    pub fn insert(&mut self, key: Key, entry: Entry) {
         self.turns.insert(key, entry);
     }
 
     /// Finds a turn.
     #[must_use]
-    pub fn find(&self, key: Key) -> Option<IndexEntry> {
+    pub fn find(&self, key: Key) -> Option<Entry> {
         self.turns.get(&key).copied()
     }
 
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -38,7 +38,7 @@
 use crate::record::Key;
 use crate::record::Record;
 use crate::server::Member;
-use crate::unresponsive::UnresponsiveMembers;
+use crate::unresponsive;
 
 /// How often the driver runs.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
@@ -91,7 +91,7 @@
     /// The list's revision in the key-value service.
     revision: u64,
     list_read_at: Option<Millis>,
-    unresponsive: UnresponsiveMembers,
+    unresponsive: unresponsive::Members,
     /// Whether records were compared with the other members since the start or the last idle
     /// period.
     compared: bool,
--- a/crates/replica/src/quorum.rs
+++ b/crates/replica/src/quorum.rs
@@ -6,7 +6,7 @@
 
 /// State of a write to a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteState {
+pub enum State {
     /// More answers are needed.
     Waiting,
     /// A majority has it; more members may still answer.
@@ -19,17 +19,17 @@
 
 /// Returns the state of a write, given how many members have it and how many failed.
 #[must_use]
-pub const fn write_state(group: usize, done: usize, failed: usize) -> WriteState {
+pub const fn write_state(group: usize, done: usize, failed: usize) -> State {
     if group > 0 && done == group {
-        return WriteState::All;
+        return State::All;
     }
     if done >= list::majority(group) {
-        return WriteState::Majority;
+        return State::Majority;
     }
     if group - failed < list::majority(group) {
-        return WriteState::Failed;
+        return State::Failed;
     }
-    WriteState::Waiting
+    State::Waiting
 }
 
 /// Whether a reservation fits its program's budget.
--- a/crates/replica/src/quorum/tests.rs
+++ b/crates/replica/src/quorum/tests.rs
@@ -9,8 +9,8 @@
 use rstest::rstest;
 use wire::clock::Millis;
 
+use super::State;
 use super::Verdict;
-use super::WriteState;
 use super::check_budget;
 use super::union;
 use super::write_state;
@@ -26,19 +26,19 @@
 const RESERVED_TOKENS: u32 = 100;
 
 #[rstest]
-#[case(3, 1, 0, WriteState::Waiting)]
-#[case(3, 2, 0, WriteState::Majority)]
-#[case(3, 2, 1, WriteState::Majority)]
-#[case(3, 3, 0, WriteState::All)]
-#[case(3, 1, 2, WriteState::Failed)]
-#[case(2, 1, 1, WriteState::Failed)]
-#[case(1, 1, 0, WriteState::All)]
-#[case(0, 0, 0, WriteState::Failed)]
+#[case(3, 1, 0, State::Waiting)]
+#[case(3, 2, 0, State::Majority)]
+#[case(3, 2, 1, State::Majority)]
+#[case(3, 3, 0, State::All)]
+#[case(3, 1, 2, State::Failed)]
+#[case(2, 1, 1, State::Failed)]
+#[case(1, 1, 0, State::All)]
+#[case(0, 0, 0, State::Failed)]
 fn a_write_counts_with_a_majority(
     #[case] group: usize,
     #[case] done: usize,
     #[case] failed: usize,
-    #[case] expected: WriteState,
+    #[case] expected: State,
 ) {
     assert_eq!(write_state(group, done, failed), expected);
 }
@@ -98,7 +98,7 @@
             attempt
                 .known
                 .push(members[member].entries(PROGRAM).to_vec());
-            if write_state(MEMBERS, attempt.written.len(), 0) == WriteState::All
+            if write_state(MEMBERS, attempt.written.len(), 0) == State::All
                 && attempt.verdict.is_none()
             {
                 attempt.verdict = Some(check_budget(&union(&attempt.known), &entry(turn), BUDGET));
--- a/crates/replica/src/server.rs
+++ b/crates/replica/src/server.rs
@@ -25,11 +25,10 @@
 
 use crate::disk;
 use crate::disk::Disk;
-use crate::disk::FoundRecord;
 use crate::disk::Identity;
 use crate::disk::SegmentEvent;
+use crate::index;
 use crate::index::Index;
-use crate::index::IndexEntry;
 use crate::ledger::Ledger;
 use crate::list;
 use crate::list::List;
@@ -38,7 +37,6 @@
 use crate::message::Body;
 use crate::message::Status;
 use crate::record::Record;
-use crate::server::gained::GainedKeys;
 
 /// The longest request in bytes: a turn of the largest body that operators allow, and its output.
 const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
@@ -50,7 +48,7 @@
     state: Mutex<State>,
     events: Mutex<mpsc::Receiver<SegmentEvent>>,
     /// Computed once for each version of the list.
-    gained_cache: tokio::sync::Mutex<GainedKeys>,
+    gained_cache: tokio::sync::Mutex<gained::Keys>,
     clock: Clock,
     /// Accepted writes that aren't answered yet; closed when the process stops.
     writes: TaskTracker,
@@ -83,11 +81,11 @@
     let mut state = State::default();
     let now = clock.now();
     let mut records = 0_u64;
-    let opened = disk::open(folder, bytes, &mut |found: FoundRecord| {
+    let opened = disk::open(folder, bytes, &mut |found: disk::Entry| {
         records += 1;
         match found.record {
             Record::Turn(turn) => {
-                let entry = IndexEntry {
+                let entry = index::Entry {
                     previous: turn.previous,
                     location: found.location,
                 };
--- a/crates/replica/src/server/gained.rs
+++ b/crates/replica/src/server/gained.rs
@@ -14,7 +14,7 @@
 /// The keys that members gained by the latest change of the list, as far as this member holds them;
 /// sorted by VM.
 #[derive(Debug, Default)]
-pub(super) struct GainedKeys {
+pub(super) struct Keys {
     version: u64,
     turns: Vec<(String, Key)>,
     programs: Vec<(String, Key)>,
@@ -63,12 +63,12 @@
         }
     }
 
-    async fn compute_gained(&self, list: &List, losses: usize) -> GainedKeys {
+    async fn compute_gained(&self, list: &List, losses: usize) -> Keys {
         let (turns, programs) = {
             let state = self.lock();
             (state.index.keys(), state.ledger.programs())
         };
-        GainedKeys {
+        Keys {
             version: list.version,
             turns: gained_keys(list, &turns, losses).await,
             programs: gained_keys(list, &programs, losses).await,
--- a/crates/replica/src/server/write.rs
+++ b/crates/replica/src/server/write.rs
@@ -4,7 +4,7 @@
 use std::sync::PoisonError;
 
 use crate::disk::SegmentEvent;
-use crate::index::IndexEntry;
+use crate::index;
 use crate::ledger::Account;
 use crate::ledger::Entry;
 use crate::message::Answer;
@@ -53,7 +53,7 @@
         let mut state = self.lock();
         for (at, key, previous) in turns {
             let location = locations[at];
-            state.index.insert(key, IndexEntry { previous, location });
+            state.index.insert(key, index::Entry { previous, location });
         }
         let entries = program.map_or_else(Vec::new, |key| state.ledger.entries(key).to_vec());
         Answer::Applied(entries)
--- a/crates/replica/src/unresponsive.rs
+++ b/crates/replica/src/unresponsive.rs
@@ -22,12 +22,12 @@
 
 /// The members that don't answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct UnresponsiveMembers {
+pub struct Members {
     /// VMs in the order in which they stopped answering, with the times at which they did.
     members: Vec<(String, Millis)>,
 }
 
-impl UnresponsiveMembers {
+impl Members {
     /// Records which members of the list have just answered.
     ///
     /// Members that are no longer in the list are forgotten. Otherwise they would be removed again
--- a/crates/replica/src/unresponsive/tests.rs
+++ b/crates/replica/src/unresponsive/tests.rs
@@ -1,6 +1,6 @@
 use wire::clock::Millis;
 
-use super::UnresponsiveMembers;
+use super::Members;
 use crate::list::List;
 use crate::list::Member;
 
@@ -21,7 +21,7 @@
 /// each one that is removed and comes back makes all members catch up while callers wait.
 #[test]
 fn a_data_centre_that_is_cut_off_stays_on_the_list() {
-    let mut unresponsive = UnresponsiveMembers::default();
+    let mut unresponsive = Members::default();
     let six = list(&["a1", "a2", "b1", "b2", "c1", "c2"]);
     unresponsive.record_answers(&six, &["a1", "a2", "c1", "c2"], NOW);
     assert_eq!(
@@ -41,7 +41,7 @@
 /// endlessly for members that catch up.
 #[test]
 fn an_evicted_member_is_not_evicted_again() {
-    let mut unresponsive = UnresponsiveMembers::default();
+    let mut unresponsive = Members::default();
     let four = list(&["a", "b", "c", "d"]);
     unresponsive.record_answers(&four, &["a", "b", "c"], NOW);
     let later = NOW.plus(Millis::new(3_000));
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_restarting_member_is_not_evicted() {
-    let mut unresponsive = UnresponsiveMembers::default();
+    let mut unresponsive = Members::default();
     let four = list(&["a", "b", "c", "d"]);
     unresponsive.record_answers(&four, &["a", "b", "c"], NOW);
     let later = NOW.plus(Millis::new(2_900));
@@ -66,7 +66,7 @@
 
 #[test]
 fn one_of_two_members_is_evicted_sooner() {
-    let mut unresponsive = UnresponsiveMembers::default();
+    let mut unresponsive = Members::default();
     let two = list(&["a", "b"]);
     unresponsive.record_answers(&two, &["a"], NOW);
     assert_eq!(
