--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -91,7 +91,7 @@
 
 fn measure_programs() {
     println!("\nstate in memory, programs of 2 turns of {TEXT_LEN} + {TEXT_LEN} bytes");
-    println!("programs  KB/program  gate+apply us/turn  image MB  image ms");
+    println!("programs  KB/program  decide+apply us/turn  image MB  image ms");
     for programs in [1_000, 10_000, 100_000] {
         let before = resident_bytes();
         let mut state = opened_state();
@@ -109,7 +109,7 @@
         let image = Image::of(&state);
         let millis = cpu_time_since(start).as_secs_f64() * 1e3;
         println!(
-            "{programs:8}  {kilobytes:10.2}  {micros:18.2}  {:8.1}  {millis:8.1}",
+            "{programs:8}  {kilobytes:10.2}  {micros:20.2}  {:8.1}  {millis:8.1}",
             count(image.size()) / 1e6,
         );
     }
@@ -125,7 +125,7 @@
         turn: Some(number),
         messages: &messages,
         digest: id::Digest(u64::from(number)),
-        want: 1_000,
+        max_tokens: 1_000,
         attempt,
         endpoint: None,
         now: Millis::ZERO,
@@ -204,7 +204,7 @@
             index: 0,
         },
         seed: memory.writes() + 1,
-        copies: Vec::new(),
+        copy_holders: Vec::new(),
         acks: 0,
     };
     claim::open(setup, lease).await.expect("the shard opens")
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -125,7 +125,7 @@
     let ownership = Ownership {
         vm: setup.vm.clone(),
         epoch,
-        copies: setup.copies.clone(),
+        copies: setup.copy_holders.clone(),
     };
     write_ownership(&setup, &ownership, expected, lease).await?;
     log::info!(
@@ -160,7 +160,7 @@
     let ownership = Ownership {
         vm: setup.vm.clone(),
         epoch,
-        copies: setup.copies.clone(),
+        copies: setup.copy_holders.clone(),
     };
     let expected = match free_revision(setup).await {
         Ok(expected) => expected,
@@ -278,7 +278,7 @@
         let opened = Record::Opened {
             vm: setup.vm.clone(),
             epoch,
-            copies: setup.copies.clone(),
+            copies: setup.copy_holders.clone(),
         };
         let damaged = || Fault::Damaged("the fence can't be encoded".to_owned());
         let nonce = nonce(setup.seed, seq);
@@ -337,7 +337,7 @@
     if held.is_empty() {
         return;
     }
-    for holder in &loaded.old_copies {
+    for holder in &loaded.old_copy_holders {
         let epoch = loaded.state.epoch();
         let peers = &setup.peers;
         peers
--- a/crates/journal/src/claim/collect.rs
+++ b/crates/journal/src/claim/collect.rs
@@ -20,12 +20,12 @@
 /// Returns the pending batches sorted by epoch and number, without duplicates.
 pub(super) async fn collect(setup: &Setup, state: &State, epoch: u64) -> Result<Vec<Batch>> {
     let mut held = Vec::new();
-    if state.copies().is_empty() {
+    if state.copy_holders().is_empty() {
         return Ok(held);
     }
     let machines = setup.platform.machines().await?;
     let mut complete = true;
-    for holder in state.copies() {
+    for holder in state.copy_holders() {
         match collect_from(setup, &holder.vm, epoch, &machines).await? {
             Some(answer) => {
                 complete &= answer.incarnation == holder.incarnation;
--- a/crates/journal/src/claim/load.rs
+++ b/crates/journal/src/claim/load.rs
@@ -37,7 +37,7 @@
     pub(super) next: u64,
     pub(super) index: KnownIndex,
     /// The VMs that held copies for the last owner, as of the first read.
-    pub(super) old_copies: Vec<copy::Holder>,
+    pub(super) old_copy_holders: Vec<copy::Holder>,
 }
 
 impl Loaded {
@@ -111,9 +111,9 @@
         state,
         next,
         index,
-        old_copies: Vec::new(),
+        old_copy_holders: Vec::new(),
     };
     read_tail(platform, shard, &mut loaded).await?;
-    loaded.old_copies = loaded.state.copies().to_vec();
+    loaded.old_copy_holders = loaded.state.copy_holders().to_vec();
     Ok(loaded)
 }
--- a/crates/journal/src/copy/replicate.rs
+++ b/crates/journal/src/copy/replicate.rs
@@ -27,7 +27,7 @@
 pub(crate) async fn offer(setup: &Setup, batch: Batch) -> Replication {
     let mut offers = JoinSet::new();
     let batch = Arc::new(batch);
-    for holder in setup.copies.clone() {
+    for holder in setup.copy_holders.clone() {
         let (peers, shard) = (Arc::clone(&setup.peers), setup.shard.clone());
         let batch = Arc::clone(&batch);
         offers.spawn(async move { peers.hold(&holder, &shard, &batch).await });
@@ -40,7 +40,7 @@
 
 /// Tells the holders that a shard's batches up to `seq` are in the journal.
 pub(crate) async fn notify_drained(setup: &Setup, epoch: u64, seq: u64) {
-    for holder in &setup.copies {
+    for holder in &setup.copy_holders {
         let peers = &setup.peers;
         peers.drained(holder, &setup.shard, epoch, seq).await;
     }
--- a/crates/journal/src/decision/lifecycle.rs
+++ b/crates/journal/src/decision/lifecycle.rs
@@ -152,7 +152,7 @@
 /// batches, so a claimer asks them too; the second record ends that.
 #[must_use]
 pub fn change_copy_holders(state: &State, holders: &[Holder]) -> Option<Record> {
-    let current = state.copies();
+    let current = state.copy_holders();
     let same = current.len() == holders.len() && holders.iter().all(|h| current.contains(h));
     (!same).then(|| Record::Copies {
         holders: holders.to_vec(),
--- a/crates/journal/src/decision/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -72,7 +72,7 @@
 struct TurnRequest {
     turn: Option<u32>,
     digest: u64,
-    want: u64,
+    max_tokens: u64,
     attempt: u64,
     now: u64,
 }
@@ -80,7 +80,7 @@
 const FIRST_TURN: TurnRequest = TurnRequest {
     turn: Some(1),
     digest: 1,
-    want: 10,
+    max_tokens: 10,
     attempt: 1,
     now: 0,
 };
@@ -92,7 +92,7 @@
         turn: request.turn,
         messages: &[message("q")],
         digest: id::Digest(request.digest),
-        want: request.want,
+        max_tokens: request.max_tokens,
         attempt: id::Attempt(request.attempt),
         endpoint: None,
         now: Millis::new(request.now),
@@ -231,7 +231,7 @@
     start_turn(
         &mut state,
         TurnRequest {
-            want: 60,
+            max_tokens: 60,
             ..FIRST_TURN
         },
     );
@@ -239,7 +239,7 @@
     let second = start_turn(
         &mut state,
         TurnRequest {
-            want: 60,
+            max_tokens: 60,
             attempt: 2,
             ..FIRST_TURN
         },
@@ -267,7 +267,7 @@
         program: &program(),
         ended: id::Attempt(1),
         used: Some(3),
-        want: 200,
+        max_tokens: 200,
         attempt: id::Attempt(2),
         endpoint: None,
         now: Millis::ZERO,
@@ -427,7 +427,7 @@
         turn: None,
         messages: &long,
         digest: id::Digest(1),
-        want: 1,
+        max_tokens: 1,
         attempt: id::Attempt(1),
         endpoint: None,
         now: Millis::ZERO,
--- a/crates/journal/src/decision/turn.rs
+++ b/crates/journal/src/decision/turn.rs
@@ -43,7 +43,7 @@
     pub digest: id::Digest,
     /// The maximum number of tokens for the answer. The reservation is at most the remaining
     /// budget.
-    pub want: u64,
+    pub max_tokens: u64,
     /// The attempt's random ID.
     pub attempt: id::Attempt,
     /// The endpoint, if it is already known.
@@ -97,7 +97,7 @@
     /// spent.
     pub used: Option<u64>,
     /// The maximum number of tokens for the rest of the answer.
-    pub want: u64,
+    pub max_tokens: u64,
     /// The new attempt's random ID.
     pub attempt: id::Attempt,
     /// The new endpoint, if it is already known.
@@ -166,7 +166,7 @@
             format!("the new messages of a turn may have at most {MAX_MESSAGES_BYTES} bytes");
         return Err(Refusal::new(Code::BodyTooLarge, &detail));
     }
-    let reserved = reserve(program.remaining(), request.want)?;
+    let reserved = reserve(program.remaining(), request.max_tokens)?;
     let abandoned = program
         .running
         .as_ref()
@@ -203,7 +203,7 @@
     }
     let used = request.used.unwrap_or(running.reserved);
     let remaining = program.tokens.saturating_sub(program.spent);
-    let reserved = reserve(remaining.saturating_sub(used), request.want)?;
+    let reserved = reserve(remaining.saturating_sub(used), request.max_tokens)?;
     let started = Record::Started {
         program: request.program.clone(),
         turn: running.turn,
@@ -325,9 +325,9 @@
     (running.attempt == attempt).then_some((program, running))
 }
 
-fn reserve(remaining: u64, want: u64) -> Result<u64> {
+fn reserve(remaining: u64, max_tokens: u64) -> Result<u64> {
     if remaining == 0 {
         return Err(Refusal::new(Code::BudgetSpent, ""));
     }
-    Ok(want.min(remaining))
+    Ok(max_tokens.min(remaining))
 }
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -108,7 +108,7 @@
     /// Random for each claim; the batches' nonces are derived from it.
     pub seed: u64,
     /// The other VMs that hold copies during an outage: two, or four in a larger centre.
-    pub copies: Vec<copy::Holder>,
+    pub copy_holders: Vec<copy::Holder>,
     /// How many of them must hold a batch before it counts as durable. With 0, or if none of them
     /// answers, appends wait for the platform.
     pub acks: usize,
--- a/crates/journal/src/log/task/outcome.rs
+++ b/crates/journal/src/log/task/outcome.rs
@@ -72,7 +72,7 @@
         let (old, epoch) = (self.setup.clone(), self.epoch);
         tokio::spawn(async move { replicate::notify_drained(&old, epoch, seq).await });
         self.setup.acks = copy::acks(holders.len());
-        self.setup.copies = holders;
+        self.setup.copy_holders = holders;
         let has_holders = self.setup.acks > 0;
         self.flags.has_holders.store(has_holders, Ordering::SeqCst);
         self.flags.changing_holders.store(false, Ordering::SeqCst);
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -163,7 +163,7 @@
     /// change and those before it, because the owner can't tell when the last change takes effect
     /// in the journal.
     #[must_use]
-    pub fn copies(&self) -> &[Holder] {
+    pub fn copy_holders(&self) -> &[Holder] {
         &self.copies
     }
 
--- a/crates/journal/src/state/tests.rs
+++ b/crates/journal/src/state/tests.rs
@@ -63,7 +63,10 @@
         if let Some(record) = crate::decision::change_copy_holders(&state, holders) {
             state.apply(&record);
         }
-        let vms = state.copies().iter().map(|h| h.vm.as_str().to_owned());
+        let vms = state
+            .copy_holders()
+            .iter()
+            .map(|h| h.vm.as_str().to_owned());
         let mut vms: Vec<String> = vms.collect();
         vms.sort();
         asked.push(vms.concat());
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -264,7 +264,7 @@
             vm: name(vm),
             shard: shard(),
             seed: self.next_number(),
-            copies: self.holders(vm),
+            copy_holders: self.holders(vm),
             acks: 1,
         }
     }
@@ -321,7 +321,7 @@
         for owner in owners {
             let next = owner.epoch + 1 == opened.epoch;
             if next && owner.has_no_pending_appends() && owner.log.status() == Status::Open {
-                let copies = opened.state.copies().to_vec();
+                let copies = opened.state.copy_holders().to_vec();
                 let mut live = owner.state.clone();
                 live.apply(&journal::record::Record::Opened {
                     vm: opened.state.owner().unwrap().clone(),
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -106,7 +106,7 @@
         vm: id::Vm::parse(vm).unwrap(),
         shard: shard(),
         seed: lease.0,
-        copies: vec![copy::Holder {
+        copy_holders: vec![copy::Holder {
             vm: id::Vm::parse("holder").unwrap(),
             incarnation: INCARNATION,
         }],
@@ -405,7 +405,7 @@
         vm: id::Vm::parse("a").unwrap(),
         shard: shard(),
         seed: 0,
-        copies: Vec::new(),
+        copy_holders: Vec::new(),
         acks: 0,
     };
     let ended = Record::Ended {
--- a/crates/node/examples/slopes/model.rs
+++ b/crates/node/examples/slopes/model.rs
@@ -79,7 +79,7 @@
     );
 }
 
-/// Gives each endpoint's keeper a load report each second. Every other report is significant.
+/// Gives each endpoint's poller a load report each second. Every other report is significant.
 fn report(fleet: &mut Fleet, endpoints: usize, step: u64) {
     let now = fleet.now();
     let round = 1_000 / TICK.as_u64();
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -272,15 +272,15 @@
 }
 
 async fn claim(core: &Arc<Core>, shard: &id::Shard, lease: edge::Lease) -> bool {
-    let copies = copies::holders(core, shard);
+    let copy_holders = copies::holders(core, shard);
     let setup = Setup {
         platform: core.platform.clone(),
         peers: Arc::new(copies::Client::new(core)),
         vm: core.settings.vm.name.clone(),
         shard: shard.clone(),
         seed: rand::random(),
-        acks: copy::acks(copies.len()),
-        copies,
+        acks: copy::acks(copy_holders.len()),
+        copy_holders,
     };
     match core.registry.claim(core, setup, lease).await {
         Ok(epoch) => {
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -58,7 +58,7 @@
             core.metrics.count_refusal(refusal.code);
             let mut response = answer::refuse(&refusal);
             if request_body.state() == State::AwaitsContinue {
-                // The client still waits for `100 Continue`. Its body is never read, so the
+                // The caller still waits for `100 Continue`. Its body is never read, so the
                 // connection can't be reused.
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
--- a/crates/node/src/owner/message.rs
+++ b/crates/node/src/owner/message.rs
@@ -76,7 +76,7 @@
     /// The digest of the new messages and the options.
     pub digest: id::Digest,
     /// The most tokens that the answer may have.
-    pub want: u64,
+    pub max_tokens: u64,
     /// The attempt.
     pub attempt: id::Attempt,
     /// The endpoint.
@@ -100,7 +100,7 @@
     /// Tokens that the ended attempt generated; `None` if unknown.
     pub used: Option<u64>,
     /// The most tokens that the rest of the answer may have.
-    pub want: u64,
+    pub max_tokens: u64,
     /// The new attempt.
     pub attempt: id::Attempt,
     /// The new endpoint.
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -63,7 +63,7 @@
     /// The new messages and the options.
     pub request: chat::Request,
     /// The most tokens that the answer may have.
-    pub want: u64,
+    pub max_tokens: u64,
     /// The turn.
     pub turn: u32,
     /// The digest of the new messages and the options.
@@ -130,7 +130,7 @@
                 *ran = ran_before;
             }
             self.record_failure(&mut attempt, &failed);
-            if partial.pieces() >= self.want {
+            if partial.pieces() >= self.max_tokens {
                 // All requested tokens have arrived; only the end marker is missing.
                 let usage = chat::Usage::default();
                 return self
@@ -153,7 +153,7 @@
             turn: self.turn,
             messages: self.request.messages.clone(),
             digest: self.digest,
-            want: self.want,
+            max_tokens: self.max_tokens,
             attempt: id,
             endpoint: slot.endpoint.name.clone(),
         };
@@ -299,7 +299,7 @@
             program: self.work.program.clone(),
             ended,
             used,
-            want: self.want.saturating_sub(partial.pieces()).max(1),
+            max_tokens: self.max_tokens.saturating_sub(partial.pieces()).max(1),
             attempt: id,
             endpoint: slot.endpoint.name.clone(),
         };
--- a/crates/node/tests/request/lost.rs
+++ b/crates/node/tests/request/lost.rs
@@ -67,7 +67,7 @@
             vm: id::Vm::parse("a2").unwrap(),
             shard,
             seed: u64::from(index),
-            copies: Vec::new(),
+            copy_holders: Vec::new(),
             acks: 0,
         };
         claim::open(setup, lease).await.unwrap();
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -211,7 +211,7 @@
         if span < WINDOW {
             return;
         }
-        #[expect(clippy::cast_precision_loss, reason = "a spell is a few seconds")]
+        #[expect(clippy::cast_precision_loss, reason = "a window is a few seconds")]
         let seconds = span.as_u64() as f64 / 1000.0;
         let latest = f64::from(self.taken) / seconds;
         self.rate = Some(match self.rate {
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -117,7 +117,7 @@
 
 /// The share of a pool's work that each first part accounts for, as one VM sees it.
 ///
-/// The client's balancer spreads the work over the VMs, so that each VM sees about the same shares.
+/// The load balancer spreads the work over the VMs, so that each VM sees about the same shares.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     /// Sorted by part id, at most [`MAX_TRACKED`].
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -1,4 +1,4 @@
-//! Stops a process that takes clients' requests: waits until the balancer has noticed and requests
+//! Stops a process that takes callers' requests: waits until the balancer has noticed and requests
 //! in progress have ended, and logs the requests that the end of the process cuts off.
 
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 /// The most requests that are logged as cut off by the end of the process.
 const MAX_LOGGED_CUT: usize = 100;
 
-/// Runs the stop and returns when the process may end. `listener` is the task of the clients'
+/// Runs the stop and returns when the process may end. `listener` is the task of the callers'
 /// listener.
 pub async fn run(node: &Arc<Node>, door: &Arc<Door>, listener: JoinHandle<()>) {
     let stop = node.begin_stop();
@@ -43,7 +43,7 @@
     // then.
     door.shut.cancel();
     if timeout(LISTENER_CLOSE_TIMEOUT, listener).await.is_err() {
-        log::warn!("text=\"the listener for clients did not close in time\"");
+        log::warn!("text=\"the listener for callers did not close in time\"");
     }
     wait_until(|| stop.is_over(node.clock.now(), activity(node, door))).await;
     log_cut(&node.work.entries());
--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 
-/// A stopping process that consists only of its listener for clients.
+/// A stopping process that consists only of its listener for callers.
 struct Stopping {
     node: Arc<Node>,
     door: Arc<Door>,
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the runners of a data centre that count as reachable but haven't answered for
-    /// [`QUIET_AFTER`].
+    /// `QUIET_AFTER`.
     #[must_use]
     pub fn quiet_runners(&self, centre: &str, now: Millis) -> Vec<Target> {
         let quiet = self.runners.iter().filter(|runner| {
--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -171,7 +171,9 @@
     if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
-            Err(fault) => log::error!("text=\"can't decode the member list\" fault=\"{fault}\""),
+            Err(fault) => {
+                log::error!("text=\"can't decode the list of members\" fault=\"{fault}\"")
+            }
         }
         return;
     }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -152,11 +152,11 @@
         }
     }
 
-    /// Chooses a runner that is not in `not`.
+    /// Chooses a runner that is not in `excluded`.
     #[must_use]
     pub fn choose(&self, excluded: &[String]) -> Option<fleet::Choice> {
         let engine = self.table.engine(&self.service);
-        let want = fleet::Request {
+        let request = fleet::Request {
             service: &self.service,
             engine,
             prompt: &self.prompt,
@@ -175,7 +175,7 @@
             },
             now: self.node.clock.now(),
         };
-        self.node.fleet().choose(&want)
+        self.node.fleet().choose(&request)
     }
 
     /// Sends the request to a runner and waits for the head of its answer, at most until
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,6 +1,6 @@
 //! Serves requests of any method and path and passes whole bodies on unmodified.
 //!
-//! The VM that a client connects to does all the work of a request: it routes the request, reserves
+//! The VM that a caller connects to does all the work of a request: it routes the request, reserves
 //! tokens of the program's budget, prepends the stored history to the input, chooses a runner and
 //! calls it. No request is journaled in the platform's key-value service: no other VM ever gets the
 //! same attempt, so the memory of one process suffices to run it at most once. State that has to
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -61,7 +61,7 @@
 /// other VMs up, it has everything in under 0.2 s, also after a power loss of all VMs. If it takes
 /// longer, the missing information may never come, so requests are refused.
 const START_WAIT: Duration = Duration::from_millis(800);
-/// How often a waiting request polls. A fraction of the time until a client's next attempt.
+/// How often a waiting request polls. A fraction of the time until a caller's next attempt.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Divisor of the process's memory that gives the size of the turn cache.
 const TURN_CACHE_DIVISOR: u64 = 6;
@@ -95,7 +95,7 @@
     stop: watch::Sender<Option<Stop>>,
     /// Whether enough VMs with a disk answer.
     member_health: Mutex<member_health::Health>,
-    /// Held while a doubt about whether enough VMs with a disk answer is being checked.
+    /// Held while a suspicion that too few VMs with a disk answer is being checked.
     pub suspicion_check: tokio::sync::Mutex<()>,
     /// When the list of runners was last known to be current, in milliseconds.
     runners_current_at: AtomicU64,
@@ -195,7 +195,7 @@
     /// Waits shortly after the process's start until `known` holds. Returns at once at any other
     /// time, and gives up at `until` or when the start phase is over.
     ///
-    /// After a power loss of all VMs, clients retry within the first tens of milliseconds, and each
+    /// After a power loss of all VMs, callers retry within the first tens of milliseconds, and each
     /// refusal would use up one of the few attempts that a turn has.
     pub async fn wait_at_start(&self, known: impl Fn(&Self) -> bool, until: Instant) {
         let until = until.min(self.started + START_WAIT);
@@ -309,7 +309,7 @@
         subject::source(subject, role, is_reader, self.is_runners_list_stale())
     }
 
-    /// Returns whether the process can serve clients' requests.
+    /// Returns whether the process can serve callers' requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let table = self.table();
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -204,7 +204,7 @@
     }
 
     /// Returns the factor by which the pause between two exchanges grows, so that a hub handles at
-    /// most some hundred messages a second. It grows by one for each [`LEAVES_AT_FULL_RATE`] VMs of
+    /// most some hundred messages a second. It grows by one for each `LEAVES_AT_FULL_RATE` VMs of
     /// the largest data centre.
     #[must_use]
     pub fn pause_factor(&self) -> u32 {
--- a/crates/relay/src/probe.rs
+++ b/crates/relay/src/probe.rs
@@ -1,4 +1,4 @@
-//! Answers probes of the balancer and scrapers: whether the VM takes clients, and its metrics.
+//! Answers probes of the balancer and scrapers: whether the VM takes callers, and its metrics.
 
 use hyper::Response;
 use hyper::StatusCode;
@@ -9,7 +9,7 @@
 use crate::memory;
 use crate::node::Node;
 
-/// Answers whether the VM takes clients. Ignores the path, because nothing else is asked there.
+/// Answers whether the VM takes callers. Ignores the path, because nothing else is asked there.
 #[must_use]
 pub fn ready(node: &Node) -> Response<Body> {
     if node.is_ready() {
--- a/crates/relay/src/work.rs
+++ b/crates/relay/src/work.rs
@@ -2,7 +2,7 @@
 //! without a log line.
 //!
 //! The entry of an answer lasts from the request's headers until the answer is complete or
-//! abandoned, however long the client stays connected.
+//! abandoned, however long the caller stays connected.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -37,7 +37,7 @@
     number: u64,
     /// Kind of the work.
     pub kind: Kind,
-    /// The request's id as given by its client.
+    /// The request's id as given by its caller.
     pub request: String,
     /// When the work began.
     pub since: Instant,
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Tells whether a member copies a key when it catches up with a list: one that it holds under the
-/// list or under the one `before` it.
+/// Returns whether a member copies a key when it catches up with a list: one that it holds under
+/// the list or under the one `before` it.
 ///
 /// A slow member may catch up with a list without having caught up with the one before. From then
 /// on others assume that it had, and copy from it. If it skipped the keys of the earlier list, the
@@ -52,8 +52,9 @@
     in_group(list) || in_group(before)
 }
 
-/// Tells whether a member has copied from enough members of the previous list: `answered` have sent
-/// what they hold, and `caught_up` are those of them that had caught up with the previous list.
+/// Returns whether a member has copied from enough members of the previous list: `answered` have
+/// sent what they hold, and `caught_up` are those of them that had caught up with the previous
+/// list.
 ///
 /// `answered` must intersect every majority, so that the remaining members are too few to continue
 /// with the previous list. Where members hold everything, one caught-up member is enough; where
@@ -92,7 +93,7 @@
     gained
 }
 
-/// Tells whether each member holds only a part of the keys.
+/// Returns whether each member holds only a part of the keys.
 fn is_partial(list: &List, losses: usize) -> bool {
     list.members.len() > list.group_size(losses)
 }
--- a/crates/replica/src/catch_up/tests.rs
+++ b/crates/replica/src/catch_up/tests.rs
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Tells whether enough members have caught up for the list to change again.
+    /// Returns whether enough members have caught up for the list to change again.
     fn may_change(&self) -> bool {
         let ready: Vec<&Member> = self.ready().collect();
         let needed = list::blocking_size(self.list.group_size(LOSSES));
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -330,7 +330,7 @@
         Err(fault)
     }
 
-    /// Tells whether enough members answer within `limit` to serve every key, and which members
+    /// Returns whether enough members answer within `limit` to serve every key, and which members
     /// don't.
     pub async fn reachable(&self, limit: Duration) -> Reach {
         let list = self.list();
--- a/crates/replica/src/list.rs
+++ b/crates/replica/src/list.rs
@@ -43,7 +43,7 @@
         self.members.iter().find(|member| member.vm == vm)
     }
 
-    /// Tells whether this disk of this VM is a member at this address.
+    /// Returns whether this disk of this VM is a member at this address.
     #[must_use]
     pub fn has_member(&self, member: &Member) -> bool {
         self.members.contains(member)
@@ -110,7 +110,7 @@
         (2 * losses + 1).min(self.members.len())
     }
 
-    /// Tells whether `subset` contains at least `needed` members of the group of every key.
+    /// Returns whether `subset` contains at least `needed` members of the group of every key.
     ///
     /// Members that intersect every majority leave the others too few for one: those can neither
     /// store a turn nor be certain that one is absent.
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -2,7 +2,7 @@
 //! leaves.
 //!
 //! The list changes one step at a time: the next change is proposed only when enough members hold
-//! everything acknowledged under the present list. A joining member is first added to the list,
+//! everything acknowledged under the current list. A joining member is first added to the list,
 //! which makes the others refuse requests under the old list, and only then asks for what they
 //! hold. What they hold then includes everything acknowledged under the old list.
 
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Proposes the next list once enough members have caught up with the present one.
+    /// Proposes the next list once enough members have caught up with the current one.
     async fn propose(&self, state: &mut DriverState, list: &List, next: &List) {
         if next.members.is_empty() {
             return;
