--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -146,8 +146,8 @@
     );
     let change = set_runner(node, &id, decoded);
     let weight = match change {
-        fleet::Change::Unchanged => roster::ChangeKind::Heartbeat,
-        _ => roster::ChangeKind::Significant,
+        fleet::Change::Unchanged => roster::Change::Heartbeat,
+        _ => roster::Change::Significant,
     };
     node.roster().set(&id, &entry.value, entry.revision, weight);
     fleet::log_change(&change, &line);
@@ -171,7 +171,9 @@
     if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
-            Err(fault) => log::error!("text=\"can't decode the member list\" fault=\"{fault}\""),
+            Err(fault) => {
+                log::error!("text=\"can't decode the list of members\" fault=\"{fault}\"")
+            }
         }
         return;
     }
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -2,7 +2,7 @@
 //! leaves.
 //!
 //! The list changes one step at a time: the next change is proposed only when enough members hold
-//! everything acknowledged under the present list. A joining member is first added to the list,
+//! everything acknowledged under the current list. A joining member is first added to the list,
 //! which makes the others refuse requests under the old list, and only then asks for what they
 //! hold. What they hold then includes everything acknowledged under the old list.
 
@@ -38,7 +38,7 @@
 use crate::record::Key;
 use crate::record::Record;
 use crate::server::Member;
-use crate::unresponsive::UnresponsiveMembers;
+use crate::unresponsive;
 
 /// How often the driver runs.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
@@ -91,7 +91,7 @@
     /// The list's revision in the key-value service.
     revision: u64,
     list_read_at: Option<Millis>,
-    unresponsive: UnresponsiveMembers,
+    unresponsive: unresponsive::Members,
     /// Whether records were compared with the other members since the start or the last idle
     /// period.
     compared: bool,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Proposes the next list once enough members have caught up with the present one.
+    /// Proposes the next list once enough members have caught up with the current one.
     async fn propose(&self, state: &mut DriverState, list: &List, next: &List) {
         if next.members.is_empty() {
             return;
