--- a/crates/chestnutyoke/tests/whole_path.rs
+++ b/crates/chestnutyoke/tests/whole_path.rs
@@ -237,7 +237,7 @@
     ];
     for case in &cases {
         let sent = support::send(a, case.method, case.path, case.headers, case.body).await;
-        let (status, answer) = support::whole(sent.expect("an answer")).await;
+        let (status, answer) = support::read_json(sent.expect("an answer")).await;
         let code = answer["error"]["code"].as_str().unwrap_or_default();
         assert_eq!((status, code), case.refusal, "{answer}");
         assert_eq!(answer["error"]["ran"], "no", "{answer}");
--- a/crates/node/tests/request/admission.rs
+++ b/crates/node/tests/request/admission.rs
@@ -38,7 +38,7 @@
         let answered = fleet.ask(CHAT, &[], &client::chat("x")).await;
         assert_eq!(answered.0, 200, "{}", answered.1);
         let mut rest = String::new();
-        let read = tokio::time::timeout(client::PATIENCE, stream.read_to_string(&mut rest));
+        let read = tokio::time::timeout(client::TIMEOUT, stream.read_to_string(&mut rest));
         read.await.expect("the connection ends").unwrap();
         assert!(rest.contains(code), "{rest}");
     }
@@ -198,7 +198,7 @@
                 content-length: 3000000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.unwrap();
     let mut rest = String::new();
-    let read = tokio::time::timeout(client::PATIENCE, stream.read_to_string(&mut rest));
+    let read = tokio::time::timeout(client::TIMEOUT, stream.read_to_string(&mut rest));
     read.await.expect("the connection ends").unwrap();
     assert!(rest.starts_with("HTTP/1.1 404"), "{rest}");
     assert!(rest.contains("CY1105"), "{rest}");
--- a/crates/node/tests/request/fleet.rs
+++ b/crates/node/tests/request/fleet.rs
@@ -139,7 +139,7 @@
     async fn until_view(&self, matches: impl Fn(&View) -> bool) {
         let mut view = self.node.core().view.subscribe();
         let found = view.wait_for(|view| matches(view));
-        tokio::time::timeout(client::PATIENCE, found)
+        tokio::time::timeout(client::TIMEOUT, found)
             .await
             .unwrap()
             .unwrap();
@@ -250,5 +250,5 @@
         ("chestnutyoke-deadline-ms", "700"),
     ];
     let answer = client::send(callers, method, path, &headers, body).await;
-    client::whole(answer.expect("no answer")).await
+    client::read_json(answer.expect("no answer")).await
 }
--- a/crates/node/tests/request/lost.rs
+++ b/crates/node/tests/request/lost.rs
@@ -96,7 +96,7 @@
     let no_owner = fleet.ask(CHAT, &headers, &client::chat("two")).await;
     assert_eq!(refusal(&no_owner), ("CY2203", "no"), "{}", no_owner.1);
     fleet.platform.revoke(lease).await.unwrap();
-    let again = tokio::time::timeout(client::PATIENCE, async {
+    let again = tokio::time::timeout(client::TIMEOUT, async {
         loop {
             let answer = fleet.ask(CHAT, &next, &client::chat("two")).await;
             if answer.0 == 200 {
--- a/crates/node/tests/request/order.rs
+++ b/crates/node/tests/request/order.rs
@@ -80,7 +80,7 @@
     let headers = [("authorization", bearer.as_str())];
     let path = "/v1/programs/berth";
     let ended = client::send(fleet.callers, "DELETE", path, &headers, "").await;
-    let ended = client::whole(ended.unwrap()).await;
+    let ended = client::read_json(ended.unwrap()).await;
     assert_eq!(ended.1["ended"], json!("CY1303"), "{}", ended.1);
     let next = fleet
         .ask(CHAT, &named("berth", "2"), &client::chat("y"))
--- a/crates/node/tests/request/service.rs
+++ b/crates/node/tests/request/service.rs
@@ -103,7 +103,7 @@
     assert!(answer.1["error"]["retry_after_ms"].is_u64(), "{}", answer.1);
     assert_eq!(runs(&fleet).await, 0);
     fleet.platform.set_down(false);
-    let answer = tokio::time::timeout(client::PATIENCE, async {
+    let answer = tokio::time::timeout(client::TIMEOUT, async {
         loop {
             let answer = fleet.ask(SWITCH, &KEY, &json!({})).await;
             if answer.0 == 200 {
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -432,7 +432,7 @@
     stream.set_nonblocking(true).unwrap();
     let mut stream = tokio::net::TcpStream::from_std(stream).unwrap();
     let mut answer = Vec::new();
-    let read = timeout(client::PATIENCE, stream.read_to_end(&mut answer)).await;
+    let read = timeout(client::TIMEOUT, stream.read_to_end(&mut answer)).await;
     read.unwrap().expect("the connection broke");
     let answer = String::from_utf8(answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 /// Far longer than any wait here takes; a test that reaches it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 /// The token of the caller `tug`.
 pub const TOKEN: &str = "tug-secret";
 
@@ -57,7 +57,7 @@
     body: &Value,
 ) -> (u16, Value) {
     let response = send(address, "POST", path, headers, &body.to_string()).await;
-    whole(response.expect("an answer")).await
+    read_json(response.expect("an answer")).await
 }
 
 /// Posts as the caller `tug`.
@@ -86,7 +86,7 @@
     let bearer = format!("Bearer {TOKEN}");
     let headers = [("authorization", bearer.as_str())];
     let response = send(address, "GET", path, &headers, "").await;
-    whole(response.expect("an answer")).await.1
+    read_json(response.expect("an answer")).await.1
 }
 
 /// Collects a JSON answer.
@@ -94,7 +94,7 @@
 /// # Panics
 ///
 /// Panics where the connection breaks in the middle.
-pub async fn whole(response: Response<Incoming>) -> (u16, Value) {
+pub async fn read_json(response: Response<Incoming>) -> (u16, Value) {
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.unwrap().to_bytes();
     (status, serde_json::from_slice(&body).unwrap_or_default())
@@ -136,7 +136,7 @@
 ///
 /// # Panics
 ///
-/// Panics where it isn't within [`PATIENCE`].
+/// Panics where it isn't within [`TIMEOUT`].
 pub async fn until(address: SocketAddr, path: &str, wished: impl Fn(&Value) -> bool) -> Value {
     let asked = async {
         loop {
@@ -147,7 +147,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let found = tokio::time::timeout(PATIENCE, asked).await;
+    let found = tokio::time::timeout(TIMEOUT, asked).await;
     found.unwrap_or_else(|_| panic!("{path} never was as wished"))
 }
 
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -23,7 +23,7 @@
 use platform::memory::Play;
 use rstest::rstest;
 use standin::client;
-use standin::client::PATIENCE;
+use standin::client::TIMEOUT;
 use standin::http::Server;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -164,7 +164,7 @@
 }
 
 async fn next(changes: &mut mpsc::Receiver<Change>) -> Option<Change> {
-    tokio::time::timeout(PATIENCE, changes.recv())
+    tokio::time::timeout(TIMEOUT, changes.recv())
         .await
         .expect("no change came")
 }
--- a/crates/standin/tests/gateway.rs
+++ b/crates/standin/tests/gateway.rs
@@ -105,7 +105,7 @@
         &json!({ "down": "refuse" }),
     )
     .await;
-    let end = tokio::time::timeout(client::PATIENCE, changes.recv()).await;
+    let end = tokio::time::timeout(client::TIMEOUT, changes.recv()).await;
     assert_eq!(end, Ok(None));
 }
 
--- a/crates/standin/tests/runner.rs
+++ b/crates/standin/tests/runner.rs
@@ -8,10 +8,10 @@
 use standin::client::content;
 use standin::client::get;
 use standin::client::post;
+use standin::client::read_json;
 use standin::client::send;
 use standin::client::stream;
 use standin::client::until;
-use standin::client::whole;
 use standin::http::Server;
 use standin::runner;
 use standin::runner::Settings;
@@ -54,7 +54,7 @@
 async fn chat(address: SocketAddr, program: &str, attempt: &str, body: &Value) -> (u16, Value) {
     let headers = [(runner::PROGRAM, program), (runner::ATTEMPT, attempt)];
     let response = send(address, "POST", CHAT, &headers, &body.to_string()).await;
-    whole(response.expect("no answer")).await
+    read_json(response.expect("no answer")).await
 }
 
 #[tokio::test]
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 use standin::client::get;
 use standin::client::post;
+use standin::client::read_json;
 use standin::client::send;
-use standin::client::whole;
 use standin::service;
 use standin::service::Settings;
 use tokio::net::TcpListener;
@@ -22,10 +22,10 @@
     assert!(send(address, "POST", path, &headers, "{}").await.is_none());
     post(address, "/faults", &[], &json!({ "refuse": 1 })).await;
     let refused = send(address, "POST", path, &headers, "{}").await.unwrap();
-    let (status, refusal) = whole(refused).await;
+    let (status, refusal) = read_json(refused).await;
     assert_eq!((status, &refusal["ran"]), (503, &json!("no")));
     let third = send(address, "POST", path, &headers, "{}").await.unwrap();
-    assert_eq!(whole(third).await.1["run"], 2);
+    assert_eq!(read_json(third).await.1["run"], 2);
     let counts = get(address, "/stats").await;
     let runs = json!([{ "key": "k", "operation": "close", "runs": 2 }]);
     assert_eq!(counts, json!({ "runs": runs, "refused": 1 }));
