--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,5 +1,5 @@
-//! A plain HTTP client for tests and measurements: what a caller without any library of ours
-//! sends. It panics where a test would fail anyway.
+//! A plain HTTP client for tests and measurements. It sends what a caller without this project's
+//! libraries sends, and panics where a test would fail anyway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,16 +17,16 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Far longer than any wait here takes; a test that reaches it has failed.
+/// Far longer than any wait in a test takes; a test that reaches it has failed.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
-/// The token of the caller `tug`.
+/// The bearer token of the caller `tug`.
 pub const TOKEN: &str = "tug-secret";
 
-/// Sends a request; `None` where the connection broke before an answer.
+/// Sends a request; returns `None` if the connection broke before the answer.
 ///
 /// # Panics
 ///
-/// Panics where a header isn't valid.
+/// Panics if a header is invalid.
 pub async fn send(
     address: SocketAddr,
     method: &str,
@@ -45,11 +45,11 @@
     http.request(request.body(body).unwrap()).await.ok()
 }
 
-/// Posts JSON and reads the JSON answer with its status.
+/// Posts JSON and returns the status and the JSON answer.
 ///
 /// # Panics
 ///
-/// Panics where the connection breaks before an answer.
+/// Panics if the connection breaks before the end of the answer.
 pub async fn post(
     address: SocketAddr,
     path: &str,
@@ -60,11 +60,11 @@
     read_json(response.expect("an answer")).await
 }
 
-/// Posts as the caller `tug`.
+/// Posts JSON as the caller `tug` and returns the status and the JSON answer.
 ///
 /// # Panics
 ///
-/// Panics where the connection breaks before an answer.
+/// Panics if the connection breaks before the end of the answer.
 pub async fn ask(
     address: SocketAddr,
     path: &str,
@@ -72,16 +72,16 @@
     body: &Value,
 ) -> (u16, Value) {
     let bearer = format!("Bearer {TOKEN}");
-    let mut all = vec![("authorization", bearer.as_str())];
-    all.extend(headers);
-    post(address, path, &all, body).await
+    let mut all_headers = vec![("authorization", bearer.as_str())];
+    all_headers.extend(headers);
+    post(address, path, &all_headers, body).await
 }
 
-/// Reads a JSON answer.
+/// Sends a GET request as the caller `tug` and returns the JSON answer.
 ///
 /// # Panics
 ///
-/// Panics where the connection breaks before an answer.
+/// Panics if the connection breaks before the end of the answer.
 pub async fn get(address: SocketAddr, path: &str) -> Value {
     let bearer = format!("Bearer {TOKEN}");
     let headers = [("authorization", bearer.as_str())];
@@ -89,18 +89,20 @@
     read_json(response.expect("an answer")).await.1
 }
 
-/// Collects a JSON answer.
+/// Reads an answer to its end and returns its status and JSON body; the body is `null` if it is
+/// not JSON.
 ///
 /// # Panics
 ///
-/// Panics where the connection breaks in the middle.
+/// Panics if the connection breaks before the end of the body.
 pub async fn read_json(response: Response<Incoming>) -> (u16, Value) {
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.unwrap().to_bytes();
     (status, serde_json::from_slice(&body).unwrap_or_default())
 }
 
-/// Collects a stream: its text as far as it came, and whether it ended with the end marker.
+/// Reads a stream until it ends or breaks; returns the text received and whether it ended with the
+/// end marker.
 pub async fn stream(response: Response<Incoming>) -> (String, bool) {
     let mut body = response.into_body();
     let mut bytes = Vec::new();
@@ -112,18 +114,18 @@
     (text, ended)
 }
 
-/// Joins the contents of a stream's pieces.
+/// Joins the content of all chunks in the text of a stream.
 #[must_use]
 pub fn content(events: &str) -> String {
     let lines = events
         .lines()
         .filter_map(|line| line.strip_prefix("data: "));
-    let pieces = lines.filter_map(|line| serde_json::from_str::<Value>(line).ok());
-    let text = |piece: Value| {
-        let delta = &piece["choices"][0]["delta"]["content"];
+    let chunks = lines.filter_map(|line| serde_json::from_str::<Value>(line).ok());
+    let text = |chunk: Value| {
+        let delta = &chunk["choices"][0]["delta"]["content"];
         delta.as_str().map(str::to_owned)
     };
-    pieces.filter_map(text).collect()
+    chunks.filter_map(text).collect()
 }
 
 /// Builds a chat request with one user message.
@@ -132,30 +134,30 @@
     json!({"model": "m", "messages": [{"role": "user", "content": text}]})
 }
 
-/// Asks again until the answer is as wished.
+/// Polls `path` until `condition` holds for the answer, and returns that answer.
 ///
 /// # Panics
 ///
-/// Panics where it isn't within [`TIMEOUT`].
-pub async fn until(address: SocketAddr, path: &str, wished: impl Fn(&Value) -> bool) -> Value {
-    let asked = async {
+/// Panics if the condition does not hold within [`TIMEOUT`].
+pub async fn until(address: SocketAddr, path: &str, condition: impl Fn(&Value) -> bool) -> Value {
+    let polling = async {
         loop {
             let answer = get(address, path).await;
-            if wished(&answer) {
+            if condition(&answer) {
                 return answer;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let found = tokio::time::timeout(TIMEOUT, asked).await;
-    found.unwrap_or_else(|_| panic!("{path} never was as wished"))
+    let found = tokio::time::timeout(TIMEOUT, polling).await;
+    found.unwrap_or_else(|_| panic!("{path} did not meet the condition in time"))
 }
 
-/// Writes the operators' configuration to the platform's stand-in.
+/// Writes the operators' configuration to the platform stand-in.
 ///
 /// # Panics
 ///
-/// Panics where the platform doesn't take it.
+/// Panics if the platform does not accept it.
 pub async fn configure(platform: SocketAddr, config: &Value) {
     let key = BASE64.encode(b"config");
     let value = BASE64.encode(config.to_string());
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -32,22 +32,23 @@
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
 
-/// The longest request body in bytes: a transaction of a few values of a megabyte in base64.
+/// Maximum length of a request body in bytes: enough for a transaction with a few values of one
+/// megabyte each in base64.
 const MAX_BODY: usize = 8 * 1024 * 1024;
 
-/// Ends a connection without an answer, or in the middle of one.
+/// Makes the server drop the connection before or during the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("the connection is dropped")]
 pub struct Dropped;
 
 /// The body of an answer.
 pub type Body = BoxBody<Bytes, Dropped>;
-/// An answer, or a dropped connection.
+/// A part of an answer, or a dropped connection.
 pub type Result<T> = std::result::Result<T, Dropped>;
-/// A whole answer, or a dropped connection.
+/// An answer, or a dropped connection.
 pub type Reply = Result<Response<Body>>;
 
-/// A running server. It ends, with all its connections, when the value is dropped.
+/// A running server. Dropping the value ends it and all its connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -55,7 +56,7 @@
 }
 
 impl Server {
-    /// Yields the address that the server listens on.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -67,7 +68,7 @@
         let _cancelled = (&mut self.task).await;
     }
 
-    /// Waits until the server ends; it doesn't by itself.
+    /// Waits until the server ends. It never ends by itself.
     pub async fn wait(mut self) {
         let _ended = (&mut self.task).await;
     }
@@ -79,11 +80,11 @@
     }
 }
 
-/// Serves `handler` on `listener` from now on.
+/// Starts to serve `handler` on `listener`.
 ///
 /// # Errors
 ///
-/// Fails where the listener has no address.
+/// Returns an error if the listener has no local address.
 pub fn serve<H, F>(listener: TcpListener, handler: H) -> std::io::Result<Server>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -104,7 +105,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(converse(stream, handler.clone()));
+                    connections.spawn(serve_connection(stream, handler.clone()));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -112,12 +113,13 @@
     }
 }
 
-async fn converse<H, F>(stream: TcpStream, handler: H)
+async fn serve_connection<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Reply>,
 {
-    // Without this each small chunk of a token stream waits for the peer's delayed acknowledgement.
+    // With Nagle's algorithm each small chunk of a token stream would wait for the peer's delayed
+    // acknowledgement.
     let _unsupported = stream.set_nodelay(true);
     let mut server = hyper::server::conn::http1::Builder::new();
     server.timer(TokioTimer::new());
@@ -135,40 +137,41 @@
     respond(status, "application/json", full.boxed())
 }
 
-/// Builds an answer whose parts come from a channel; a [`Dropped`] in it cuts the answer off.
+/// Builds an answer whose parts come from a channel; a [`Dropped`] in the channel breaks the
+/// connection there.
 #[must_use]
-pub fn stream(kind: &'static str, parts: mpsc::Receiver<Result<Bytes>>) -> Response<Body> {
+pub fn stream(content_type: &'static str, parts: mpsc::Receiver<Result<Bytes>>) -> Response<Body> {
     let parts = Parts {
         parts,
         dropped: false,
     };
-    respond(StatusCode::OK, kind, parts.boxed())
+    respond(StatusCode::OK, content_type, parts.boxed())
 }
 
-fn respond(status: StatusCode, kind: &'static str, body: Body) -> Response<Body> {
+fn respond(status: StatusCode, content_type: &'static str, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static(kind);
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = hyper::header::HeaderValue::from_static(content_type);
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// Reads a whole body.
+/// Reads a body to its end.
 ///
 /// # Errors
 ///
-/// Fails with the answer to give where the body is too long or breaks off.
+/// Returns the answer to send if the body is too long or incomplete.
 pub async fn read(request: Request<Incoming>) -> std::result::Result<Bytes, Box<Response<Body>>> {
     let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
     let body = body.map_err(|fault| refuse(StatusCode::PAYLOAD_TOO_LARGE, &fault.to_string()))?;
     Ok(body.to_bytes())
 }
 
-/// Reads a JSON body; an empty one counts as `{}`.
+/// Reads a JSON body; an empty body counts as `{}`.
 ///
 /// # Errors
 ///
-/// Fails with the answer to give where the body isn't what is wanted.
+/// Returns the answer to send if the body cannot be read or is not a valid `T`.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> std::result::Result<T, Box<Response<Body>>> {
@@ -178,29 +181,29 @@
         .map_err(|fault| refuse(StatusCode::BAD_REQUEST, &fault.to_string()))
 }
 
-#[allow(clippy::unnecessary_box_returns)] // the form that a small `Result` needs
+#[allow(clippy::unnecessary_box_returns)] // boxed because a `Result` should be small
 fn refuse(status: StatusCode, message: &str) -> Box<Response<Body>> {
     Box::new(error(status, message))
 }
 
-/// Sets the fields that `wanted` names in a copy of `present`.
+/// Returns a copy of `current` with the fields in `changes` set.
 ///
 /// # Errors
 ///
-/// Fails with the answer to give where a field isn't known or has a value that isn't allowed.
+/// Returns the answer to send if a field is unknown or has an invalid value.
 pub fn merge<T: Serialize + DeserializeOwned>(
-    present: &T,
-    wanted: serde_json::Map<String, Value>,
+    current: &T,
+    changes: serde_json::Map<String, Value>,
 ) -> std::result::Result<T, Box<Response<Body>>> {
-    let mut merged = serde_json::to_value(present).unwrap_or_default();
+    let mut merged = serde_json::to_value(current).unwrap_or_default();
     if let Value::Object(fields) = &mut merged {
-        fields.extend(wanted);
+        fields.extend(changes);
     }
     serde_json::from_value(merged)
         .map_err(|fault| refuse(StatusCode::BAD_REQUEST, &fault.to_string()))
 }
 
-/// Builds an answer that tells of a fault.
+/// Builds a JSON error answer.
 #[must_use]
 pub fn error(status: StatusCode, message: &str) -> Response<Body> {
     json(
@@ -209,12 +212,13 @@
     )
 }
 
-/// Builds an empty answer, `{}`.
+/// Builds a successful answer with the body `{}`.
 #[must_use]
-pub fn done() -> Response<Body> {
+pub fn empty() -> Response<Body> {
     json(StatusCode::OK, &Value::Object(serde_json::Map::new()))
 }
 
+/// A body whose parts come from a channel.
 struct Parts {
     parts: mpsc::Receiver<Result<Bytes>>,
     dropped: bool,
@@ -233,8 +237,9 @@
         }
         match self.parts.poll_recv(context) {
             Poll::Ready(Some(Err(Dropped))) => {
-                // The server throws away what it hasn't flushed when a body fails; a pause lets it
-                // flush first, so that the reader gets the parts before the cut.
+                // When a body fails, the server discards what it has not flushed. Returning
+                // `Pending` once lets the server flush first, so that the reader gets all parts
+                // before the break.
                 self.dropped = true;
                 context.waker().wake_by_ref();
                 Poll::Pending
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the systems outside: the platform, model runners and plain services.
+//! Small stand-ins for the external systems: the platform, model runners and plain services.
 //!
-//! Each runs as a task of any process or as a process of its own, speaks the usual protocol of
-//! what it stands for, and has switches for the faults that the real one shows.
+//! Each stand-in runs as a task inside any process or as its own process, speaks the protocol of
+//! the system that it replaces, and can inject the faults that the real system shows.
 
 pub mod client;
 pub mod http;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform's stand-in: an etcd v3 JSON gateway, and the lagging list of VMs and endpoints.
+//! Stand-in for the platform: an etcd v3 JSON gateway and a list of VMs and endpoints that can lag
+//! behind its changes.
 //!
-//! Paths: `/v3/kv/*`, `/v3/lease/*` and `/v3/watch` as the gateway's; `GET /vms` and
-//! `POST /vms` read and set the list; `GET /stats` counts; `POST /faults` sets [`Faults`];
-//! `POST /deliver` lets the writes that were held back take effect.
+//! Paths: `/v3/kv/*`, `/v3/lease/*` and `/v3/watch` as in the etcd gateway; `GET /vms` and
+//! `POST /vms` read and set the list; `GET /stats` returns [`Stats`]; `POST /faults` sets
+//! [`Faults`]; `POST /deliver` applies the delayed writes.
 
 mod gateway;
 pub mod store;
@@ -33,24 +34,24 @@
 use crate::http::Server;
 use crate::platform::store::Store;
 
-/// How often leases are checked.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between checks for expired leases.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a stand-in platform can take.
+/// Limits of a platform stand-in.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Writes a second; leases count as writes.
+    /// Writes per second; lease calls count as writes.
     pub writes: u32,
-    /// Reads a second; a watch counts as one when it begins.
+    /// Reads per second; a watch counts as one read when it starts.
     pub reads: u32,
-    /// How long a change of the list of VMs takes to show.
+    /// Time until a change of the VM list becomes visible.
     pub lag: Millis,
-    /// How many changes are kept for watches that start at an earlier revision.
+    /// Minimum number of changes kept for watches that start at an earlier revision.
     pub kept_changes: usize,
 }
 
 impl Default for Settings {
-    /// Yields the rates that the brief's platform has.
+    /// Returns the rate limits that the real platform is specified to have.
     fn default() -> Self {
         Self {
             writes: 300,
@@ -61,71 +62,73 @@
     }
 }
 
-/// Whether the platform answers.
+/// Whether and how the platform is unavailable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Down {
-    /// It does.
+pub enum Outage {
+    /// The platform is available.
     #[default]
     Off,
-    /// It says at once that it takes no call.
+    /// Refuses each call at once with status 503.
     Refuse,
-    /// It drops each connection before the call takes effect.
+    /// Drops each connection before the call takes effect.
     Drop,
-    /// It never answers.
+    /// Never answers.
     Hang,
 }
 
-/// The faults to show; `POST /faults` sets the fields that it names and leaves the others.
+/// The faults to inject. `POST /faults` sets the fields in its body and leaves the others
+/// unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether it answers. An outage ends the watches, too.
-    pub down: Down,
-    /// By how many milliseconds each answer is late.
+    /// The kind of outage, if any. Setting an outage also ends all watches.
+    pub down: Outage,
+    /// Delay of each answer in milliseconds.
     pub slow_ms: u64,
-    /// How many of the next writes take effect and have their connection dropped.
+    /// How many of the next writes take effect but lose their answer: the connection is dropped.
     pub lose_answers: u32,
-    /// How many of the next writes are dropped before they take effect.
+    /// How many of the next writes lose their connection before they take effect.
     pub lose_writes: u32,
-    /// How many of the next writes are dropped and held back; they take effect, or are refused by
-    /// their conditions, at `POST /deliver`.
+    /// How many of the next writes lose their connection and are delayed until `POST /deliver`,
+    /// when they take effect or fail their conditions.
     pub delay_writes: u32,
-    /// How long a change of the list of VMs takes to show, in place of the settings' value.
+    /// Time until a change of the VM list becomes visible; overrides [`Settings::lag`].
     pub lag_ms: Option<u64>,
 }
 
-/// What has been counted.
+/// Call counters and the state of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads that were let in.
+    /// Reads within the rate limit.
     pub reads: u64,
-    /// Writes that were let in.
+    /// Writes within the rate limit.
     pub writes: u64,
-    /// Watches that wait now.
+    /// Open watches.
     pub watches: u64,
-    /// Calls over the rate.
+    /// Calls refused because of the rate limit.
     pub refused: u64,
     /// The store's revision.
     pub revision: u64,
 }
 
-/// A write that was held back.
-type Held = Box<dyn FnOnce(&mut Store, Millis) + Send>;
+/// A write to apply at `POST /deliver`.
+type Delayed = Box<dyn FnOnce(&mut Store, Millis) + Send>;
 
 struct State {
     store: Store,
-    held: Vec<Held>,
+    delayed: Vec<Delayed>,
     faults: Faults,
     stats: Stats,
-    second: Second,
+    rate: Rate,
+    /// Each list of VMs and endpoints that was set, with the time of its setting.
     machines: Vec<(Millis, Vec<Machine>)>,
 }
 
-/// The calls of the present second.
+/// Counts the calls in the current second, for the rate limits.
 #[derive(Default)]
-struct Second {
-    at: u64,
+struct Rate {
+    second: u64,
     reads: u32,
     writes: u32,
 }
@@ -136,25 +139,25 @@
     state: Mutex<State>,
 }
 
-/// Whether a call counts as a read or a write.
+/// Whether a call counts towards the read limit or the write limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
+enum CallKind {
     Read,
     Write,
 }
 
-/// Serves a platform on `listener`; its leases follow `clock`.
+/// Serves a platform stand-in on `listener`; its leases expire by `clock`.
 ///
 /// # Errors
 ///
-/// Fails where the listener has no address.
+/// Returns an error if the listener has no local address.
 pub fn serve(listener: TcpListener, settings: Settings, clock: Clock) -> std::io::Result<Server> {
     let state = State {
         store: Store::new(settings.kept_changes),
-        held: Vec::new(),
+        delayed: Vec::new(),
         faults: Faults::default(),
         stats: Stats::default(),
-        second: Second::default(),
+        rate: Rate::default(),
         machines: Vec::new(),
     };
     let platform = Arc::new(Platform {
@@ -168,7 +171,7 @@
 
 async fn expire(platform: Weak<Platform>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let Some(platform) = platform.upgrade() else {
             return;
         };
@@ -182,27 +185,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call; `false` where it is over the rate.
-    fn count(&self, effect: Effect) -> bool {
+    /// Counts a call; returns `false` if it exceeds the rate limit.
+    fn count(&self, kind: CallKind) -> bool {
         let now = self.clock.now();
         let mut guard = self.lock();
         let state = &mut *guard;
         state.store.expire(now);
-        let at = now.as_u64() / 1000;
-        if state.second.at != at {
-            state.second = Second {
-                at,
-                ..Second::default()
+        let second = now.as_u64() / 1000;
+        if state.rate.second != second {
+            state.rate = Rate {
+                second,
+                ..Rate::default()
             };
         }
-        let (used, limit, total) = match effect {
-            Effect::Read => (
-                &mut state.second.reads,
+        let (used, limit, total) = match kind {
+            CallKind::Read => (
+                &mut state.rate.reads,
                 self.settings.reads,
                 &mut state.stats.reads,
             ),
-            Effect::Write => (
-                &mut state.second.writes,
+            CallKind::Write => (
+                &mut state.rate.writes,
                 self.settings.writes,
                 &mut state.stats.writes,
             ),
@@ -225,13 +228,13 @@
         }
     }
 
-    /// Yields the list as it was before the lag.
+    /// Returns the newest VM list that was set at least the lag ago.
     fn machines(&self) -> Vec<Machine> {
         let state = self.lock();
         let lag = state.faults.lag_ms.map_or(self.settings.lag, Millis::new);
         let now = self.clock.now();
-        let shown = state.machines.iter().rfind(|(at, _)| at.plus(lag) <= now);
-        shown.map(|(_, list)| list.clone()).unwrap_or_default()
+        let visible = state.machines.iter().rfind(|(at, _)| at.plus(lag) <= now);
+        visible.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 }
 
@@ -248,7 +251,7 @@
         (Method::POST, "/deliver") => Ok(deliver(&platform)),
         (Method::POST, "/vms") => Ok(set_machines(&platform, request).await),
         (Method::GET, "/vms") => {
-            if let Some(refusal) = enter(&platform, Effect::Read).await? {
+            if let Some(refusal) = admit(&platform, CallKind::Read).await? {
                 return Ok(refusal);
             }
             let list = List {
@@ -261,25 +264,26 @@
     }
 }
 
-/// Plays an outage or slowness and counts the call; yields the answer where it is refused.
-async fn enter(platform: &Platform, effect: Effect) -> http::Result<Option<Response<Body>>> {
+/// Applies a set outage or delay and counts the call; returns the answer to send if the call is
+/// refused.
+async fn admit(platform: &Platform, kind: CallKind) -> http::Result<Option<Response<Body>>> {
     let (down, slow) = {
         let state = platform.lock();
         (state.faults.down, state.faults.slow_ms)
     };
     match down {
-        Down::Off => {}
-        Down::Refuse => {
+        Outage::Off => {}
+        Outage::Refuse => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return Ok(Some(gateway::fault(status, 14, "etcdserver: no leader")));
         }
-        Down::Drop => return Err(Dropped),
-        Down::Hang => std::future::pending().await,
+        Outage::Drop => return Err(Dropped),
+        Outage::Hang => std::future::pending().await,
     }
     if slow > 0 {
         tokio::time::sleep(Duration::from_millis(slow)).await;
     }
-    if !platform.count(effect) {
+    if !platform.count(kind) {
         let status = StatusCode::TOO_MANY_REQUESTS;
         return Ok(Some(gateway::fault(
             status,
@@ -291,18 +295,18 @@
 }
 
 async fn set_faults(platform: &Platform, request: Request<Incoming>) -> Response<Body> {
-    let wanted: serde_json::Map<String, serde_json::Value> = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let changes: serde_json::Map<String, serde_json::Value> = match http::read_json(request).await {
+        Ok(changes) => changes,
         Err(refusal) => return *refusal,
     };
     let mut state = platform.lock();
-    let merged = match http::merge(&state.faults, wanted) {
+    let merged = match http::merge(&state.faults, changes) {
         Ok(merged) => merged,
         Err(refusal) => return *refusal,
     };
     state.faults = merged;
-    if state.faults.down != Down::Off {
-        state.store.break_watches();
+    if state.faults.down != Outage::Off {
+        state.store.end_watches();
     }
     http::json(StatusCode::OK, &state.faults)
 }
@@ -310,10 +314,10 @@
 fn deliver(platform: &Platform) -> Response<Body> {
     let now = platform.clock.now();
     let mut state = platform.lock();
-    for write in std::mem::take(&mut state.held) {
+    for write in std::mem::take(&mut state.delayed) {
         write(&mut state.store, now);
     }
-    http::done()
+    http::empty()
 }
 
 async fn set_machines(platform: &Platform, request: Request<Incoming>) -> Response<Body> {
@@ -323,5 +327,5 @@
     };
     let now = platform.clock.now();
     platform.lock().machines.push((now, list.vms));
-    http::done()
+    http::empty()
 }
--- a/crates/standin/src/platform/gateway.rs
+++ b/crates/standin/src/platform/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's paths over the store.
+//! The paths of the etcd gateway, served from the [`Store`].
 
 mod watch;
 
@@ -15,18 +15,18 @@
 use serde::de::DeserializeOwned;
 use wire::clock::Millis;
 
-use super::Effect;
+use super::CallKind;
 use super::Platform;
-use super::enter;
+use super::admit;
 use super::store::Item;
-use super::store::Span;
+use super::store::KeyRange;
 use super::store::Store;
 use crate::http;
 use crate::http::Body;
 use crate::http::Dropped;
 use crate::http::Reply;
 
-/// Why the store doesn't take a call: the status, the gRPC code and the words.
+/// Why a call is refused: the HTTP status, the gRPC code and the message.
 type Refusal = (StatusCode, u32, &'static str);
 type Outcome<T> = std::result::Result<T, Refusal>;
 
@@ -46,7 +46,7 @@
     "etcdserver: key is not provided",
 );
 
-/// Builds a fault in the gateway's form.
+/// Builds an error answer in the format of the gateway.
 pub(super) fn fault(status: StatusCode, code: u32, message: &str) -> Response<Body> {
     let fault = format::Fault {
         message: message.to_owned(),
@@ -55,7 +55,7 @@
     http::json(status, &fault)
 }
 
-/// Answers one of the gateway's paths.
+/// Handles a call to one of the paths of the gateway.
 pub(super) async fn handle(
     platform: &Arc<Platform>,
     path: &str,
@@ -75,39 +75,39 @@
 }
 
 async fn read(platform: &Platform, request: Request<Incoming>) -> Reply {
-    let wanted: format::Range = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let range_request: format::Range = match http::read_json(request).await {
+        Ok(range_request) => range_request,
         Err(refusal) => return Ok(*refusal),
     };
-    if let Some(refusal) = enter(platform, Effect::Read).await? {
+    if let Some(refusal) = admit(platform, CallKind::Read).await? {
         return Ok(refusal);
     }
-    let ranged = range(&platform.lock().store, &wanted);
-    Ok(http::json(StatusCode::OK, &ranged))
+    let items = range(&platform.lock().store, &range_request);
+    Ok(http::json(StatusCode::OK, &items))
 }
 
-/// The fate of a write under the faults set.
-enum Fate {
+/// What the gateway does with a write, given the [`Faults`](super::Faults) that are set.
+enum Action {
     Answer,
     LoseAnswer,
     LoseWrite,
     Delay,
 }
 
-fn fate(platform: &Platform) -> Fate {
+fn next_action(platform: &Platform) -> Action {
     let faults = &mut platform.lock().faults;
     let counters = [
-        (&mut faults.lose_writes, Fate::LoseWrite),
-        (&mut faults.lose_answers, Fate::LoseAnswer),
-        (&mut faults.delay_writes, Fate::Delay),
+        (&mut faults.lose_writes, Action::LoseWrite),
+        (&mut faults.lose_answers, Action::LoseAnswer),
+        (&mut faults.delay_writes, Action::Delay),
     ];
-    for (left, fate) in counters {
-        if *left > 0 {
-            *left -= 1;
-            return fate;
+    for (remaining, action) in counters {
+        if *remaining > 0 {
+            *remaining -= 1;
+            return action;
         }
     }
-    Fate::Answer
+    Action::Answer
 }
 
 async fn write<T, R, F>(platform: &Arc<Platform>, request: Request<Incoming>, apply: F) -> Reply
@@ -116,26 +116,26 @@
     R: Serialize,
     F: FnOnce(&mut Store, &T, Millis) -> Outcome<R> + Send + 'static,
 {
-    let wanted: T = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let parameters: T = match http::read_json(request).await {
+        Ok(parameters) => parameters,
         Err(refusal) => return Ok(*refusal),
     };
-    if let Some(refusal) = enter(platform, Effect::Write).await? {
+    if let Some(refusal) = admit(platform, CallKind::Write).await? {
         return Ok(refusal);
     }
-    let fate = fate(platform);
-    if matches!(fate, Fate::Delay) {
-        platform.lock().held.push(Box::new(move |store, now| {
-            let _nobody_waits = apply(store, &wanted, now);
+    let action = next_action(platform);
+    if matches!(action, Action::Delay) {
+        platform.lock().delayed.push(Box::new(move |store, now| {
+            let _no_receiver = apply(store, &parameters, now);
         }));
         return Err(Dropped);
     }
-    if matches!(fate, Fate::LoseWrite) {
+    if matches!(action, Action::LoseWrite) {
         return Err(Dropped);
     }
     let now = platform.clock.now();
-    let outcome = apply(&mut platform.lock().store, &wanted, now);
-    if matches!(fate, Fate::LoseAnswer) {
+    let outcome = apply(&mut platform.lock().store, &parameters, now);
+    if matches!(action, Action::LoseAnswer) {
         return Err(Dropped);
     }
     Ok(match outcome {
@@ -150,10 +150,10 @@
     }
 }
 
-fn span(range: &format::Range) -> Span {
-    Span {
-        from: range.key.0.clone(),
-        to: range.range_end.0.clone(),
+fn key_range(range: &format::Range) -> KeyRange {
+    KeyRange {
+        start: range.key.0.clone(),
+        end: range.range_end.0.clone(),
     }
 }
 
@@ -168,16 +168,16 @@
     }
 }
 
-fn range(store: &Store, wanted: &format::Range) -> format::Ranged {
-    let span = span(wanted);
-    let count = store.items(&span).count();
-    let limit = match usize::try_from(wanted.limit) {
+fn range(store: &Store, request: &format::Range) -> format::Ranged {
+    let keys = key_range(request);
+    let count = store.items(&keys).count();
+    let limit = match usize::try_from(request.limit) {
         Ok(0) | Err(_) => usize::MAX,
         Ok(limit) => limit,
     };
     format::Ranged {
         header: header(store),
-        kvs: store.items(&span).take(limit).map(pair).collect(),
+        kvs: store.items(&keys).take(limit).map(pair).collect(),
         more: count > limit,
         count: count as u64,
     }
@@ -190,7 +190,7 @@
     if put.value.0.len() > MAX_VALUE {
         return Err(TOO_LARGE);
     }
-    if put.lease != 0 && !store.leased(put.lease) {
+    if put.lease != 0 && !store.has_lease(put.lease) {
         return Err(NO_LEASE);
     }
     Ok(())
@@ -205,13 +205,13 @@
     })
 }
 
-#[allow(clippy::unnecessary_wraps)] // has the type of the other writes
+#[allow(clippy::unnecessary_wraps)] // needs the same signature as the other writes
 fn delete(store: &mut Store, range: &format::Range, _now: Millis) -> Outcome<format::Deleted> {
-    let span = span(range);
-    if store.items(&span).next().is_some() {
+    let keys = key_range(range);
+    if store.items(&keys).next().is_some() {
         store.advance();
     }
-    let deleted = store.delete(&span) as u64;
+    let deleted = store.delete(&keys) as u64;
     Ok(format::Deleted {
         header: header(store),
         deleted,
@@ -230,7 +230,7 @@
             check_put(store, put)?;
         }
     }
-    if ops.iter().any(|op| changes(store, op)) {
+    if ops.iter().any(|op| is_change(store, op)) {
         store.advance();
     }
     let responses = ops.iter().map(|op| run(store, op)).collect();
@@ -241,17 +241,17 @@
     })
 }
 
-fn changes(store: &Store, op: &format::Op) -> bool {
+fn is_change(store: &Store, op: &format::Op) -> bool {
     match op {
         format::Op::Range(_) => false,
         format::Op::Put(_) => true,
-        format::Op::Delete(range) => store.items(&span(range)).next().is_some(),
+        format::Op::Delete(range) => store.items(&key_range(range)).next().is_some(),
     }
 }
 
 fn run(store: &mut Store, op: &format::Op) -> format::Done {
     match op {
-        format::Op::Range(wanted) => format::Done::Range(range(store, wanted)),
+        format::Op::Range(request) => format::Done::Range(range(store, request)),
         format::Op::Put(put) => {
             store.put(put.key.0.clone(), put.value.0.clone(), put.lease);
             format::Done::Put(format::Stored {
@@ -259,7 +259,7 @@
             })
         }
         format::Op::Delete(range) => {
-            let deleted = store.delete(&span(range)) as u64;
+            let deleted = store.delete(&key_range(range)) as u64;
             format::Done::Delete(format::Deleted {
                 header: header(store),
                 deleted,
@@ -275,7 +275,7 @@
         format::Target::Create => item.map_or(0, |i| i.created).cmp(&compare.create_revision),
         format::Target::Mod => item.map_or(0, |i| i.modified).cmp(&compare.mod_revision),
         format::Target::Value => {
-            // An absent key has no value: no condition on it holds.
+            // An absent key has no value, so no comparison with it holds.
             let Some(item) = item else {
                 return false;
             };
@@ -290,36 +290,36 @@
     }
 }
 
-fn grant(store: &mut Store, wanted: &format::Lease, now: Millis) -> Outcome<format::Lease> {
-    let ttl = Millis::new(wanted.ttl.max(1).saturating_mul(1000));
-    let taken = (
+fn grant(store: &mut Store, request: &format::Lease, now: Millis) -> Outcome<format::Lease> {
+    let ttl = Millis::new(request.ttl.max(1).saturating_mul(1000));
+    let already_exists = (
         StatusCode::BAD_REQUEST,
         9,
         "etcdserver: lease already exists",
     );
-    let id = store.grant(wanted.id, ttl, now).ok_or(taken)?;
+    let id = store.grant(request.id, ttl, now).ok_or(already_exists)?;
     Ok(format::Lease {
         id,
-        ttl: wanted.ttl.max(1),
+        ttl: request.ttl.max(1),
     })
 }
 
-#[allow(clippy::unnecessary_wraps)] // has the type of the other writes
+#[allow(clippy::unnecessary_wraps)] // needs the same signature as the other writes
 fn keep_alive(
     store: &mut Store,
-    held: &format::Lease,
+    lease: &format::Lease,
     now: Millis,
 ) -> Outcome<format::Part<format::Lease>> {
-    let ttl = store.renew(held.id, now);
+    let ttl = store.renew(lease.id, now);
     let result = format::Lease {
-        id: held.id,
+        id: lease.id,
         ttl: ttl.map_or(0, |ttl| ttl.as_u64() / 1000),
     };
     Ok(format::Part { result })
 }
 
-fn revoke(store: &mut Store, held: &format::Lease, _now: Millis) -> Outcome<format::Stored> {
-    if !store.revoke(held.id) {
+fn revoke(store: &mut Store, lease: &format::Lease, _now: Millis) -> Outcome<format::Stored> {
+    if !store.revoke(lease.id) {
         return Err(NO_LEASE);
     }
     Ok(format::Stored {
--- a/crates/standin/src/platform/gateway/watch.rs
+++ b/crates/standin/src/platform/gateway/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: a stream of answers, one JSON object a line.
+//! Serves watches as a stream of JSON objects, one per line.
 
 use std::sync::Arc;
 
@@ -14,32 +14,32 @@
 use crate::http;
 use crate::http::Dropped;
 use crate::http::Reply;
-use crate::platform::Effect;
+use crate::platform::CallKind;
 use crate::platform::Platform;
-use crate::platform::enter;
+use crate::platform::admit;
 use crate::platform::store::Change;
-use crate::platform::store::Span;
+use crate::platform::store::KeyRange;
 
-/// How many answers of a watch wait for the network.
-const WATCH_PARTS: usize = 16;
+/// Maximum number of lines of a watch that wait to be sent.
+const MAX_WAITING_LINES: usize = 16;
 
-/// Answers `/v3/watch`.
+/// Handles `/v3/watch`.
 pub(super) async fn handle(platform: &Arc<Platform>, request: Request<Incoming>) -> Reply {
-    let wanted: format::Watch = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let watch: format::Watch = match http::read_json(request).await {
+        Ok(watch) => watch,
         Err(refusal) => return Ok(*refusal),
     };
-    if let Some(refusal) = enter(platform, Effect::Read).await? {
+    if let Some(refusal) = admit(platform, CallKind::Read).await? {
         return Ok(refusal);
     }
-    let create = wanted.create_request;
-    let span = Span {
-        from: create.key.0,
-        to: create.range_end.0,
+    let create = watch.create_request;
+    let keys = KeyRange {
+        start: create.key.0,
+        end: create.range_end.0,
     };
     let (changes, first) = {
         let mut state = platform.lock();
-        let changes = state.store.watch(span, create.start_revision);
+        let changes = state.store.watch(keys, create.start_revision);
         let first = format::Seen {
             header: header(&state.store),
             created: true,
@@ -47,12 +47,12 @@
         };
         (changes, first)
     };
-    let (sender, parts) = mpsc::channel(WATCH_PARTS);
-    tokio::spawn(tell(first, changes, sender));
-    Ok(http::stream("application/json", parts))
+    let (sender, lines) = mpsc::channel(MAX_WAITING_LINES);
+    tokio::spawn(send_changes(first, changes, sender));
+    Ok(http::stream("application/json", lines))
 }
 
-async fn tell(
+async fn send_changes(
     first: format::Seen,
     changes: Result<mpsc::Receiver<Change>, u64>,
     sender: mpsc::Sender<http::Result<Bytes>>,
@@ -68,7 +68,7 @@
                 compact_revision: oldest,
                 ..format::Seen::default()
             };
-            let _gone = sender.send(Ok(line(end))).await;
+            let _watcher_gone = sender.send(Ok(line(end))).await;
             return;
         }
     };
@@ -78,22 +78,22 @@
             () = sender.closed() => return,
         };
         let Some(change) = change else {
-            let _gone = sender.send(Err(Dropped)).await;
+            let _watcher_gone = sender.send(Err(Dropped)).await;
             return;
         };
-        if sender.send(Ok(line(seen(&change)))).await.is_err() {
+        if sender.send(Ok(line(change_answer(&change)))).await.is_err() {
             return;
         }
     }
 }
 
-fn line(seen: format::Seen) -> Bytes {
-    let mut text = serde_json::to_vec(&format::Part { result: seen }).unwrap_or_default();
+fn line(answer: format::Seen) -> Bytes {
+    let mut text = serde_json::to_vec(&format::Part { result: answer }).unwrap_or_default();
     text.push(b'\n');
     Bytes::from(text)
 }
 
-fn seen(change: &Change) -> format::Seen {
+fn change_answer(change: &Change) -> format::Seen {
     let (kind, kv, revision) = match change {
         Change::Put(item) => (format::Kind::Put, pair(item), item.modified),
         Change::Delete { key, revision } => {
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,59 +1,59 @@
-//! The key-value store behind the stand-in platform: revisions, leases and watches in memory.
+//! In-memory key-value store of the platform stand-in, with revisions, leases and watches.
 
 use bytes::Bytes;
 use tokio::sync::mpsc;
 use wire::clock::Millis;
 
-/// How many undelivered changes a watch holds before it is ended.
-const WATCH_DEPTH: usize = 4096;
+/// Maximum number of undelivered changes of a watch; one more ends the watch.
+const MAX_UNDELIVERED: usize = 4096;
 
-/// A key with what the store knows of it.
+/// A key with its value and metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
     /// The key.
     pub key: Bytes,
     /// The value.
     pub value: Bytes,
-    /// The revision that made the key.
+    /// The revision that created the key.
     pub created: u64,
-    /// The revision that changed it last.
+    /// The revision of the last change of the key.
     pub modified: u64,
-    /// Its changes since it was made, from 1.
+    /// Number of times that the key was set since its creation; 1 after the creation.
     pub version: u64,
-    /// The lease whose end removes it; 0 for none.
+    /// The lease that the key is attached to, or 0. The key is removed when the lease ends.
     pub lease: u64,
 }
 
-/// Keys from `from` up to and without `to`.
+/// The keys from `start` (inclusive) to `end` (exclusive).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct KeyRange {
     /// The first key.
-    pub from: Bytes,
-    /// The end: empty for the one key `from`, a zero byte for all that follow.
-    pub to: Bytes,
+    pub start: Bytes,
+    /// The end: empty for the single key `start`, one zero byte for all keys from `start` on.
+    pub end: Bytes,
 }
 
-impl Span {
-    /// Tells whether a key lies in the span.
+impl KeyRange {
+    /// Returns whether the range contains `key`.
     #[must_use]
-    pub fn holds(&self, key: &[u8]) -> bool {
-        if self.to.is_empty() {
-            return key == self.from;
+    pub fn contains(&self, key: &[u8]) -> bool {
+        if self.end.is_empty() {
+            return key == self.start;
         }
-        key >= &self.from[..] && (self.to[..] == [0] || key < &self.to[..])
+        key >= &self.start[..] && (self.end[..] == [0] || key < &self.end[..])
     }
 }
 
-/// What happened to a key.
+/// A change of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was set.
+    /// The key was set.
     Put(Item),
-    /// It was removed at this revision.
+    /// The key was removed.
     Delete {
         /// The key.
         key: Bytes,
-        /// The revision.
+        /// The revision of the removal.
         revision: u64,
     },
 }
@@ -74,36 +74,38 @@
     }
 }
 
-struct Term {
+struct Lease {
     id: u64,
     ttl: Millis,
     end: Millis,
 }
 
 struct Watch {
-    span: Span,
+    keys: KeyRange,
     sender: mpsc::Sender<Change>,
 }
 
-/// The store. Items are sorted by key, leases by id.
+/// The store. `items` is sorted by key, `leases` by id.
 pub struct Store {
-    kept: usize,
+    min_history: usize,
+    /// The revision of the oldest change kept; 0 while no change has been dropped.
     compacted: u64,
     revision: u64,
     items: Vec<Item>,
-    leases: Vec<Term>,
+    leases: Vec<Lease>,
     last_lease: u64,
+    /// The latest changes, oldest first.
     changes: Vec<Change>,
     watches: Vec<Watch>,
 }
 
 impl Store {
-    /// Makes an empty store that keeps at least the last `kept` changes for watches which start at
-    /// an earlier revision.
+    /// Creates an empty store that keeps at least the last `min_history` changes for watches that
+    /// start at an earlier revision.
     #[must_use]
-    pub fn new(kept: usize) -> Self {
+    pub fn new(min_history: usize) -> Self {
         Self {
-            kept,
+            min_history,
             compacted: 0,
             revision: 0,
             items: Vec::new(),
@@ -114,32 +116,32 @@
         }
     }
 
-    /// Yields the present revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Finds one key.
+    /// Returns the item of `key`.
     #[must_use]
     pub fn item(&self, key: &[u8]) -> Option<&Item> {
         self.find(key).ok().map(|at| &self.items[at])
     }
 
-    /// Walks the items of a span by key.
-    pub fn items<'a>(&'a self, span: &'a Span) -> impl Iterator<Item = &'a Item> {
-        let first = self.find(&span.from).unwrap_or_else(|at| at);
+    /// Iterates over the items in a key range, in the order of their keys.
+    pub fn items<'a>(&'a self, keys: &'a KeyRange) -> impl Iterator<Item = &'a Item> {
+        let first = self.find(&keys.start).unwrap_or_else(|at| at);
         self.items[first..]
             .iter()
-            .take_while(|item| span.holds(&item.key))
+            .take_while(|item| keys.contains(&item.key))
     }
 
-    /// Begins a write; all changes until the next call share its revision.
+    /// Starts a write: all changes until the next call get the new revision.
     pub fn advance(&mut self) {
         self.revision += 1;
     }
 
-    /// Sets a key at the present revision.
+    /// Sets a key at the current revision.
     pub fn put(&mut self, key: Bytes, value: Bytes, lease: u64) {
         let revision = self.revision;
         let at = self.find(&key);
@@ -159,50 +161,51 @@
             Ok(at) => self.items[at] = item.clone(),
             Err(at) => self.items.insert(at, item.clone()),
         }
-        self.tell(Change::Put(item));
+        self.record(Change::Put(item));
     }
 
-    /// Removes the keys of a span at the present revision and counts them.
-    pub fn delete(&mut self, span: &Span) -> usize {
-        let keys: Vec<Bytes> = self.items(span).map(|item| item.key.clone()).collect();
+    /// Removes the keys in a range at the current revision and returns their number.
+    pub fn delete(&mut self, range: &KeyRange) -> usize {
+        let keys: Vec<Bytes> = self.items(range).map(|item| item.key.clone()).collect();
         for key in &keys {
             self.remove(key);
         }
         keys.len()
     }
 
-    /// Makes a lease; `id` 0 draws one.
+    /// Creates a lease and returns its id, or `None` if the id is taken. For `id` 0 the store
+    /// chooses an id.
     pub fn grant(&mut self, id: u64, ttl: Millis, now: Millis) -> Option<u64> {
         self.last_lease += 1;
         let id = if id == 0 { self.last_lease } else { id };
-        let at = self.term(id).err()?;
+        let at = self.find_lease(id).err()?;
         let end = now.plus(ttl);
-        self.leases.insert(at, Term { id, ttl, end });
+        self.leases.insert(at, Lease { id, ttl, end });
         Some(id)
     }
 
-    /// Tells whether a lease holds.
+    /// Returns whether the lease exists and has not ended.
     #[must_use]
-    pub fn leased(&self, id: u64) -> bool {
-        self.term(id).is_ok()
+    pub fn has_lease(&self, id: u64) -> bool {
+        self.find_lease(id).is_ok()
     }
 
-    /// Renews a lease and yields its span; `None` where it has ended.
+    /// Renews a lease and returns its TTL, or `None` if it has ended.
     pub fn renew(&mut self, id: u64, now: Millis) -> Option<Millis> {
-        let at = self.term(id).ok()?;
-        let term = &mut self.leases[at];
-        term.end = now.plus(term.ttl);
-        Some(term.ttl)
+        let at = self.find_lease(id).ok()?;
+        let lease = &mut self.leases[at];
+        lease.end = now.plus(lease.ttl);
+        Some(lease.ttl)
     }
 
-    /// Ends a lease and removes its keys; `false` where it had ended.
+    /// Ends a lease and removes its keys; returns `false` if it had already ended.
     pub fn revoke(&mut self, id: u64) -> bool {
-        let Ok(at) = self.term(id) else {
+        let Ok(at) = self.find_lease(id) else {
             return false;
         };
         self.leases.remove(at);
-        let held = self.items.iter().filter(|item| item.lease == id);
-        let keys: Vec<Bytes> = held.map(|item| item.key.clone()).collect();
+        let attached = self.items.iter().filter(|item| item.lease == id);
+        let keys: Vec<Bytes> = attached.map(|item| item.key.clone()).collect();
         if !keys.is_empty() {
             self.advance();
         }
@@ -212,42 +215,43 @@
         true
     }
 
-    /// Ends the leases that weren't renewed in time.
+    /// Ends the leases that were not renewed in time.
     pub fn expire(&mut self, now: Millis) {
-        let ended = self.leases.iter().filter(|term| term.end <= now);
-        let ids: Vec<u64> = ended.map(|term| term.id).collect();
+        let expired = self.leases.iter().filter(|lease| lease.end <= now);
+        let ids: Vec<u64> = expired.map(|lease| lease.id).collect();
         for id in ids {
             self.revoke(id);
         }
     }
 
-    /// Watches a span from a revision on; a start of 0 means from now on.
+    /// Watches a key range from revision `start` on; 0 means from the next revision on.
     ///
     /// # Errors
     ///
-    /// Fails with the oldest revision that can be watched where the start is older.
-    pub fn watch(&mut self, span: Span, start: u64) -> Result<mpsc::Receiver<Change>, u64> {
+    /// Returns the oldest revision that can be watched if `start` is older, or the next revision if
+    /// more changes were missed than a watch can hold.
+    pub fn watch(&mut self, keys: KeyRange, start: u64) -> Result<mpsc::Receiver<Change>, u64> {
         let start = if start == 0 { self.revision + 1 } else { start };
         if start < self.compacted {
             return Err(self.compacted);
         }
-        let (sender, receiver) = mpsc::channel(WATCH_DEPTH);
+        let (sender, receiver) = mpsc::channel(MAX_UNDELIVERED);
         let missed = self.changes.iter().filter(|c| c.revision() >= start);
-        for change in missed.filter(|c| span.holds(c.key())) {
+        for change in missed.filter(|c| keys.contains(c.key())) {
             sender
                 .try_send(change.clone())
                 .map_err(|_| self.revision + 1)?;
         }
-        self.watches.push(Watch { span, sender });
+        self.watches.push(Watch { keys, sender });
         Ok(receiver)
     }
 
-    /// Ends every watch.
-    pub fn break_watches(&mut self) {
+    /// Ends all watches.
+    pub fn end_watches(&mut self) {
         self.watches.clear();
     }
 
-    /// Counts the watches that wait.
+    /// Returns the number of open watches.
     pub fn watches(&mut self) -> usize {
         self.watches.retain(|watch| !watch.sender.is_closed());
         self.watches.len()
@@ -257,8 +261,8 @@
         self.items.binary_search_by(|item| item.key[..].cmp(key))
     }
 
-    fn term(&self, id: u64) -> std::result::Result<usize, usize> {
-        self.leases.binary_search_by_key(&id, |term| term.id)
+    fn find_lease(&self, id: u64) -> std::result::Result<usize, usize> {
+        self.leases.binary_search_by_key(&id, |lease| lease.id)
     }
 
     fn remove(&mut self, key: &Bytes) {
@@ -266,20 +270,20 @@
             return;
         };
         self.items.remove(at);
-        self.tell(Change::Delete {
+        self.record(Change::Delete {
             key: key.clone(),
             revision: self.revision,
         });
     }
 
-    fn tell(&mut self, change: Change) {
+    fn record(&mut self, change: Change) {
         self.watches.retain(|watch| {
-            !watch.span.holds(change.key()) || watch.sender.try_send(change.clone()).is_ok()
+            !watch.keys.contains(change.key()) || watch.sender.try_send(change.clone()).is_ok()
         });
         self.changes.push(change);
-        // Dropping half at once keeps the cost of forgetting small for each change.
-        if self.changes.len() > 2 * self.kept {
-            self.changes.drain(..self.kept);
+        // Dropping half of the changes at once keeps the cost per change small.
+        if self.changes.len() > 2 * self.min_history {
+            self.changes.drain(..self.min_history);
             self.compacted = self.changes.first().map_or(0, Change::revision);
         }
     }
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -1,9 +1,9 @@
-//! A model runner's stand-in: batches continuously, caches prompt prefixes, streams tokens.
+//! Stand-in for a model runner: batches continuously, caches prompt prefixes and streams tokens.
 //!
 //! Paths: `POST /v1/chat/completions`, `GET /v1/models`, `GET /load`, `GET /cache`,
-//! `POST /orders` with an [`Order`], `GET /stats` for [`Stats`], `POST /faults` for [`Faults`].
-//! A completion may carry `priority` (the lowest first) and the headers [`PROGRAM`] and
-//! [`ATTEMPT`]; the last user message may name the answer's length as `#tokens=N`.
+//! `POST /orders` with an [`Order`], `GET /stats` returns [`Stats`], `POST /faults` sets
+//! [`Faults`]. A completion may have a `priority` (the lowest number runs first) and the headers
+//! [`PROGRAM`] and [`ATTEMPT`]; `#tokens=N` in the last user message sets the length of the answer.
 
 pub mod answer;
 pub mod cache;
@@ -36,49 +36,50 @@
 use crate::runner::engine::Engine;
 use crate::runner::engine::Speed;
 use crate::runner::faults::Faults;
+use crate::runner::report::CacheEntry;
 use crate::runner::report::Command;
-use crate::runner::report::Holding;
 use crate::runner::report::Load;
 use crate::runner::report::Order;
 use crate::runner::report::Stats;
 
-/// The header that names the program whose prefix may be cached.
+/// Header with the program whose prefix may be cached.
 pub const PROGRAM: &str = "chestnutyoke-program";
-/// The header that names the attempt.
+/// Header with the id of the attempt.
 pub const ATTEMPT: &str = "chestnutyoke-attempt";
-/// How many attempts the statistics keep; the oldest go first.
-const KEPT_ATTEMPTS: usize = 100_000;
+/// Maximum number of attempts in the statistics; beyond it the oldest half is dropped.
+const MAX_ATTEMPTS: usize = 100_000;
 
-/// What happens to the process at a request that crashes it.
+/// What a request that crashes the runner does to the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Crash {
-    /// Every connection breaks, and new calls are dropped until `/faults` clears it.
+    /// The connections of all calls break, and new calls are dropped until `/faults` clears
+    /// [`Faults::crashed`].
     #[default]
     Break,
     /// The process exits.
     Exit,
 }
 
-/// What a runner is.
+/// Properties of a runner stand-in.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Models that it serves; empty for any.
+    /// Models that the runner serves; empty for any.
     pub models: Vec<String>,
-    /// Calls in a batch.
+    /// Maximum number of calls in a batch.
     pub slots: u32,
-    /// Tokens a second that a call generates when it runs alone.
+    /// Tokens per second that a call generates when it is alone in the batch.
     pub tokens_per_second: f64,
-    /// Prompt tokens a second that it computes.
+    /// Prompt tokens per second that are computed.
     pub prefill_per_second: f64,
-    /// By what share each further call of the batch slows a call down.
+    /// Share by which each further call in the batch increases the time per token.
     pub crowding: f64,
-    /// Prompt tokens that its cache holds.
+    /// Capacity of the cache in prompt tokens.
     pub cache_tokens: u64,
-    /// How old load and cache reports may be.
+    /// Maximum age of load and cache reports: a report is repeated until it is this old.
     pub lag: Millis,
-    /// Tokens of an answer whose length the conversation doesn't name.
+    /// Length of an answer in tokens, unless the conversation sets it.
     pub answer_tokens: u64,
-    /// What a request that crashes it does.
+    /// What a request that crashes the runner does to the process.
     pub crash: Crash,
 }
 
@@ -106,9 +107,13 @@
     version: u64,
     role: String,
     leaving: bool,
+    /// The highest fence seen for each scope, sorted by scope.
     fences: Vec<(String, u64)>,
+    /// The last load report and the time when it was made.
     load: Option<(Millis, Load)>,
-    holdings: Option<(Millis, Vec<Holding>)>,
+    /// The last cache report and the time when it was made.
+    cache_report: Option<(Millis, Vec<CacheEntry>)>,
+    /// Number of attempts removed from the beginning of `stats.attempts`.
     dropped_attempts: usize,
 }
 
@@ -118,14 +123,15 @@
     clock: Clock,
     engine: Arc<Engine>,
     state: Mutex<State>,
+    /// Number of crashes; a change makes all calls break off.
     crashes: tokio::sync::watch::Sender<u64>,
 }
 
-/// Serves a runner on `listener`.
+/// Serves a runner stand-in on `listener`.
 ///
 /// # Errors
 ///
-/// Fails where the listener has no address.
+/// Returns an error if the listener has no local address.
 pub fn serve(listener: TcpListener, settings: Settings, clock: Clock) -> std::io::Result<Server> {
     let state = State {
         cache: Cache::new(settings.cache_tokens),
@@ -137,7 +143,7 @@
         leaving: false,
         fences: Vec::new(),
         load: None,
-        holdings: None,
+        cache_report: None,
         dropped_attempts: 0,
     };
     let speed = Speed {
@@ -194,42 +200,43 @@
         load
     }
 
-    fn holdings(&self) -> Vec<Holding> {
+    fn cache_report(&self) -> Vec<CacheEntry> {
         let now = self.clock.now();
         let mut state = self.lock();
         let lag = state
             .faults
             .cache_lag_ms
             .map_or(self.settings.lag, Millis::new);
-        if let Some((at, holdings)) = &state.holdings
+        if let Some((at, entries)) = &state.cache_report
             && now.since(*at) < lag
         {
-            return holdings.clone();
+            return entries.clone();
         }
         let gap = state.faults.cache_gap;
-        let shown = state.cache.programs().enumerate();
-        let shown = shown.filter(|(index, _)| gap == 0 || (index + 1) % gap != 0);
-        let holdings: Vec<Holding> = shown
-            .map(|(_, (program, tokens))| Holding {
+        let listed = state.cache.programs().enumerate();
+        let listed = listed.filter(|(index, _)| gap == 0 || (index + 1) % gap != 0);
+        let entries: Vec<CacheEntry> = listed
+            .map(|(_, (program, tokens))| CacheEntry {
                 program: program.to_owned(),
                 tokens,
             })
             .collect();
-        state.holdings = Some((now, holdings.clone()));
-        holdings
+        state.cache_report = Some((now, entries.clone()));
+        entries
     }
 }
 
 impl State {
-    /// Takes an order's fence in; `false` where it is older than one seen.
-    fn pass_fence(&mut self, order: &Order) -> bool {
-        let found = self
+    /// Records the fence of an order. Returns `false` if the order is to be refused because its
+    /// fence is lower than the highest one seen for its scope.
+    fn accept_fence(&mut self, order: &Order) -> bool {
+        let position = self
             .fences
             .binary_search_by(|(scope, _)| scope.as_str().cmp(&order.scope));
-        match found {
+        match position {
             Err(at) => {
-                let line = (order.scope.clone(), order.fence);
-                self.fences.insert(at, line);
+                let entry = (order.scope.clone(), order.fence);
+                self.fences.insert(at, entry);
                 true
             }
             Ok(at) if order.fence >= self.fences[at].1 => {
@@ -240,7 +247,7 @@
         }
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn execute(&mut self, order: Order) {
         match order.order {
             Command::Release => {
                 let program = order.program.unwrap_or_default();
@@ -270,7 +277,7 @@
         (Method::GET, "/v1/models") => Ok(models(&runner)),
         (Method::GET, "/load") => Ok(http::json(StatusCode::OK, &runner.load())),
         (Method::GET, "/cache") => {
-            let report = json!({ "programs": runner.holdings() });
+            let report = json!({ "programs": runner.cache_report() });
             Ok(http::json(StatusCode::OK, &report))
         }
         (Method::GET, "/stats") => Ok(http::json(StatusCode::OK, &runner.lock().stats)),
@@ -282,11 +289,11 @@
 
 fn models(runner: &Runner) -> Response<Body> {
     let models = runner.lock().models.clone();
-    let lines: Vec<_> = models
+    let entries: Vec<_> = models
         .iter()
         .map(|id| json!({ "id": id, "object": "model" }))
         .collect();
-    let list = json!({ "object": "list", "data": lines });
+    let list = json!({ "object": "list", "data": entries });
     http::json(StatusCode::OK, &list)
 }
 
@@ -300,22 +307,22 @@
         state.faults.lose_orders -= 1;
         return Err(Dropped);
     }
-    if !state.pass_fence(&order) {
+    if !state.accept_fence(&order) {
         state.stats.fenced += 1;
-        let refusal = json!({ "error": "the fence is older than one seen", "ran": "no" });
+        let refusal = json!({ "error": "the fence is lower than one seen before", "ran": "no" });
         return Ok(http::json(StatusCode::CONFLICT, &refusal));
     }
-    state.carry_out(order);
-    Ok(http::done())
+    state.execute(order);
+    Ok(http::empty())
 }
 
 async fn set_faults(runner: &Runner, request: Request<Incoming>) -> Response<Body> {
-    let wanted = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let changes = match http::read_json(request).await {
+        Ok(changes) => changes,
         Err(refusal) => return *refusal,
     };
     let mut state = runner.lock();
-    match http::merge(&state.faults, wanted) {
+    match http::merge(&state.faults, changes) {
         Ok(merged) => state.faults = merged,
         Err(refusal) => return *refusal,
     }
--- a/crates/standin/src/runner/answer.rs
+++ b/crates/standin/src/runner/answer.rs
@@ -1,5 +1,5 @@
-//! What a runner answers: tokens that depend on nothing but the conversation, so that a test knows
-//! the whole answer beforehand and two runners give the same one.
+//! The answers of a runner. Their tokens depend only on the conversation, so that a test knows the
+//! whole answer beforehand and all runners give the same answer.
 
 use serde_json::Value;
 use serde_json::json;
@@ -10,66 +10,68 @@
 
 use super::cache;
 
-/// Names the length of the answer within the last user message.
-const LENGTH_MARK: &str = "#tokens=";
+/// Precedes the length of the answer in the last user message.
+const LENGTH_MARKER: &str = "#tokens=";
 
-/// What will be generated for one request.
+/// The tokens to generate for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
+    /// Identifies the conversation; part of each token.
     tag: u16,
-    /// The first token's place: a conversation that ends with the assistant's words is continued.
+    /// Index of the first token; above 0 if the conversation ends with a partial answer, which is
+    /// then continued.
     pub first: u64,
-    /// The place after the last token.
+    /// Index after the last token.
     pub end: u64,
-    /// `stop` for the whole answer, `length` where the limit cuts it.
+    /// The finish reason: `stop` for the whole answer, `length` if `max_tokens` cuts it.
     pub finish: &'static str,
 }
 
 impl Plan {
-    /// Plans the answer to a request; `length` is the whole answer's where the conversation names
-    /// none.
+    /// Plans the answer to a request. `length` is the length of the whole answer in tokens, unless
+    /// the conversation sets it.
     #[must_use]
     pub fn new(request: &Request, length: u64) -> Self {
-        let begun = match request.messages.last() {
+        let partial_messages = match request.messages.last() {
             Some(message) if message.role == "assistant" => 1,
             _ => 0,
         };
-        let (asked, partial) = request
+        let (prompt, partial) = request
             .messages
-            .split_at(request.messages.len().saturating_sub(begun));
-        let first = partial.iter().map(words).sum();
-        let wanted = asked
+            .split_at(request.messages.len().saturating_sub(partial_messages));
+        let first = partial.iter().map(count_words).sum();
+        let full_length = prompt
             .iter()
             .rfind(|message| message.role == "user")
             .and_then(|message| marked_length(&text(message)))
             .unwrap_or(length);
-        let whole = wanted.max(first);
+        let full_end = full_length.max(first);
         let limit = request.max_tokens.unwrap_or(u64::MAX);
-        let end = whole.min(first.saturating_add(limit));
+        let end = full_end.min(first.saturating_add(limit));
         Self {
-            tag: tag(asked),
+            tag: tag(prompt),
             first,
             end,
-            finish: if end < whole { "length" } else { "stop" },
+            finish: if end < full_end { "length" } else { "stop" },
         }
     }
 
-    /// Yields the text of the token at a place.
+    /// Returns the text of the token at `index`.
     #[must_use]
-    pub fn token(&self, place: u64) -> String {
-        format!("t{:04x}.{place} ", self.tag)
+    pub fn token(&self, index: u64) -> String {
+        format!("t{:04x}.{index} ", self.tag)
     }
 
-    /// Yields the text of everything that this request generates.
+    /// Returns the text of all tokens that this request generates.
     #[must_use]
     pub fn text(&self) -> String {
         (self.first..self.end)
-            .map(|place| self.token(place))
+            .map(|index| self.token(index))
             .collect()
     }
 }
 
-/// Yields the whole answer to a conversation, as one run without interruption gives it.
+/// Returns the whole answer to a conversation, as one uninterrupted run generates it.
 #[must_use]
 pub fn whole(messages: &[Message], length: u64) -> String {
     let request = Request {
@@ -89,7 +91,7 @@
     u16::try_from(folded).unwrap_or_default()
 }
 
-/// Yields the text of a message; parts and `null` are rendered as JSON.
+/// Returns the text of a message; content that is not a string is rendered as JSON.
 #[must_use]
 pub fn text(message: &Message) -> String {
     match &message.content {
@@ -98,7 +100,7 @@
     }
 }
 
-fn words(message: &Message) -> u64 {
+fn count_words(message: &Message) -> u64 {
     match &message.content {
         Value::String(text) => text.split_whitespace().count() as u64,
         _ => 0,
@@ -106,7 +108,7 @@
 }
 
 fn marked_length(text: &str) -> Option<u64> {
-    let (_, after) = text.split_once(LENGTH_MARK)?;
+    let (_, after) = text.split_once(LENGTH_MARKER)?;
     let digits = after.split(|c: char| !c.is_ascii_digit()).next()?;
     digits.parse().ok()
 }
@@ -121,9 +123,9 @@
     })
 }
 
-/// Renders a whole answer.
+/// Builds a whole answer.
 #[must_use]
-pub fn completion(id: &str, model: &str, text: &str, finish: &str, used: Usage) -> Value {
+pub fn completion(id: &str, model: &str, text: &str, finish: &str, token_usage: Usage) -> Value {
     json!({
         "id": id,
         "object": "chat.completion",
@@ -133,11 +135,11 @@
             "message": { "role": "assistant", "content": text },
             "finish_reason": finish,
         }],
-        "usage": usage(used),
+        "usage": usage(token_usage),
     })
 }
 
-/// Renders a piece of a streamed answer.
+/// Builds a chunk of a streamed answer.
 #[must_use]
 pub fn chunk(id: &str, model: &str, delta: &Value) -> Value {
     json!({
@@ -148,15 +150,15 @@
     })
 }
 
-/// Renders the last piece of a streamed answer.
+/// Builds the last chunk of a streamed answer.
 #[must_use]
-pub fn last_chunk(id: &str, model: &str, finish: &str, used: Usage) -> Value {
+pub fn last_chunk(id: &str, model: &str, finish: &str, token_usage: Usage) -> Value {
     json!({
         "id": id,
         "object": "chat.completion.chunk",
         "model": model,
         "choices": [{ "index": 0, "delta": {}, "finish_reason": finish }],
-        "usage": usage(used),
+        "usage": usage(token_usage),
     })
 }
 
--- a/crates/standin/src/runner/answer/tests.rs
+++ b/crates/standin/src/runner/answer/tests.rs
@@ -19,30 +19,30 @@
 }
 
 #[test]
-fn the_user_sets_the_length_and_the_limit_cuts_it() {
-    let asked = vec![message("user", "plan the berth #tokens=7, please")];
-    let plan = Plan::new(&request(asked.clone(), None), 3);
+fn the_user_message_sets_the_length_and_max_tokens_limits_it() {
+    let messages = vec![message("user", "plan the berth #tokens=7, please")];
+    let plan = Plan::new(&request(messages.clone(), None), 3);
     assert_eq!((plan.first, plan.end, plan.finish), (0, 7, "stop"));
-    let plan = Plan::new(&request(asked, Some(4)), 3);
+    let plan = Plan::new(&request(messages, Some(4)), 3);
     assert_eq!((plan.first, plan.end, plan.finish), (0, 4, "length"));
 }
 
-// A stream broke off after two tokens. A second runner is given the partial answer and goes on
-// with the third, so that both parts make the answer of one run.
+// A stream broke off after two tokens. A second runner gets the partial answer and continues with
+// the third token; both parts together must equal the answer of one uninterrupted run.
 #[test]
-fn a_partial_answer_is_continued() {
-    let asked = vec![message("user", "q #tokens=5")];
-    let expected = whole(&asked, 1);
-    let cut: String = expected.split_inclusive(' ').take(2).collect();
-    let mut resumed = asked;
-    resumed.push(message("assistant", &cut));
+fn a_partial_answer_is_continued_at_its_next_token() {
+    let messages = vec![message("user", "q #tokens=5")];
+    let expected = whole(&messages, 1);
+    let partial: String = expected.split_inclusive(' ').take(2).collect();
+    let mut resumed = messages;
+    resumed.push(message("assistant", &partial));
     let rest = Plan::new(&request(resumed, None), 1).text();
-    assert_eq!(format!("{cut}{rest}"), expected);
+    assert_eq!(format!("{partial}{rest}"), expected);
     assert_eq!(expected.split_whitespace().count(), 5);
 }
 
 #[test]
-fn other_conversations_get_other_answers() {
+fn different_conversations_get_different_answers() {
     let first = whole(&[message("user", "a #tokens=2")], 1);
     let second = whole(&[message("user", "b #tokens=2")], 1);
     assert_ne!(first, second);
--- a/crates/standin/src/runner/cache.rs
+++ b/crates/standin/src/runner/cache.rs
@@ -1,26 +1,26 @@
-//! The bounded prefix cache of a runner: which beginnings of which programs needn't be computed
-//! again.
+//! The bounded prefix cache of a runner: records which prefix of each program's conversation need
+//! not be computed again.
 
 use serde_json::Value;
 use wire::chat::Message;
 use wire::id::Digest;
 
-/// One message as the cache knows it.
+/// The digest and length of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The digest of who speaks and what is said.
+    /// Digest of the role and the text.
     pub digest: Digest,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// Measures a conversation.
+/// Returns the digest and length of each message of a conversation.
 #[must_use]
 pub fn parts(messages: &[Message]) -> Vec<Part> {
     messages.iter().map(part).collect()
 }
 
-/// Measures one message: a token for each word, and one for who speaks.
+/// Returns the digest and length of one message: one token for each word and one for the role.
 #[must_use]
 pub fn part(message: &Message) -> Part {
     let text = match &message.content {
@@ -32,95 +32,102 @@
     Part { digest, tokens }
 }
 
-struct Held {
+struct Entry {
     program: String,
     parts: Vec<Part>,
     tokens: u64,
-    used: u64,
+    /// Value of [`Cache::uses`] at the last use.
+    last_use: u64,
 }
 
-/// The cache. Lines are sorted by program.
+/// The cache. `entries` is sorted by program.
 pub struct Cache {
     capacity: u64,
-    held: Vec<Held>,
+    entries: Vec<Entry>,
+    /// Counts lookups and insertions, to find the least recently used entry.
     uses: u64,
 }
 
 impl Cache {
-    /// Makes an empty cache for `capacity` tokens.
+    /// Creates an empty cache for `capacity` tokens.
     #[must_use]
     pub fn new(capacity: u64) -> Self {
         Self {
             capacity,
-            held: Vec::new(),
+            entries: Vec::new(),
             uses: 0,
         }
     }
 
-    /// Counts the tokens at the beginning of a program's conversation that are held.
+    /// Returns how many tokens at the beginning of a program's conversation are cached, and marks
+    /// the program as used.
     pub fn lookup(&mut self, program: &str, parts: &[Part]) -> u64 {
         let Ok(at) = self.find(program) else {
             return 0;
         };
         self.uses += 1;
-        let held = &mut self.held[at];
-        held.used = self.uses;
-        let same = held.parts.iter().zip(parts).take_while(|(a, b)| a == b);
-        same.map(|(part, _)| part.tokens).sum()
+        let entry = &mut self.entries[at];
+        entry.last_use = self.uses;
+        let common = entry.parts.iter().zip(parts).take_while(|(a, b)| a == b);
+        common.map(|(part, _)| part.tokens).sum()
     }
 
-    /// Holds a program's conversation in place of what was held of it; the programs used longest
-    /// ago make room. One that doesn't fit at all isn't held.
-    pub fn hold(&mut self, program: &str, parts: Vec<Part>) {
+    /// Caches a program's conversation in place of its previous one, and evicts the least recently
+    /// used programs to make room. A conversation above the capacity of the cache isn't cached.
+    pub fn insert(&mut self, program: &str, parts: Vec<Part>) {
         self.release(program);
         let tokens = parts.iter().map(|part| part.tokens).sum();
         if tokens > self.capacity {
             return;
         }
         while self.free() < tokens {
-            let oldest = self.held.iter().enumerate().min_by_key(|(_, h)| h.used);
-            let Some((at, _)) = oldest else {
+            let least_recent = self
+                .entries
+                .iter()
+                .enumerate()
+                .min_by_key(|(_, entry)| entry.last_use);
+            let Some((at, _)) = least_recent else {
                 return;
             };
-            self.held.remove(at);
+            self.entries.remove(at);
         }
         self.uses += 1;
-        let held = Held {
+        let entry = Entry {
             program: program.to_owned(),
             parts,
             tokens,
-            used: self.uses,
+            last_use: self.uses,
         };
         let at = self.find(program).unwrap_or_else(|at| at);
-        self.held.insert(at, held);
+        self.entries.insert(at, entry);
     }
 
-    /// Forgets a program; `false` where nothing of it was held.
+    /// Removes a program; returns `false` if it was not cached.
     pub fn release(&mut self, program: &str) -> bool {
         let Ok(at) = self.find(program) else {
             return false;
         };
-        self.held.remove(at);
+        self.entries.remove(at);
         true
     }
 
-    /// Counts the tokens for which there is room.
+    /// Returns the number of tokens for which there is room.
     #[must_use]
     pub fn free(&self) -> u64 {
-        let used: u64 = self.held.iter().map(|held| held.tokens).sum();
+        let used: u64 = self.entries.iter().map(|entry| entry.tokens).sum();
         self.capacity.saturating_sub(used)
     }
 
-    /// Walks the programs held, with their tokens.
+    /// Iterates over the cached programs and their lengths in tokens.
     pub fn programs(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.held
+        self.entries
             .iter()
-            .map(|held| (held.program.as_str(), held.tokens))
+            .map(|entry| (entry.program.as_str(), entry.tokens))
     }
 
     fn find(&self, program: &str) -> Result<usize, usize> {
-        self.held
-            .binary_search_by(|held| held.program.as_str().cmp(program))
+        self.entries
+            .binary_search_by(|entry| entry.program.as_str().cmp(program))
     }
 }
 
--- a/crates/standin/src/runner/cache/tests.rs
+++ b/crates/standin/src/runner/cache/tests.rs
@@ -9,25 +9,25 @@
 }
 
 #[test]
-fn only_the_common_beginning_counts() {
+fn lookup_counts_only_the_common_prefix() {
     let mut cache = Cache::new(100);
-    cache.hold("a", conversation(&[10, 20]));
+    cache.insert("a", conversation(&[10, 20]));
     assert_eq!(cache.lookup("a", &conversation(&[10, 20, 5])), 30);
     assert_eq!(cache.lookup("a", &conversation(&[10, 21, 5])), 10);
     assert_eq!(cache.lookup("b", &conversation(&[10, 20])), 0);
 }
 
 #[test]
-fn the_program_used_longest_ago_makes_room() {
+fn the_least_recently_used_program_is_evicted() {
     let mut cache = Cache::new(100);
-    cache.hold("a", conversation(&[40]));
-    cache.hold("b", conversation(&[40]));
+    cache.insert("a", conversation(&[40]));
+    cache.insert("b", conversation(&[40]));
     cache.lookup("a", &conversation(&[40]));
-    cache.hold("c", conversation(&[40]));
-    let held: Vec<&str> = cache.programs().map(|(program, _)| program).collect();
-    assert_eq!(held, ["a", "c"]);
+    cache.insert("c", conversation(&[40]));
+    let cached: Vec<&str> = cache.programs().map(|(program, _)| program).collect();
+    assert_eq!(cached, ["a", "c"]);
     assert_eq!(cache.free(), 20);
-    cache.hold("d", conversation(&[101]));
+    cache.insert("d", conversation(&[101]));
     assert_eq!(cache.free(), 20);
     assert!(cache.release("a"));
     assert!(!cache.release("a"));
--- a/crates/standin/src/runner/engine.rs
+++ b/crates/standin/src/runner/engine.rs
@@ -1,4 +1,4 @@
-//! The slots of a runner: who runs, who waits, and how fast a batch generates.
+//! The batch of a runner: its slots, the queue for them and the speed of generation.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -8,29 +8,30 @@
 
 use tokio::sync::oneshot;
 
-/// How fast a runner is.
+/// The speed of a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Tokens a second that a call generates when it runs alone.
+    /// Tokens per second that a call generates when it is alone in the batch.
     pub decode: f64,
-    /// Prompt tokens a second that are computed.
+    /// Prompt tokens per second that are computed.
     pub prefill: f64,
-    /// By what share each further call of the batch slows a call down.
+    /// Share by which each further call in the batch increases the time per token.
     pub crowding: f64,
 }
 
 impl Speed {
-    /// Yields the time for `tokens` of prompt.
+    /// Returns the time to compute `tokens` prompt tokens; `factor` multiplies it.
     #[must_use]
     pub fn prefill(&self, tokens: u64, factor: f64) -> Duration {
-        span(as_f64(tokens) / self.prefill * factor)
+        duration(as_f64(tokens) / self.prefill * factor)
     }
 
-    /// Yields the time for one token in a batch of `running` calls.
+    /// Returns the time to generate one token in a batch of `running` calls; `factor` multiplies
+    /// it.
     #[must_use]
     pub fn token(&self, running: u32, factor: f64) -> Duration {
         let others = f64::from(running.saturating_sub(1));
-        span((1.0 + self.crowding * others) / self.decode * factor)
+        duration((1.0 + self.crowding * others) / self.decode * factor)
     }
 }
 
@@ -39,58 +40,61 @@
     tokens as f64
 }
 
-fn span(seconds: f64) -> Duration {
+fn duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
 #[derive(Default)]
 struct State {
     running: u32,
-    /// Sorted by priority and arrival.
+    /// Sorted by priority, then by arrival.
     waiting: Vec<Waiter>,
+    /// Number of calls that had to wait so far.
     arrivals: u64,
 }
 
 struct Waiter {
     priority: i64,
     arrival: u64,
-    granted: oneshot::Sender<Slot>,
+    slot_sender: oneshot::Sender<Slot>,
 }
 
-/// The slots of a runner.
+/// The slots of a runner and the calls that wait for them.
 pub struct Engine {
     slots: u32,
     state: Mutex<State>,
 }
 
-/// A call's place in the batch; free again when dropped.
+/// A slot in the batch; dropping it frees the slot.
 pub struct Slot(Arc<Engine>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let Some(next) = self.0.pass_on() else {
+        let Some(next) = self.0.release() else {
             return;
         };
-        // Where the waiter has gone meanwhile, the slot comes back, is dropped and passed on.
-        let _gone = next.granted.send(Self(self.0.clone()));
+        // If the waiter has gone, `send` returns the slot; dropping it releases it again.
+        let _returned = next.slot_sender.send(Self(self.0.clone()));
     }
 }
 
-/// Takes a waiter that gives up off the list.
-struct Place<'a> {
+/// Removes a waiter from the queue when its wait ends or is cancelled.
+struct QueueGuard<'a> {
     engine: &'a Engine,
     arrival: u64,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.engine.lock();
-        state.waiting.retain(|w| w.arrival != self.arrival);
+        state
+            .waiting
+            .retain(|waiter| waiter.arrival != self.arrival);
     }
 }
 
 impl Engine {
-    /// Makes an idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(slots: u32) -> Arc<Self> {
         Arc::new(Self {
@@ -99,21 +103,21 @@
         })
     }
 
-    /// Counts the calls that run.
+    /// Returns the number of running calls.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.lock().running
     }
 
-    /// Counts the calls that wait.
+    /// Returns the number of waiting calls.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         u32::try_from(self.lock().waiting.len()).unwrap_or(u32::MAX)
     }
 
-    /// Waits for a slot; the lowest priority number goes first, then the earliest.
+    /// Waits for a slot. The lowest priority number goes first; equal ones go in order of arrival.
     pub async fn acquire(self: &Arc<Self>, priority: i64) -> Slot {
-        let (granted, wait) = oneshot::channel();
+        let (slot_sender, slot) = oneshot::channel();
         let arrival = {
             let mut state = self.lock();
             if state.running < self.slots {
@@ -122,23 +126,23 @@
             }
             state.arrivals += 1;
             let arrival = state.arrivals;
-            let before = |w: &Waiter| (w.priority, w.arrival) < (priority, arrival);
+            let before = |waiter: &Waiter| (waiter.priority, waiter.arrival) < (priority, arrival);
             let at = state.waiting.partition_point(before);
             let waiter = Waiter {
                 priority,
                 arrival,
-                granted,
+                slot_sender,
             };
             state.waiting.insert(at, waiter);
             arrival
         };
-        let _place = Place {
+        let _guard = QueueGuard {
             engine: self,
             arrival,
         };
-        match wait.await {
+        match slot.await {
             Ok(slot) => slot,
-            // The sender stands in the list as long as the engine does.
+            // Unreachable: the sender stays in the queue as long as this call waits.
             Err(_) => std::future::pending().await,
         }
     }
@@ -147,8 +151,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives a freed slot to the first waiter; without one it becomes free.
-    fn pass_on(&self) -> Option<Waiter> {
+    /// Returns the first waiter, which is to get the released slot. Without a waiter the slot
+    /// becomes free.
+    fn release(&self) -> Option<Waiter> {
         let mut state = self.lock();
         if state.waiting.is_empty() {
             state.running -= 1;
--- a/crates/standin/src/runner/faults.rs
+++ b/crates/standin/src/runner/faults.rs
@@ -1,38 +1,39 @@
-//! The faults that a runner shows on demand.
+//! The faults that a runner can inject.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The faults to show; `POST /faults` sets the fields that it names and leaves the others.
+/// The faults to inject. `POST /faults` sets the fields in its body and leaves the others
+/// unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[allow(clippy::struct_excessive_bools)] // switches that don't depend on each other
+#[allow(clippy::struct_excessive_bools)] // independent switches
 pub struct Faults {
-    /// By what factor it is slower than set.
+    /// Factor by which the runner is slower than its settings say.
     pub slow: f64,
-    /// Whether calls start and then generate nothing more.
+    /// Whether running calls stop generating and hang.
     pub hang: bool,
-    /// Crashes on a request whose messages contain this text; empty for none.
+    /// Text in a message that makes the runner crash; empty for none.
     pub crash_mark: String,
-    /// Whether it has crashed ([`super::Crash::Break`]).
+    /// Whether the runner has crashed, see [`super::Crash::Break`].
     pub crashed: bool,
-    /// How many of the next answers are cut off after `cut_after` tokens.
+    /// How many of the next answers break off after `cut_after` tokens.
     pub cuts: u32,
-    /// Where they are cut off.
+    /// Number of tokens after which answers break off.
     pub cut_after: u64,
-    /// How many of the next answers are generated whole and dropped before their end is sent.
+    /// How many of the next answers are fully generated but break off before their end is sent.
     pub drop_answers: u32,
-    /// How many of the next orders are dropped without effect.
+    /// How many of the next orders lose their connection and have no effect.
     pub lose_orders: u32,
-    /// Whether its load report says that it leaves, though it still takes calls.
+    /// Whether the load report says that the runner is leaving, although it still accepts calls.
     pub announce_leaving: bool,
-    /// Whether orders with an older fence are carried out.
+    /// Whether orders with a lower fence than seen before are executed.
     pub ignore_fences: bool,
-    /// How old load reports may be, in place of the settings' value.
+    /// Maximum age of load reports; overrides [`Settings::lag`](super::Settings::lag).
     pub load_lag_ms: Option<u64>,
-    /// How old cache reports may be, in place of the settings' value.
+    /// Maximum age of cache reports; overrides [`Settings::lag`](super::Settings::lag).
     pub cache_lag_ms: Option<u64>,
-    /// Leaves every n-th program out of cache reports; 0 for none.
+    /// Omits every n-th program from cache reports; 0 omits none.
     pub cache_gap: usize,
 }
 
--- a/crates/standin/src/runner/generate.rs
+++ b/crates/standin/src/runner/generate.rs
@@ -1,4 +1,4 @@
-//! One completion from its arrival to its last token.
+//! Handles a chat completion from the request to the last token.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 
 use super::ATTEMPT;
 use super::Crash;
-use super::KEPT_ATTEMPTS;
+use super::MAX_ATTEMPTS;
 use super::PROGRAM;
 use super::Runner;
 use super::answer;
@@ -30,22 +30,22 @@
 use crate::http::Dropped;
 use crate::http::Reply;
 
-/// How many pieces of an answer wait for the network: a slow reader holds the generation back.
-const PIECES: usize = 64;
+/// Maximum number of pieces of an answer that wait to be sent; a slow reader slows generation down.
+const MAX_WAITING_PIECES: usize = 64;
 
-/// A call under way.
+/// A call in progress.
 struct Call {
     runner: Arc<Runner>,
     request: chat::Request,
     program: String,
     parts: Vec<Part>,
     plan: Plan,
-    /// The attempt's place in the statistics, counted from the first attempt ever.
-    line: usize,
+    /// Index of the attempt, counted from the first attempt since the start of the runner.
+    attempt: usize,
     finished: bool,
 }
 
-/// What a call yields as it goes on.
+/// A part of the answer to a call.
 enum Piece {
     Token(String),
     End(Usage),
@@ -61,27 +61,27 @@
     }
 }
 
-/// Answers a chat completion.
+/// Handles a chat completion.
 pub(super) async fn handle(runner: &Arc<Runner>, request: Request<Incoming>) -> Reply {
     let program = header(&request, PROGRAM);
     let attempt = header(&request, ATTEMPT);
-    let wanted: chat::Request = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let completion: chat::Request = match http::read_json(request).await {
+        Ok(completion) => completion,
         Err(refusal) => return Ok(*refusal),
     };
-    if let Some(refusal) = refusal(runner, &wanted) {
+    if let Some(refusal) = refusal(runner, &completion) {
         return Ok(refusal);
     }
-    let streamed = wanted.stream;
+    let streamed = completion.stream;
     let id = format!("chatcmpl-{attempt}");
-    let model = wanted.model.clone();
-    let call = begin(runner, wanted, program, attempt);
+    let model = completion.model.clone();
+    let call = register(runner, completion, program, attempt);
     let finish = call.plan.finish;
-    let (sender, mut pieces) = mpsc::channel(PIECES);
+    let (sender, mut pieces) = mpsc::channel(MAX_WAITING_PIECES);
     tokio::spawn(run(call, sender));
     if streamed {
-        let (events, parts) = mpsc::channel(PIECES);
-        tokio::spawn(tell(id, model, finish, pieces, events));
+        let (events, parts) = mpsc::channel(MAX_WAITING_PIECES);
+        tokio::spawn(send_events(id, model, finish, pieces, events));
         return Ok(http::stream("text/event-stream", parts));
     }
     let mut text = String::new();
@@ -102,35 +102,41 @@
     value.unwrap_or_default().to_owned()
 }
 
-fn refusal(runner: &Runner, wanted: &chat::Request) -> Option<Response<Body>> {
+fn refusal(runner: &Runner, completion: &chat::Request) -> Option<Response<Body>> {
     let state = runner.lock();
     if state.leaving {
         let refusal = json!({ "error": "the runner is leaving", "ran": "no" });
         return Some(http::json(StatusCode::SERVICE_UNAVAILABLE, &refusal));
     }
-    if !state.models.is_empty() && !state.models.contains(&wanted.model) {
-        let refusal = json!({ "error": "the model isn't served here", "ran": "no" });
+    if !state.models.is_empty() && !state.models.contains(&completion.model) {
+        let refusal = json!({ "error": "the runner doesn't serve this model", "ran": "no" });
         return Some(http::json(StatusCode::NOT_FOUND, &refusal));
     }
     None
 }
 
-fn begin(runner: &Arc<Runner>, request: chat::Request, program: String, attempt: String) -> Call {
+/// Adds an attempt to the statistics and plans its answer.
+fn register(
+    runner: &Arc<Runner>,
+    request: chat::Request,
+    program: String,
+    attempt: String,
+) -> Call {
     let parts = cache::parts(&request.messages);
     let plan = Plan::new(&request, runner.settings.answer_tokens);
     let mut state = runner.lock();
-    let line = Attempt {
+    let entry = Attempt {
         attempt,
         program: program.clone(),
         prompt: parts.iter().map(|part| part.tokens).sum(),
         ..Attempt::default()
     };
-    if state.stats.attempts.len() >= KEPT_ATTEMPTS {
-        state.stats.attempts.drain(..KEPT_ATTEMPTS / 2);
-        state.dropped_attempts += KEPT_ATTEMPTS / 2;
+    if state.stats.attempts.len() >= MAX_ATTEMPTS {
+        state.stats.attempts.drain(..MAX_ATTEMPTS / 2);
+        state.dropped_attempts += MAX_ATTEMPTS / 2;
     }
-    state.stats.attempts.push(line);
-    let line = state.dropped_attempts + state.stats.attempts.len() - 1;
+    state.stats.attempts.push(entry);
+    let attempt = state.dropped_attempts + state.stats.attempts.len() - 1;
     drop(state);
     Call {
         runner: runner.clone(),
@@ -138,25 +144,25 @@
         program,
         parts,
         plan,
-        line,
+        attempt,
         finished: false,
     }
 }
 
-/// Runs a call until it ends, its reader has gone or the runner crashes.
+/// Runs a call until it ends, its reader disconnects or the runner crashes.
 async fn run(mut call: Call, pieces: Pieces) {
     let mut crashes = call.runner.crashes.subscribe();
-    let fate = tokio::select! {
-        fate = work(&mut call, &pieces) => fate,
+    let result = tokio::select! {
+        result = process(&mut call, &pieces) => result,
         () = pieces.closed() => return,
         _ = crashes.changed() => Err(Dropped),
     };
-    if fate.is_err() {
-        let _gone = pieces.send(Err(Dropped)).await;
+    if result.is_err() {
+        let _reader_gone = pieces.send(Err(Dropped)).await;
     }
 }
 
-async fn work(call: &mut Call, pieces: &Pieces) -> http::Result<()> {
+async fn process(call: &mut Call, pieces: &Pieces) -> http::Result<()> {
     let runner = call.runner.clone();
     let priority = call.request.rest.get("priority").and_then(Value::as_i64);
     let _slot = runner.engine.acquire(priority.unwrap_or(0)).await;
@@ -165,7 +171,7 @@
     let cut = take_cut(&runner);
     generate(call, pieces, cut).await?;
     call.finished = true;
-    finish(call);
+    record_finished(call);
     if take_drop(&runner) {
         return Err(Dropped);
     }
@@ -174,11 +180,11 @@
         completion_tokens: call.plan.end - call.plan.first,
         cached_tokens: cached,
     };
-    let _gone = pieces.send(Ok(Piece::End(usage))).await;
+    let _reader_gone = pieces.send(Ok(Piece::End(usage))).await;
     Ok(())
 }
 
-/// Computes the prompt and yields how many of its tokens the cache had.
+/// Waits as long as computing the prompt takes, and returns how many of its tokens were cached.
 async fn prefill(call: &Call) -> u64 {
     let runner = &call.runner;
     let prompt: u64 = call.parts.iter().map(|part| part.tokens).sum();
@@ -187,29 +193,30 @@
         let cached = state.cache.lookup(&call.program, &call.parts);
         state.stats.cached += cached;
         state.stats.prefilled += prompt - cached;
-        update(&mut state, call, |line| {
-            line.started = true;
-            line.cached = cached;
+        update_attempt(&mut state, call, |attempt| {
+            attempt.started = true;
+            attempt.cached = cached;
         });
         (cached, state.faults.slow)
     };
-    let span = runner.speed.prefill(prompt - cached, factor);
-    tokio::time::sleep(span).await;
+    let duration = runner.speed.prefill(prompt - cached, factor);
+    tokio::time::sleep(duration).await;
     cached
 }
 
-fn update(state: &mut super::State, call: &Call, change: impl FnOnce(&mut Attempt)) {
-    let at = call.line.checked_sub(state.dropped_attempts);
-    if let Some(line) = at.and_then(|at| state.stats.attempts.get_mut(at)) {
-        change(line);
+/// Changes the attempt of a call in the statistics, unless it has been dropped from there.
+fn update_attempt(state: &mut super::State, call: &Call, change: impl FnOnce(&mut Attempt)) {
+    let index = call.attempt.checked_sub(state.dropped_attempts);
+    if let Some(attempt) = index.and_then(|index| state.stats.attempts.get_mut(index)) {
+        change(attempt);
     }
 }
 
 fn crash_if_marked(call: &Call) -> http::Result<()> {
     let mut state = call.runner.lock();
-    let mark = &state.faults.crash_mark;
-    let marked = |message| answer::text(message).contains(mark);
-    if mark.is_empty() || !call.request.messages.iter().any(marked) {
+    let marker = &state.faults.crash_mark;
+    let marked = |message| answer::text(message).contains(marker);
+    if marker.is_empty() || !call.request.messages.iter().any(marked) {
         return Ok(());
     }
     if call.runner.settings.crash == Crash::Exit {
@@ -221,24 +228,26 @@
     Err(Dropped)
 }
 
+/// Uses up one of the set cuts and returns the number of tokens after which to break off.
 fn take_cut(runner: &Runner) -> Option<u64> {
     let faults = &mut runner.lock().faults;
     faults.cuts = faults.cuts.checked_sub(1)?;
     Some(faults.cut_after)
 }
 
+/// Uses up one of the set drops; returns `false` if there is none left.
 fn take_drop(runner: &Runner) -> bool {
     let faults = &mut runner.lock().faults;
-    let left = faults.drop_answers.checked_sub(1);
-    faults.drop_answers = left.unwrap_or(0);
-    left.is_some()
+    let remaining = faults.drop_answers.checked_sub(1);
+    faults.drop_answers = remaining.unwrap_or(0);
+    remaining.is_some()
 }
 
 async fn generate(call: &Call, pieces: &Pieces, cut: Option<u64>) -> http::Result<()> {
     let runner = &call.runner;
     let mut due = Instant::now();
-    for place in call.plan.first..call.plan.end {
-        if cut.is_some_and(|after| place - call.plan.first >= after) {
+    for index in call.plan.first..call.plan.end {
+        if cut.is_some_and(|after| index - call.plan.first >= after) {
             return Err(Dropped);
         }
         let (hang, factor) = {
@@ -253,18 +262,18 @@
         {
             let mut state = runner.lock();
             state.stats.generated += 1;
-            update(&mut state, call, |line| line.generated += 1);
+            update_attempt(&mut state, call, |attempt| attempt.generated += 1);
         }
-        let piece = Piece::Token(call.plan.token(place));
+        let piece = Piece::Token(call.plan.token(index));
         pieces.send(Ok(piece)).await.map_err(|_| Dropped)?;
     }
     Ok(())
 }
 
-/// Holds the conversation with its answer in the cache.
-fn finish(call: &Call) {
+/// Marks the attempt as finished and caches the conversation including its answer.
+fn record_finished(call: &Call) {
     let mut state = call.runner.lock();
-    update(&mut state, call, |line| line.finished = true);
+    update_attempt(&mut state, call, |attempt| attempt.finished = true);
     if call.program.is_empty() {
         return;
     }
@@ -280,19 +289,19 @@
             rest: serde_json::Map::new(),
         }),
     }
-    state.cache.hold(&call.program, cache::parts(&messages));
+    state.cache.insert(&call.program, cache::parts(&messages));
 }
 
-/// Renders a call's pieces as server-sent events.
-async fn tell(
+/// Sends the pieces of an answer as server-sent events.
+async fn send_events(
     id: String,
     model: String,
     finish: &'static str,
     mut pieces: mpsc::Receiver<http::Result<Piece>>,
     events: mpsc::Sender<http::Result<Bytes>>,
 ) {
-    let role = answer::chunk(&id, &model, &json!({ "role": "assistant", "content": "" }));
-    if events.send(Ok(event(&role))).await.is_err() {
+    let first_chunk = answer::chunk(&id, &model, &json!({ "role": "assistant", "content": "" }));
+    if events.send(Ok(event(&first_chunk))).await.is_err() {
         return;
     }
     loop {
@@ -310,13 +319,13 @@
                 let last = event(&answer::last_chunk(&id, &model, finish, usage));
                 let mut text = last.to_vec();
                 text.extend_from_slice(b"data: [DONE]\n\n");
-                let _gone = events.send(Ok(Bytes::from(text))).await;
+                let _reader_gone = events.send(Ok(Bytes::from(text))).await;
                 return;
             }
             Some(Err(Dropped)) | None => Err(Dropped),
         };
-        let over = part.is_err();
-        if events.send(part).await.is_err() || over {
+        let broken = part.is_err();
+        if events.send(part).await.is_err() || broken {
             return;
         }
     }
--- a/crates/standin/src/runner/report.rs
+++ b/crates/standin/src/runner/report.rs
@@ -1,112 +1,112 @@
-//! What a runner is told and what it tells: orders, load, cache and counts.
+//! The orders to a runner and its reports: load, cache and statistics.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Command {
-    /// Forget a program's cache.
+    /// Remove a program from the cache.
     Release,
-    /// Serve a further model.
+    /// Serve an additional model.
     Load,
-    /// Take no new calls, finish those under way.
+    /// Refuse new calls and finish the running ones.
     Drain,
-    /// Change what the runner is for.
+    /// Change the role of the runner.
     Role,
 }
 
-/// An order to a runner. One with a fence below the highest seen for its scope is refused with
-/// 409.
+/// An order to a runner. It is refused with status 409 if its fence is below the highest one seen
+/// for its scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// What it asks for.
+    /// The action.
     pub order: Command,
-    /// The program to release.
+    /// The program to release, for [`Command::Release`].
     #[serde(default)]
     pub program: Option<String>,
-    /// The model to load.
+    /// The model to load, for [`Command::Load`].
     #[serde(default)]
     pub model: Option<String>,
-    /// The role to take.
+    /// The new role, for [`Command::Role`].
     #[serde(default)]
     pub role: Option<String>,
-    /// Whose fencing numbers are compared with each other: a shard, say.
+    /// The scope within which fences are compared, for example a shard.
     #[serde(default)]
     pub scope: String,
-    /// The fencing number.
+    /// The fencing token.
     pub fence: u64,
 }
 
 /// A load report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Calls in the batch.
+    /// Running calls.
     pub running: u32,
-    /// Calls that wait for a slot.
+    /// Calls waiting for a slot.
     pub waiting: u32,
-    /// Calls that fit in the batch.
+    /// Maximum number of calls in the batch.
     pub slots: u32,
-    /// Tokens a second that a call generates when it runs alone.
+    /// Tokens per second that a call generates when it is alone in the batch.
     pub tokens_per_second: f64,
-    /// Prompt tokens for which the cache has room.
+    /// Free capacity of the cache in prompt tokens.
     pub cache_tokens_free: u64,
-    /// Whether it takes no new calls.
+    /// Whether the runner is leaving and refuses new calls.
     pub leaving: bool,
-    /// The report's age.
+    /// Age of the report.
     pub age_ms: u64,
-    /// Models that it serves.
+    /// Models that the runner serves.
     pub models: Vec<String>,
-    /// Grows with each order to load a model.
+    /// Increases with each order to load a model.
     pub version: u64,
-    /// What the runner is for, as the last order said.
+    /// The role set by the last role order, or empty.
     pub role: String,
 }
 
-/// A program in a cache report.
+/// A cached program in a cache report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct CacheEntry {
     /// The program.
     pub program: String,
-    /// Its tokens.
+    /// Number of its cached tokens.
     pub tokens: u64,
 }
 
-/// What became of one attempt.
+/// The progress and result of one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The attempt's id.
+    /// The id of the attempt.
     pub attempt: String,
-    /// Its program.
+    /// The program of the attempt, or empty.
     pub program: String,
-    /// Whether it got a slot.
+    /// Whether the attempt got a slot.
     pub started: bool,
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt: u64,
-    /// Of these, how many the cache had.
+    /// How many of the prompt tokens were cached.
     pub cached: u64,
     /// Tokens generated so far.
     pub generated: u64,
-    /// Whether its answer was generated whole.
+    /// Whether the answer was fully generated.
     pub finished: bool,
 }
 
-/// What has been counted.
+/// Counters of a runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Prompt tokens computed.
     pub prefilled: u64,
-    /// Prompt tokens that the cache had.
+    /// Prompt tokens found in the cache.
     pub cached: u64,
     /// Tokens generated.
     pub generated: u64,
-    /// Attempts that ended before their answer was whole.
+    /// Attempts that ended before their answer was fully generated.
     pub aborted: u64,
-    /// Orders carried out.
+    /// Executed orders.
     pub orders: u64,
-    /// Orders refused for their fence.
+    /// Orders refused because of their fence.
     pub fenced: u64,
-    /// The attempts, the latest last.
+    /// The latest attempts, oldest first.
     pub attempts: Vec<Attempt>,
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,8 +1,8 @@
-//! A plain service's stand-in, which counts how often each call really ran.
+//! Stand-in for a plain service that counts how often each call ran.
 //!
 //! Paths: `POST /{service}/{operation}` runs a call and counts it by its `Idempotency-Key`;
-//! `GET /load` for [`Load`], `GET /stats` for [`Stats`], `POST /faults` for [`Faults`]. The
-//! service doesn't recognise a key that it has seen: a call sent twice runs twice.
+//! `GET /load` returns [`Load`], `GET /stats` returns [`Stats`], `POST /faults` sets [`Faults`].
+//! The service does not deduplicate by key: a call sent twice runs twice.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -28,12 +28,12 @@
 use crate::http::Reply;
 use crate::http::Server;
 
-/// What a service is.
+/// Properties of a service stand-in.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How long a call runs.
+    /// Duration of a call.
     pub delay: Millis,
-    /// Calls at once, as its load report says; more aren't refused.
+    /// Number of concurrent calls that the load report states; further calls are not refused.
     pub slots: u32,
 }
 
@@ -46,11 +46,12 @@
     }
 }
 
-/// The faults to show; `POST /faults` sets the fields that it names and leaves the others.
+/// The faults to inject. `POST /faults` sets the fields in its body and leaves the others
+/// unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How many of the next calls run and have their connection dropped.
+    /// How many of the next calls run but lose their answer: the connection is dropped.
     pub lose_answers: u32,
     /// How many of the next calls run and are never answered.
     pub hang: u32,
@@ -58,42 +59,42 @@
     pub refuse: u32,
     /// How many of the next calls run and are answered with 500.
     pub fail: u32,
-    /// How long a call runs, in place of the settings' value.
+    /// Duration of a call; overrides [`Settings::delay`].
     pub delay_ms: Option<u64>,
-    /// Whether it takes no new calls.
+    /// Whether the service refuses new calls.
     pub leaving: bool,
 }
 
 /// A load report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Calls that run.
+    /// Running calls.
     pub running: u32,
-    /// Calls that wait: none, as each runs at once.
+    /// Waiting calls: always 0, because each call runs at once.
     pub waiting: u32,
-    /// Calls at once.
+    /// Number of concurrent calls, see [`Settings::slots`].
     pub slots: u32,
-    /// Whether it takes no new calls.
+    /// Whether the service refuses new calls.
     pub leaving: bool,
-    /// The report's age.
+    /// Age of the report.
     pub age_ms: u64,
 }
 
-/// How often one call ran.
+/// How often calls with the same key and operation ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Its idempotency key; empty where it had none.
+    /// The idempotency key, or empty if the call had none.
     pub key: String,
-    /// Its operation.
+    /// The operation.
     pub operation: String,
-    /// How often it ran.
+    /// Number of runs.
     pub runs: u64,
 }
 
-/// What has been counted.
+/// Call counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Sorted by key and operation.
+    /// Runs per key and operation, sorted by them.
     pub runs: Vec<Run>,
     /// Calls refused before they ran.
     pub refused: u64,
@@ -111,9 +112,9 @@
     state: Mutex<State>,
 }
 
-/// What happens to one call.
+/// What the service does with a call, given the [`Faults`] that are set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Action {
     Answer,
     Refuse,
     LoseAnswer,
@@ -121,11 +122,11 @@
     Fail,
 }
 
-/// Serves a service on `listener`.
+/// Serves a service stand-in on `listener`.
 ///
 /// # Errors
 ///
-/// Fails where the listener has no address.
+/// Returns an error if the listener has no local address.
 pub fn serve(listener: TcpListener, settings: Settings) -> std::io::Result<Server> {
     let service = Arc::new(Service {
         settings,
@@ -150,14 +151,15 @@
         }
     }
 
+    /// Records the start of a call and returns how often it has run, including this run.
     fn count(&self, key: &str, operation: &str) -> u64 {
         let mut state = self.lock();
         state.running += 1;
         let runs = &mut state.stats.runs;
-        let found = runs.binary_search_by(|run| {
+        let position = runs.binary_search_by(|run| {
             (run.key.as_str(), run.operation.as_str()).cmp(&(key, operation))
         });
-        let at = found.unwrap_or_else(|at| {
+        let at = position.unwrap_or_else(|at| {
             let run = Run {
                 key: key.to_owned(),
                 operation: operation.to_owned(),
@@ -172,24 +174,24 @@
 }
 
 impl State {
-    fn fate(&mut self) -> Fate {
+    fn next_action(&mut self) -> Action {
         let faults = &mut self.faults;
         if faults.leaving {
-            return Fate::Refuse;
+            return Action::Refuse;
         }
         let counters = [
-            (&mut faults.refuse, Fate::Refuse),
-            (&mut faults.lose_answers, Fate::LoseAnswer),
-            (&mut faults.hang, Fate::Hang),
-            (&mut faults.fail, Fate::Fail),
+            (&mut faults.refuse, Action::Refuse),
+            (&mut faults.lose_answers, Action::LoseAnswer),
+            (&mut faults.hang, Action::Hang),
+            (&mut faults.fail, Action::Fail),
         ];
-        for (left, fate) in counters {
-            if *left > 0 {
-                *left -= 1;
-                return fate;
+        for (remaining, action) in counters {
+            if *remaining > 0 {
+                *remaining -= 1;
+                return action;
             }
         }
-        Fate::Answer
+        Action::Answer
     }
 }
 
@@ -215,29 +217,29 @@
         Ok(body) => body,
         Err(refusal) => return Ok(*refusal),
     };
-    let (fate, delay) = {
+    let (action, delay) = {
         let mut state = service.lock();
         let delay = state.faults.delay_ms.map(Duration::from_millis);
         let delay = delay.unwrap_or(service.settings.delay.as_duration());
-        (state.fate(), delay)
+        (state.next_action(), delay)
     };
-    if fate == Fate::Refuse {
+    if action == Action::Refuse {
         service.lock().stats.refused += 1;
         let refusal = json!({ "error": "not now", "ran": "no" });
         return Ok(http::json(StatusCode::SERVICE_UNAVAILABLE, &refusal));
     }
     let run = service.count(&key, operation);
-    // A task of its own: the call ends at the service also when its caller has gone.
+    // Runs in its own task, so that the call is completed even if the caller disconnects.
     let running = tokio::spawn(async move {
         tokio::time::sleep(delay).await;
         service.lock().running -= 1;
     });
     let _ended = running.await;
-    match fate {
-        Fate::LoseAnswer => Err(Dropped),
-        Fate::Hang => std::future::pending().await,
-        Fate::Fail => Ok(http::error(StatusCode::INTERNAL_SERVER_ERROR, "it failed")),
-        Fate::Answer | Fate::Refuse => Ok(answer(&key, operation, run, &body)),
+    match action {
+        Action::LoseAnswer => Err(Dropped),
+        Action::Hang => std::future::pending().await,
+        Action::Fail => Ok(http::error(StatusCode::INTERNAL_SERVER_ERROR, "it failed")),
+        Action::Answer | Action::Refuse => Ok(answer(&key, operation, run, &body)),
     }
 }
 
@@ -253,12 +255,12 @@
 }
 
 async fn set_faults(service: &Service, request: Request<Incoming>) -> Response<Body> {
-    let wanted = match http::read_json(request).await {
-        Ok(wanted) => wanted,
+    let changes = match http::read_json(request).await {
+        Ok(changes) => changes,
         Err(refusal) => return *refusal,
     };
     let mut state = service.lock();
-    match http::merge(&state.faults, wanted) {
+    match http::merge(&state.faults, changes) {
         Ok(merged) => state.faults = merged,
         Err(refusal) => return *refusal,
     }
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -1,5 +1,5 @@
-//! What the system relies on at the platform, checked alike on the platform in memory and on the
-//! adapter over the stand-in.
+//! The guarantees that the system needs from the platform, tested both on the in-memory platform
+//! and on the network adapter with the stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,22 +37,23 @@
     Gateway,
 }
 
-enum Under {
+enum Backend {
     Memory(Memory),
     Gateway { etcd: Box<Etcd>, server: Server },
 }
 
+/// A platform under test and its clock.
 struct Bench {
     time: Arc<AtomicU64>,
-    under: Under,
+    backend: Backend,
 }
 
 impl Bench {
     async fn new(kind: Kind) -> Self {
         let time = Arc::new(AtomicU64::new(1_000_000));
         let clock = Clock::Manual(time.clone());
-        let under = match kind {
-            Kind::Memory => Under::Memory(Memory::new(clock)),
+        let backend = match kind {
+            Kind::Memory => Backend::Memory(Memory::new(clock)),
             Kind::Gateway => {
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
                 let settings = standin::platform::Settings {
@@ -63,27 +64,27 @@
                 };
                 let server = standin::platform::serve(listener, settings, clock).unwrap();
                 let etcd = Box::new(Etcd::new(vec![server.address()], Millis::new(5_000)));
-                Under::Gateway { etcd, server }
+                Backend::Gateway { etcd, server }
             }
         };
-        Self { time, under }
+        Self { time, backend }
     }
 
     fn platform(&self) -> &dyn Platform {
-        match &self.under {
-            Under::Memory(memory) => memory,
-            Under::Gateway { etcd, .. } => etcd.as_ref(),
+        match &self.backend {
+            Backend::Memory(memory) => memory,
+            Backend::Gateway { etcd, .. } => etcd.as_ref(),
         }
     }
 
-    fn pass(&self, millis: u64) {
+    fn advance_clock(&self, millis: u64) {
         self.time.fetch_add(millis, Ordering::SeqCst);
     }
 
-    async fn play(&self, play: Play) {
-        match &self.under {
-            Under::Memory(memory) => memory.play(play),
-            Under::Gateway { server, .. } => {
+    async fn inject(&self, play: Play) {
+        match &self.backend {
+            Backend::Memory(memory) => memory.play(play),
+            Backend::Gateway { server, .. } => {
                 let faults = match play {
                     Play::LoseAnswer => r#"{"lose_answers":1}"#,
                     Play::LoseWrite => r#"{"lose_writes":1}"#,
@@ -95,27 +96,27 @@
     }
 
     async fn deliver(&self) {
-        match &self.under {
-            Under::Memory(memory) => memory.deliver(),
-            Under::Gateway { server, .. } => post(server.address(), "/deliver", "").await,
+        match &self.backend {
+            Backend::Memory(memory) => memory.deliver(),
+            Backend::Gateway { server, .. } => post(server.address(), "/deliver", "").await,
         }
     }
 
     async fn set_down(&self, down: bool) {
-        match &self.under {
-            Under::Memory(memory) => memory.set_down(down),
-            Under::Gateway { server, .. } => {
-                let state = if down { "refuse" } else { "off" };
-                let faults = format!(r#"{{"down":"{state}"}}"#);
+        match &self.backend {
+            Backend::Memory(memory) => memory.set_down(down),
+            Backend::Gateway { server, .. } => {
+                let outage = if down { "refuse" } else { "off" };
+                let faults = format!(r#"{{"down":"{outage}"}}"#);
                 post(server.address(), "/faults", &faults).await;
             }
         }
     }
 
     async fn set_machines(&self, machines: Vec<Machine>) {
-        match &self.under {
-            Under::Memory(memory) => memory.set_machines(machines),
-            Under::Gateway { server, .. } => {
+        match &self.backend {
+            Backend::Memory(memory) => memory.set_machines(machines),
+            Backend::Gateway { server, .. } => {
                 let list = serde_json::json!({ "vms": machines });
                 post(server.address(), "/vms", &list.to_string()).await;
             }
@@ -137,7 +138,7 @@
     }
 }
 
-fn at(key: &str, revision: u64) -> Compare {
+fn compare(key: &str, revision: u64) -> Compare {
     Compare {
         key: key.to_owned(),
         revision,
@@ -146,7 +147,7 @@
 
 fn create(key: &str, value: &[u8]) -> Txn {
     Txn {
-        compares: vec![at(key, 0)],
+        compares: vec![compare(key, 0)],
         writes: vec![put(key, value, None)],
     }
 }
@@ -163,15 +164,17 @@
     listed.into_iter().map(|entry| entry.key).collect()
 }
 
-async fn next(changes: &mut mpsc::Receiver<Change>) -> Option<Change> {
+async fn next_change(changes: &mut mpsc::Receiver<Change>) -> Option<Change> {
     tokio::time::timeout(TIMEOUT, changes.recv())
         .await
-        .expect("no change came")
+        .expect("no change arrived in time")
 }
 
 #[rstest]
 #[tokio::test]
-async fn only_the_first_creates_a_key(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
+async fn only_the_first_creation_of_a_key_succeeds(
+    #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
+) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     let revision = apply(platform, &create("a", b"1")).await;
@@ -188,7 +191,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_swap_needs_the_present_revision_of_every_key(
+async fn a_compare_and_swap_needs_the_current_revision_of_every_key(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
     let bench = Bench::new(kind).await;
@@ -197,7 +200,7 @@
     let second = apply(platform, &create("b", b"1")).await;
     assert!(second > first);
     let swap = |a, b| Txn {
-        compares: vec![at("a", a), at("b", b)],
+        compares: vec![compare("a", a), compare("b", b)],
         writes: vec![put("a", b"2", None), Write::Delete("b".to_owned())],
     };
     let stale = platform.commit(&swap(first, first), Weight::Change).await;
@@ -214,7 +217,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_range_holds_its_prefix_its_start_and_its_limit(
+async fn a_range_respects_its_prefix_start_and_limit(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
     let bench = Bench::new(kind).await;
@@ -229,17 +232,17 @@
     assert_eq!(keys(platform, "", "", 10).await.len(), 6);
 }
 
-// A write takes effect and its answer is lost. The writer hears that the outcome isn't known, and
-// the key that it reads back holds its own bytes.
+// A write takes effect, but its answer is lost. The writer learns that the outcome is unknown, and
+// finds its own bytes when it reads the key back.
 #[rstest]
 #[tokio::test]
-async fn a_lost_answer_is_unknown_and_can_be_read_back(
+async fn a_write_whose_answer_is_lost_can_be_read_back(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     apply(platform, &create("z", b"0")).await;
-    bench.play(Play::LoseAnswer).await;
+    bench.inject(Play::LoseAnswer).await;
     let lost = platform.commit(&create("a", b"mine"), Weight::Commit).await;
     assert!(matches!(lost, Err(Fault::Unknown(_))), "{lost:?}");
     let found = platform.read("a").await.unwrap().unwrap();
@@ -248,31 +251,34 @@
     assert_eq!(again.unwrap(), Outcome::Refused(vec![found]));
 }
 
-// A write is lost on the way there. The writer can't tell that from a lost answer, and the same
-// bytes sent again settle it.
+// A write is lost before it reaches the platform. The writer can't distinguish this from a lost
+// answer; sending the same bytes again resolves it.
 #[rstest]
 #[tokio::test]
-async fn a_lost_write_is_unknown_and_can_be_sent_again(
+async fn a_lost_write_has_an_unknown_outcome_and_can_be_sent_again(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
-    bench.play(Play::LoseWrite).await;
+    bench.inject(Play::LoseWrite).await;
     let lost = platform.commit(&create("a", b"mine"), Weight::Commit).await;
     assert!(matches!(lost, Err(Fault::Unknown(_))), "{lost:?}");
     assert_eq!(platform.read("a").await.unwrap(), None);
     apply(platform, &create("a", b"mine")).await;
 }
 
-// A write is given up and lands later. Whoever read the key back in between saw nothing: absent
-// now doesn't mean never. Once someone else has the key, the late write is refused.
+// A write takes effect after its writer gave up. A read before that finds no key, so a missing key
+// doesn't mean that the write will never take effect. Once another writer has created the key, the
+// late write is refused.
 #[rstest]
 #[tokio::test]
-async fn a_write_may_land_after_it_was_given_up(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
+async fn a_write_may_take_effect_after_its_writer_gave_up(
+    #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
+) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     for key in ["a", "b"] {
-        bench.play(Play::Delay).await;
+        bench.inject(Play::Delay).await;
         let late = platform.commit(&create(key, b"late"), Weight::Commit).await;
         assert!(matches!(late, Err(Fault::Unknown(_))), "{late:?}");
         assert_eq!(platform.read(key).await.unwrap(), None);
@@ -283,11 +289,13 @@
     assert_eq!(platform.read("b").await.unwrap().unwrap().value, b"other");
 }
 
-// The platform is out and says so. A write fails as one that had no effect, and after the outage
-// it really had none.
+// The platform is down and refuses calls. A write fails with `Down`, which means that it had no
+// effect; a read after the outage confirms this.
 #[rstest]
 #[tokio::test]
-async fn an_outage_is_told_as_such(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
+async fn calls_in_an_outage_fail_as_down_and_have_no_effect(
+    #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
+) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     bench.set_down(true).await;
@@ -302,28 +310,28 @@
     apply(platform, &create("a", b"1")).await;
 }
 
-// A lease isn't renewed in time: its key goes, the watcher hears of it, and a renewal that comes
-// too late is told that the lease has ended.
+// A lease isn't renewed in time: its key is removed, the watcher is notified, and a late renewal
+// learns that the lease has ended.
 #[rstest]
 #[tokio::test]
-async fn a_lapsed_lease_takes_its_keys_along(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
+async fn an_expired_lease_removes_its_keys(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     let lease = platform.grant(Millis::new(2_000)).await.unwrap();
     let txn = Txn {
-        compares: vec![at("held", 0)],
+        compares: vec![compare("held", 0)],
         writes: vec![put("held", b"1", Some(lease))],
     };
     let revision = apply(platform, &txn).await;
     let mut changes = platform.watch("held", revision + 1).await.unwrap();
-    bench.pass(1_500);
+    bench.advance_clock(1_500);
     assert!(platform.renew(lease).await.unwrap());
-    bench.pass(1_500);
+    bench.advance_clock(1_500);
     assert!(platform.read("held").await.unwrap().is_some());
-    bench.pass(1_000);
+    bench.advance_clock(1_000);
     assert_eq!(platform.read("held").await.unwrap(), None);
     assert!(!platform.renew(lease).await.unwrap());
-    let change = next(&mut changes).await;
+    let change = next_change(&mut changes).await;
     assert!(
         matches!(&change, Some(Change::Removed { key, .. }) if key == "held"),
         "{change:?}"
@@ -332,7 +340,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_revoked_lease_takes_its_keys_along(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
+async fn a_revoked_lease_removes_its_keys(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     let lease = platform.grant(Millis::new(5_000)).await.unwrap();
@@ -347,11 +355,13 @@
     platform.revoke(lease).await.unwrap();
 }
 
-// The watcher lists first and then watches from the revision after; what changed in between is
-// told, once and in order, and keys outside the prefix aren't.
+// The watcher first lists and then watches from the next revision. Changes in between are reported
+// once and in order; keys outside the prefix are not.
 #[rstest]
 #[tokio::test]
-async fn a_watch_tells_of_what_changed_since(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
+async fn a_watch_reports_changes_since_its_start_revision(
+    #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
+) {
     let bench = Bench::new(kind).await;
     let platform = bench.platform();
     let seen = apply(platform, &create("p/1", b"1")).await;
@@ -359,16 +369,16 @@
     let mut changes = platform.watch("p/", seen + 1).await.unwrap();
     apply(platform, &create("q/1", b"3")).await;
     let delete = Txn {
-        compares: vec![at("p/2", missed)],
+        compares: vec![compare("p/2", missed)],
         writes: vec![Write::Delete("p/2".to_owned())],
     };
     let removed = apply(platform, &delete).await;
-    let first = next(&mut changes).await;
+    let first = next_change(&mut changes).await;
     assert!(
         matches!(&first, Some(Change::Set(e)) if e.key == "p/2" && e.revision == missed),
         "{first:?}"
     );
-    let second = next(&mut changes).await;
+    let second = next_change(&mut changes).await;
     let expected = Change::Removed {
         key: "p/2".to_owned(),
         revision: removed,
@@ -376,12 +386,12 @@
     assert_eq!(second, Some(expected));
 }
 
-// The platform has forgotten the changes that the watcher asks for. The first watch ends, and the
-// one that the caller begins after it has listed again holds; otherwise a prefix that changes
-// rarely could never be watched.
+// The platform no longer has the changes since the revision that the watcher asks for. The first
+// watch ends, and the one that the caller starts after listing again stays open; otherwise a prefix
+// that changes rarely could never be watched.
 #[rstest]
 #[tokio::test]
-async fn a_watch_from_a_forgotten_revision_holds_at_the_second_try(
+async fn a_watch_from_a_compacted_revision_succeeds_at_the_second_attempt(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
     let bench = Bench::new(kind).await;
@@ -392,15 +402,15 @@
     }
     let mut changes = platform.watch("rare", seen + 1).await.unwrap();
     if matches!(kind, Kind::Gateway) {
-        assert_eq!(next(&mut changes).await, None);
+        assert_eq!(next_change(&mut changes).await, None);
         changes = platform.watch("rare", seen + 1).await.unwrap();
     }
     let txn = Txn {
-        compares: vec![at("rare", seen)],
+        compares: vec![compare("rare", seen)],
         writes: vec![put("rare", b"2", None)],
     };
     apply(platform, &txn).await;
-    let change = next(&mut changes).await;
+    let change = next_change(&mut changes).await;
     assert!(
         matches!(&change, Some(Change::Set(e)) if e.value == b"2"),
         "{change:?}"
--- a/crates/standin/tests/gateway.rs
+++ b/crates/standin/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! What only the adapter over the network shows: connections, rates, time-outs, several addresses.
+//! Tests of what only the network adapter shows: connections, rate limits, time-outs and several
+//! addresses.
 
 use std::net::SocketAddr;
 
@@ -27,8 +28,8 @@
     standin::platform::serve(listener, settings, Clock::System).unwrap()
 }
 
-/// An address where nothing listens.
-async fn closed() -> SocketAddr {
+/// Returns an address where nothing listens.
+async fn closed_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
@@ -51,33 +52,39 @@
 #[tokio::test]
 async fn a_closed_port_is_down_and_the_next_address_is_used() {
     let server = start(Settings::default()).await;
-    let nowhere = closed().await;
-    let alone = Etcd::new(vec![nowhere], Millis::new(2_000));
-    let refused = create(&alone, "a").await;
+    let unused = closed_address().await;
+    let unreachable = Etcd::new(vec![unused], Millis::new(2_000));
+    let refused = create(&unreachable, "a").await;
     assert!(matches!(refused, Err(Fault::Down(_))), "{refused:?}");
-    let both = Etcd::new(vec![nowhere, server.address()], Millis::new(2_000));
-    assert!(matches!(create(&both, "a").await, Ok(Outcome::Applied(_))));
+    let with_fallback = Etcd::new(vec![unused, server.address()], Millis::new(2_000));
+    assert!(matches!(
+        create(&with_fallback, "a").await,
+        Ok(Outcome::Applied(_))
+    ));
 }
 
-// The platform accepts the connection and drops it, or never answers. The writer can't know
-// whether the write took effect; a reader only knows that it has no answer.
+// The platform accepts the connection and then drops it or never answers. The outcome of a write
+// is unknown, because it may have taken effect; a read just fails as `Down`.
 #[tokio::test]
-async fn a_connection_that_breaks_after_the_request_is_unknown() {
+async fn a_write_whose_connection_breaks_after_the_request_has_an_unknown_outcome() {
     let server = start(Settings::default()).await;
     let etcd = Etcd::new(vec![server.address()], Millis::new(100));
-    for down in ["drop", "hang"] {
-        post(server.address(), "/faults", &[], &json!({ "down": down })).await;
+    for outage in ["drop", "hang"] {
+        post(server.address(), "/faults", &[], &json!({ "down": outage })).await;
         let write = create(&etcd, "a").await;
-        assert!(matches!(write, Err(Fault::Unknown(_))), "{down}: {write:?}");
+        assert!(
+            matches!(write, Err(Fault::Unknown(_))),
+            "{outage}: {write:?}"
+        );
         let read = etcd.read("a").await;
-        assert!(matches!(read, Err(Fault::Down(_))), "{down}: {read:?}");
+        assert!(matches!(read, Err(Fault::Down(_))), "{outage}: {read:?}");
     }
     post(server.address(), "/faults", &[], &json!({ "down": "off" })).await;
     assert_eq!(etcd.read("a").await, Ok(None));
 }
 
 #[tokio::test]
-async fn a_call_over_the_rate_is_limited_and_has_no_effect() {
+async fn a_call_over_the_rate_limit_is_refused_and_has_no_effect() {
     let server = start(Settings {
         writes: 0,
         ..Settings::default()
@@ -91,9 +98,10 @@
     assert_eq!((&stats["refused"], &stats["reads"]), (&json!(1), &json!(1)));
 }
 
-// An outage begins while a watch waits. Its channel closes, so that the watcher lists again.
+// An outage begins while a watch is open. The channel of the watch closes, so that the watcher
+// lists again.
 #[tokio::test]
-async fn a_watch_ends_with_the_platform() {
+async fn a_watch_ends_when_an_outage_begins() {
     let server = start(Settings::default()).await;
     let etcd = Etcd::new(vec![server.address()], Millis::new(2_000));
     let mut changes = etcd.watch("a", 1).await.unwrap();
@@ -105,12 +113,12 @@
         &json!({ "down": "refuse" }),
     )
     .await;
-    let end = tokio::time::timeout(client::TIMEOUT, changes.recv()).await;
-    assert_eq!(end, Ok(None));
+    let received = tokio::time::timeout(client::TIMEOUT, changes.recv()).await;
+    assert_eq!(received, Ok(None));
 }
 
 #[tokio::test]
-async fn the_list_lags_as_set() {
+async fn the_vm_list_lags_by_the_configured_time() {
     let server = start(Settings::default()).await;
     let etcd = Etcd::new(vec![server.address()], Millis::new(2_000));
     let list = |standing: &str| json!({ "vms": [{ "name": "vm-1", "centre": "east", "standing": standing }] });
--- a/crates/standin/tests/runner.rs
+++ b/crates/standin/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The runner's stand-in, as the system meets it.
+//! Tests of the runner stand-in over HTTP.
 
 use std::net::SocketAddr;
 
@@ -63,8 +63,8 @@
     let text = "plan #tokens=9";
     let (status, answer) = chat(server.address(), "p", "1", &request(text, false)).await;
     assert_eq!(status, 200);
-    let said = &answer["choices"][0]["message"]["content"];
-    assert_eq!(said, &Value::String(expected(text)));
+    let content_of_answer = &answer["choices"][0]["message"]["content"];
+    assert_eq!(content_of_answer, &Value::String(expected(text)));
     assert_eq!(answer["usage"]["completion_tokens"], 9);
     assert_eq!(answer["choices"][0]["finish_reason"], "stop");
     let body = request(text, true).to_string();
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_second_turn_finds_its_prefix_until_it_is_released() {
+async fn the_prefix_of_a_second_turn_is_cached_until_it_is_released() {
     let server = start(fast()).await;
     let address = server.address();
     let (_, first) = chat(address, "p", "1", &request("one two #tokens=4", false)).await;
@@ -84,7 +84,8 @@
     messages.push(first["choices"][0]["message"].clone());
     messages.push(json!({ "role": "user", "content": "three #tokens=1" }));
     let (_, second) = chat(address, "p", "2", &body).await;
-    // Three words and four tokens, each with one for who speaks.
+    // The question has three words and the answer four tokens; each message has one token more for
+    // its role.
     assert_eq!(second["usage"]["cached_tokens"], 4 + 5);
     assert_eq!(get(address, "/cache").await["programs"][0]["program"], "p");
     let release = json!({ "order": "release", "program": "p", "fence": 3 });
@@ -95,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn an_order_with_an_older_fence_is_refused_unless_fences_are_ignored() {
+async fn an_order_with_a_lower_fence_is_refused_unless_fences_are_ignored() {
     let server = start(fast()).await;
     let address = server.address();
     let order = |fence: u64| json!({ "order": "role", "role": "r", "scope": "s", "fence": fence });
@@ -129,13 +130,13 @@
     assert_eq!((status, &refusal["ran"]), (503, &json!("no")));
     assert_eq!(get(address, "/load").await["leaving"], true);
     assert_eq!(running.await.unwrap().0, 200);
-    let counts = get(address, "/stats").await;
-    assert_eq!(counts["attempts"].as_array().unwrap().len(), 1);
+    let stats = get(address, "/stats").await;
+    assert_eq!(stats["attempts"].as_array().unwrap().len(), 1);
 }
 
-// The one slot is taken. An urgent call comes after a routine one and is let in first.
+// The only slot is taken. An urgent call arrives after a routine one and gets the slot first.
 #[tokio::test]
-async fn the_lowest_priority_number_goes_first() {
+async fn the_lowest_priority_number_gets_a_slot_first() {
     let server = start(Settings { slots: 1, ..fast() }).await;
     let address = server.address();
     post(address, "/faults", &[], &json!({ "hang": true })).await;
@@ -144,29 +145,35 @@
     until(address, "/load", |load| load["running"] == 1).await;
     let mut calls = Vec::new();
     let order = [("routine", 5), ("urgent", 0)];
-    for (before, (attempt, priority)) in order.into_iter().enumerate() {
+    for (already_waiting, (attempt, priority)) in order.into_iter().enumerate() {
         let mut body = request("#tokens=2", false);
         body["priority"] = json!(priority);
         calls.push(tokio::spawn(async move {
             chat(address, "", attempt, &body).await;
         }));
-        until(address, "/load", |load| load["waiting"] == before + 1).await;
+        until(address, "/load", |load| {
+            load["waiting"] == already_waiting + 1
+        })
+        .await;
     }
-    // Whoever gets the slot hangs, so that the other stays in the queue.
+    // The call that gets the slot hangs, so that the other one stays in the queue.
     drop(first);
-    let started = |counts: &Value| -> Vec<String> {
-        let lines = counts["attempts"].as_array().unwrap().iter();
-        let began = lines.skip(1).filter(|line| line["started"] == true);
-        began.map(|line| line["attempt"].to_string()).collect()
+    let started = |stats: &Value| -> Vec<String> {
+        let attempts = stats["attempts"].as_array().unwrap().iter();
+        let started = attempts
+            .skip(1)
+            .filter(|attempt| attempt["started"] == true);
+        started
+            .map(|attempt| attempt["attempt"].to_string())
+            .collect()
     };
-    let counts = until(address, "/stats", |counts| !started(counts).is_empty()).await;
-    assert_eq!(started(&counts), ["\"urgent\""]);
+    let stats = until(address, "/stats", |stats| !started(stats).is_empty()).await;
+    assert_eq!(started(&stats), ["\"urgent\""]);
 }
 
-// The caller goes away in the middle of a stream. The runner stops generating and the slot is
-// free for others.
+// The caller disconnects during the answer. The runner stops generating and frees the slot.
 #[tokio::test]
-async fn a_call_whose_caller_has_gone_is_stopped() {
+async fn a_call_whose_caller_disconnects_is_stopped() {
     let server = start(Settings {
         tokens_per_second: 200.0,
         ..fast()
@@ -183,13 +190,13 @@
         call.abort();
         until(address, "/load", |load| load["running"] == 0).await;
     }
-    let counts = get(address, "/stats").await;
-    assert_eq!(counts["aborted"], 2);
-    assert_eq!(counts["attempts"][0]["finished"], false);
+    let stats = get(address, "/stats").await;
+    assert_eq!(stats["aborted"], 2);
+    assert_eq!(stats["attempts"][0]["finished"], false);
 }
 
 #[tokio::test]
-async fn a_cut_stream_ends_without_its_marker_once() {
+async fn a_cut_breaks_one_stream_without_its_end_marker() {
     let server = start(fast()).await;
     let address = server.address();
     post(
@@ -211,10 +218,10 @@
     assert!(stream(again).await.1);
 }
 
-// A marked request crashes the runner. The calls that shared it lose their connections, and new
-// ones get none until it is back.
+// A request with the crash marker crashes the runner. The connections of all other calls on it
+// break, and new calls get no answer until the crash is cleared.
 #[tokio::test]
-async fn a_marked_request_takes_every_call_along() {
+async fn a_request_with_the_crash_marker_breaks_every_call() {
     let server = start(Settings {
         tokens_per_second: 100.0,
         ..fast()
@@ -223,29 +230,29 @@
     let address = server.address();
     post(address, "/faults", &[], &json!({ "crash_mark": "boom" })).await;
     let body = request("#tokens=100000", true).to_string();
-    let innocent = send(address, "POST", CHAT, &[], &body).await.unwrap();
+    let other = send(address, "POST", CHAT, &[], &body).await.unwrap();
     let marked = request("say boom", false).to_string();
     assert!(send(address, "POST", CHAT, &[], &marked).await.is_none());
-    assert!(!stream(innocent).await.1);
+    assert!(!stream(other).await.1);
     assert!(send(address, "GET", "/load", &[], "").await.is_none());
     post(address, "/faults", &[], &json!({ "crashed": false })).await;
     assert_eq!(get(address, "/load").await["running"], 0);
 }
 
 #[tokio::test]
-async fn an_answer_can_be_generated_and_dropped() {
+async fn a_fully_generated_answer_can_be_dropped() {
     let server = start(fast()).await;
     let address = server.address();
     post(address, "/faults", &[], &json!({ "drop_answers": 1 })).await;
     let body = request("#tokens=3", false).to_string();
     assert!(send(address, "POST", CHAT, &[], &body).await.is_none());
-    let counts = get(address, "/stats").await;
-    assert_eq!(counts["attempts"][0]["finished"], true);
-    assert_eq!(counts["generated"], 3);
+    let stats = get(address, "/stats").await;
+    assert_eq!(stats["attempts"][0]["finished"], true);
+    assert_eq!(stats["generated"], 3);
 }
 
 #[tokio::test]
-async fn reports_lag_and_have_gaps_as_set() {
+async fn load_reports_lag_and_unknown_faults_are_refused() {
     let server = start(fast()).await;
     let address = server.address();
     let faults = json!({ "load_lag_ms": 3_600_000, "cache_gap": 2 });
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service's stand-in, as the system meets it.
+//! Tests of the service stand-in over HTTP.
 
 use serde_json::json;
 use standin::client::get;
@@ -9,10 +9,11 @@
 use standin::service::Settings;
 use tokio::net::TcpListener;
 
-// The first answer is lost after the call ran, the second call is refused before it runs, the
-// third runs. The service has counted two runs for the key, and a caller of the first can't tell.
+// The answer of the first call is lost after the call ran, the second call is refused before it
+// runs, and the third call runs. The service counts two runs for the key, although the caller did
+// not learn that the first call ran.
 #[tokio::test]
-async fn runs_are_counted_whatever_the_caller_hears() {
+async fn runs_are_counted_even_if_their_answer_is_lost() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = service::serve(listener, Settings::default()).unwrap();
     let address = server.address();
@@ -26,14 +27,14 @@
     assert_eq!((status, &refusal["ran"]), (503, &json!("no")));
     let third = send(address, "POST", path, &headers, "{}").await.unwrap();
     assert_eq!(read_json(third).await.1["run"], 2);
-    let counts = get(address, "/stats").await;
+    let stats = get(address, "/stats").await;
     let runs = json!([{ "key": "k", "operation": "close", "runs": 2 }]);
-    assert_eq!(counts, json!({ "runs": runs, "refused": 1 }));
+    assert_eq!(stats, json!({ "runs": runs, "refused": 1 }));
     assert_eq!(get(address, "/load").await["running"], 0);
 }
 
 #[tokio::test]
-async fn a_leaving_service_refuses_and_says_so() {
+async fn a_leaving_service_refuses_calls_and_reports_that_it_is_leaving() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = service::serve(listener, Settings::default()).unwrap();
     let address = server.address();
