--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,18 +1,19 @@
-//! The service's stand-in, as the system meets it.
+//! Tests of the service stand-in over HTTP.
 
 use serde_json::json;
 use standin::client::get;
 use standin::client::post;
+use standin::client::read_json;
 use standin::client::send;
-use standin::client::whole;
 use standin::service;
 use standin::service::Settings;
 use tokio::net::TcpListener;
 
-// The first answer is lost after the call ran, the second call is refused before it runs, the
-// third runs. The service has counted two runs for the key, and a caller of the first can't tell.
+// The answer of the first call is lost after the call ran, the second call is refused before it
+// runs, and the third call runs. The service counts two runs for the key, although the caller did
+// not learn that the first call ran.
 #[tokio::test]
-async fn runs_are_counted_whatever_the_caller_hears() {
+async fn runs_are_counted_even_if_their_answer_is_lost() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = service::serve(listener, Settings::default()).unwrap();
     let address = server.address();
@@ -22,18 +23,18 @@
     assert!(send(address, "POST", path, &headers, "{}").await.is_none());
     post(address, "/faults", &[], &json!({ "refuse": 1 })).await;
     let refused = send(address, "POST", path, &headers, "{}").await.unwrap();
-    let (status, refusal) = whole(refused).await;
+    let (status, refusal) = read_json(refused).await;
     assert_eq!((status, &refusal["ran"]), (503, &json!("no")));
     let third = send(address, "POST", path, &headers, "{}").await.unwrap();
-    assert_eq!(whole(third).await.1["run"], 2);
-    let counts = get(address, "/stats").await;
+    assert_eq!(read_json(third).await.1["run"], 2);
+    let stats = get(address, "/stats").await;
     let runs = json!([{ "key": "k", "operation": "close", "runs": 2 }]);
-    assert_eq!(counts, json!({ "runs": runs, "refused": 1 }));
+    assert_eq!(stats, json!({ "runs": runs, "refused": 1 }));
     assert_eq!(get(address, "/load").await["running"], 0);
 }
 
 #[tokio::test]
-async fn a_leaving_service_refuses_and_says_so() {
+async fn a_leaving_service_refuses_calls_and_reports_that_it_is_leaving() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = service::serve(listener, Settings::default()).unwrap();
     let address = server.address();
