--- a/crates/standin/src/runner/generate.rs
+++ b/crates/standin/src/runner/generate.rs
@@ -41,7 +41,7 @@
     parts: Vec<Part>,
     plan: Plan,
     /// Index of the attempt, counted from the first attempt since the start of the runner.
-    attempt: usize,
+    attempt_index: usize,
     finished: bool,
 }
 
@@ -136,7 +136,7 @@
         state.dropped_attempts += MAX_ATTEMPTS / 2;
     }
     state.stats.attempts.push(entry);
-    let attempt = state.dropped_attempts + state.stats.attempts.len() - 1;
+    let attempt_index = state.dropped_attempts + state.stats.attempts.len() - 1;
     drop(state);
     Call {
         runner: runner.clone(),
@@ -144,7 +144,7 @@
         program,
         parts,
         plan,
-        attempt,
+        attempt_index,
         finished: false,
     }
 }
@@ -206,7 +206,7 @@
 
 /// Changes the attempt of a call in the statistics, unless it has been dropped from there.
 fn update_attempt(state: &mut super::State, call: &Call, change: impl FnOnce(&mut Attempt)) {
-    let index = call.attempt.checked_sub(state.dropped_attempts);
+    let index = call.attempt_index.checked_sub(state.dropped_attempts);
     if let Some(attempt) = index.and_then(|index| state.stats.attempts.get_mut(index)) {
         change(attempt);
     }
@@ -215,8 +215,8 @@
 fn crash_if_marked(call: &Call) -> http::Result<()> {
     let mut state = call.runner.lock();
     let marker = &state.faults.crash_mark;
-    let marked = |message| answer::text(message).contains(marker);
-    if marker.is_empty() || !call.request.messages.iter().any(marked) {
+    let has_marker = |message| answer::text(message).contains(marker);
+    if marker.is_empty() || !call.request.messages.iter().any(has_marker) {
         return Ok(());
     }
     if call.runner.settings.crash == Crash::Exit {
