--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -5,13 +5,13 @@
 //! another VM. Two VMs that disagree on who is live may both claim a shard: the ownership record
 //! lets one of them succeed, and the journal fences the other.
 //!
-//! Claims and hand-overs are paced because of these load patterns:
+//! Claims and handovers are paced because of these load patterns:
 //!
 //! - *Mass restart, or failure of a rack*: many shards become free at once. Each VM claims
 //!   [`CLAIM_BURST`] and then one per [`CLAIM_INTERVAL`], so that takeovers, each a range read and
 //!   a few writes, don't use up the platform's rate that commits need. 47 VMs of a centre claim 64
 //!   shards in one or two steps.
-//! - *Flapping VM*: it comes and goes every few seconds. Each hand-over makes the callers of the
+//! - *Flapping VM*: it comes and goes every few seconds. Each handover makes the callers of the
 //!   shard wait, so a VM gets shards that others hold only after being up for [`MIN_UPTIME`]. It
 //!   may claim free shards at once, because nobody serves them.
 //! - *A VM joins*: one in `n` of the shards moves to it, from all other VMs. Each of these hands
@@ -38,10 +38,10 @@
 /// Claims that a VM may make at once: with three VMs of 16 shards each, this is a survivor's share
 /// when one stops, so that no caller waits for the interval.
 pub const CLAIM_BURST: u64 = 8;
-/// The time between two hand-overs of one VM. A hand-over takes tens of milliseconds, so that at
+/// The time between two handovers of one VM. A handover takes tens of milliseconds, so that at
 /// most a few in a hundred turns of its programs meet one while a VM joins the centre.
 pub const HANDOVER_INTERVAL: Millis = Millis::new(1_000);
-/// The time between two hand-overs of a VM that stops: 100 shards in two seconds, well within its
+/// The time between two handovers of a VM that stops: 100 shards in two seconds, well within its
 /// grace period.
 pub const STOP_HANDOVER_INTERVAL: Millis = Millis::new(20);
 /// How long a VM must be up to get shards that others hold: two lease times of the default 5 s, so
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Decides what to do now: claims and at most one hand-over, as their intervals allow.
+    /// Decides what to do now: claims and at most one handover, as their intervals allow.
     pub fn decide(&mut self, facts: &Facts<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         actions.extend(self.release(facts));
--- a/crates/node/src/controllers/claims/tests.rs
+++ b/crates/node/src/controllers/claims/tests.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Lets `vm0` decide every 20 ms for a while, and counts claims and hand-overs. All of its actions
+/// Lets `vm0` decide every 20 ms for a while, and counts claims and handovers. All of its actions
 /// succeed.
 fn simulate(mut facts: Facts<'_>, span: Millis) -> (usize, usize) {
     let mut claims = Claims::new(START);
--- a/crates/node/src/controllers/poller/sweep.rs
+++ b/crates/node/src/controllers/poller/sweep.rs
@@ -11,7 +11,7 @@
 use wire::id;
 
 /// How long an owner must report a program as gone before it is released. This is longer than a
-/// hand-over or takeover takes, so that an owner that has lost its shard without noticing doesn't
+/// handover or takeover takes, so that an owner that has lost its shard without noticing doesn't
 /// release a program that the new owner has just started. With [`super::CACHE_INTERVAL`] a leak is
 /// found within 45 s.
 pub const GRACE: Millis = Millis::new(15_000);
--- a/crates/node/src/controllers/rendezvous/tests.rs
+++ b/crates/node/src/controllers/rendezvous/tests.rs
@@ -27,7 +27,7 @@
     );
 }
 
-// A VM leaves. Each shard that moved between the remaining VMs would cost an unnecessary hand-over.
+// A VM leaves. Each shard that moved between the remaining VMs would cost an unnecessary handover.
 #[test]
 fn only_the_share_of_a_removed_vm_moves() {
     let vms = vms(5);
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -35,10 +35,10 @@
 const DECISION_INTERVAL: Millis = Millis::new(100);
 /// How often possibly stale records are checked.
 const CLEANUP_INTERVAL: Millis = Millis::new(1_000);
-/// How long the next owner may take to answer the notice of a hand-over.
+/// How long the next owner may take to answer the notice of a handover.
 const TIMEOUT: Millis = Millis::new(500);
 
-/// How a claim or a hand-over ended.
+/// How a claim or a handover ended.
 enum Completion {
     Claimed(id::Shard, bool),
     Released(id::Shard, id::Vm),
--- a/crates/node/src/filters/forward/owner_loss.rs
+++ b/crates/node/src/filters/forward/owner_loss.rs
@@ -1,7 +1,7 @@
 //! Detects that the VM that an ask was sent to no longer owns the program.
 //!
 //! The connections to a VM that freezes or loses power neither answer nor break. Without this
-//! check, callers would hang until their own time-outs, long after another VM has taken the program
+//! check, callers would hang until their own timeouts, long after another VM has taken the program
 //! over.
 
 use std::sync::Arc;
--- a/crates/node/src/http/client.rs
+++ b/crates/node/src/http/client.rs
@@ -19,7 +19,7 @@
 /// The time limit for connecting. Data centres are a few milliseconds apart, and TCP sends a lost
 /// first packet again after 1 s, so this allows for one lost packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long an idle connection is kept. Shorter than the listeners' time-out for headers, so that
+/// How long an idle connection is kept. Shorter than the listeners' timeout for headers, so that
 /// the client closes first and no request is sent on a connection that the server is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
--- a/crates/node/tests/claims_fuzz.rs
+++ b/crates/node/tests/claims_fuzz.rs
@@ -1,6 +1,6 @@
 //! Stateful fuzzing of heartbeats, leases and claims: VMs that pause, die, stop and start, network
 //! partitions between VMs, partitions from the platform, outages and lost answers. It checks that
-//! an undisturbed VM loses no shard, that hand-overs and claims keep to their rates, and that some
+//! an undisturbed VM loses no shard, that handovers and claims keep to their rates, and that some
 //! time after all faults have ended each shard is served by exactly one VM.
 
 #[path = "support/fleet.rs"]
--- a/crates/node/tests/request/stop.rs
+++ b/crates/node/tests/request/stop.rs
@@ -259,7 +259,7 @@
 }
 
 // A caller has opened a connection and sent no complete request yet, and the node is told to stop.
-// If the node waited for that connection until the time-out for headers, the supervisor would kill
+// If the node waited for that connection until the timeout for headers, the supervisor would kill
 // it meanwhile. A connection without a request doesn't delay the shutdown.
 #[tokio::test]
 async fn a_connection_without_a_request_does_not_delay_the_shutdown() {
--- a/crates/node/tests/request/turn.rs
+++ b/crates/node/tests/request/turn.rs
@@ -52,7 +52,7 @@
     assert_eq!(fleet.attempts().await.len(), before);
 }
 
-// A runner starts an answer and then sends nothing more. After the `silence` time-out, the turn
+// A runner starts an answer and then sends nothing more. After the `silence` timeout, the turn
 // continues at the other runner, and the caller gets a complete answer.
 #[tokio::test]
 async fn a_turn_moves_away_from_a_silent_runner() {
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -447,7 +447,7 @@
         if let Some(last) = vm.last_release.replace(now) {
             assert!(
                 now.since(last) >= min_interval,
-                "hand-overs exceed their rate"
+                "handovers exceed their rate"
             );
         }
         let index = vm.owned.iter().position(|o| o.shard == *shard);
--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -171,9 +171,7 @@
     if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
-            Err(fault) => {
-                log::error!("text=\"can't decode the list of members\" fault=\"{fault}\"")
-            }
+            Err(fault) => log::error!("text=\"list of members not decoded\" fault=\"{fault}\""),
         }
         return;
     }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -383,7 +383,7 @@
     }
 }
 
-/// Returns whether a status is a failure of the runner itself. A gateway time-out isn't: that
+/// Returns whether a status is a failure of the runner itself. A gateway timeout isn't: that
 /// runner was slow, which shows in the time that it took.
 #[must_use]
 pub fn is_runner_failure(status: StatusCode) -> bool {
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -176,7 +176,7 @@
     /// VMs no more information.
     ///
     /// In a small deployment a VM that is stopping is skipped before it turns silent. If the next
-    /// one stopped as well, waiting for the second time-out would have all VMs use a runner that
+    /// one stopped as well, waiting for the second timeout would have all VMs use a runner that
     /// has left for longer than allowed. In a larger deployment it isn't skipped, because leaves
     /// hear only their hub and would all read at once.
     #[must_use]
--- a/crates/relay/tests/failing.rs
+++ b/crates/relay/tests/failing.rs
@@ -42,7 +42,7 @@
     FailsSome(Duration),
     /// Breaks its answer off at once.
     BreaksOff,
-    /// Answers with a gateway time-out after this time.
+    /// Answers with a gateway timeout after this time.
     Hangs(Duration),
     /// Turns requests away, and never sends the announced body of the refusal.
     StallsRefusal,
--- a/crates/relay/tests/fleet_model/queue.rs
+++ b/crates/relay/tests/fleet_model/queue.rs
@@ -27,7 +27,7 @@
         /// When the lease lapses unless it was renewed.
         due: u64,
     },
-    /// A watch has reached its time-out at the service.
+    /// A watch has reached its timeout at the service.
     WatchEnds(u64),
     /// The service renews its copies.
     RenewCopy,
--- a/crates/relay/tests/fleet_model/simulate.rs
+++ b/crates/relay/tests/fleet_model/simulate.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Fails a call when its time-out is over.
+    /// Fails a call when its timeout is over.
     fn fail_call(&mut self, vm: usize, call: Call) {
         let fault = || Fault::Unknown("no answer".to_owned());
         let answer = match call.ask {
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -333,7 +333,7 @@
     }
 
     /// Asks the other members concurrently for what they hold and returns the answers. Concurrent
-    /// requests cost one time-out in total when several members don't answer.
+    /// requests cost one timeout in total when several members don't answer.
     async fn fetch_holdings<'a>(
         &self,
         members: &'a [list::Member],
