--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -145,11 +145,12 @@
         decoded.service, decoded.address, decoded.slots, entry.revision
     );
     let change = set_runner(node, &id, decoded);
-    let weight = match change {
+    let roster_change = match change {
         fleet::Change::Unchanged => roster::Change::Heartbeat,
         _ => roster::Change::Significant,
     };
-    node.roster().set(&id, &entry.value, entry.revision, weight);
+    node.roster()
+        .set(&id, &entry.value, entry.revision, roster_change);
     fleet::log_change(&change, &line);
 }
 
