--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -145,11 +145,12 @@
         decoded.service, decoded.address, decoded.slots, entry.revision
     );
     let change = set_runner(node, &id, decoded);
-    let weight = match change {
+    let roster_change = match change {
         fleet::Change::Unchanged => roster::Change::Heartbeat,
         _ => roster::Change::Significant,
     };
-    node.roster().set(&id, &entry.value, entry.revision, weight);
+    node.roster()
+        .set(&id, &entry.value, entry.revision, roster_change);
     fleet::log_change(&change, &line);
 }
 
@@ -171,9 +172,7 @@
     if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
-            Err(fault) => {
-                log::error!("text=\"can't decode the list of members\" fault=\"{fault}\"")
-            }
+            Err(fault) => log::error!("text=\"list of members not decoded\" fault=\"{fault}\""),
         }
         return;
     }
