--- a/crates/standin/tests/runner.rs
+++ b/crates/standin/tests/runner.rs
@@ -130,8 +130,8 @@
     assert_eq!((status, &refusal["ran"]), (503, &json!("no")));
     assert_eq!(get(address, "/load").await["leaving"], true);
     assert_eq!(running.await.unwrap().0, 200);
-    let stats = get(address, "/stats").await;
-    assert_eq!(stats["attempts"].as_array().unwrap().len(), 1);
+    let counters = get(address, "/stats").await;
+    assert_eq!(counters["attempts"].as_array().unwrap().len(), 1);
 }
 
 // The only slot is taken. An urgent call arrives after a routine one and gets the slot first.
@@ -158,8 +158,8 @@
     }
     // The call that gets the slot hangs, so that the other one stays in the queue.
     drop(first);
-    let started = |stats: &Value| -> Vec<String> {
-        let attempts = stats["attempts"].as_array().unwrap().iter();
+    let started = |counters: &Value| -> Vec<String> {
+        let attempts = counters["attempts"].as_array().unwrap().iter();
         let started = attempts
             .skip(1)
             .filter(|attempt| attempt["started"] == true);
@@ -167,8 +167,8 @@
             .map(|attempt| attempt["attempt"].to_string())
             .collect()
     };
-    let stats = until(address, "/stats", |stats| !started(stats).is_empty()).await;
-    assert_eq!(started(&stats), ["\"urgent\""]);
+    let counters = until(address, "/stats", |counters| !started(counters).is_empty()).await;
+    assert_eq!(started(&counters), ["\"urgent\""]);
 }
 
 // The caller disconnects during the answer. The runner stops generating and frees the slot.
@@ -190,9 +190,9 @@
         call.abort();
         until(address, "/load", |load| load["running"] == 0).await;
     }
-    let stats = get(address, "/stats").await;
-    assert_eq!(stats["aborted"], 2);
-    assert_eq!(stats["attempts"][0]["finished"], false);
+    let counters = get(address, "/stats").await;
+    assert_eq!(counters["aborted"], 2);
+    assert_eq!(counters["attempts"][0]["finished"], false);
 }
 
 #[tokio::test]
@@ -246,9 +246,9 @@
     post(address, "/faults", &[], &json!({ "drop_answers": 1 })).await;
     let body = request("#tokens=3", false).to_string();
     assert!(send(address, "POST", CHAT, &[], &body).await.is_none());
-    let stats = get(address, "/stats").await;
-    assert_eq!(stats["attempts"][0]["finished"], true);
-    assert_eq!(stats["generated"], 3);
+    let counters = get(address, "/stats").await;
+    assert_eq!(counters["attempts"][0]["finished"], true);
+    assert_eq!(counters["generated"], 3);
 }
 
 #[tokio::test]
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -27,9 +27,9 @@
     assert_eq!((status, &refusal["ran"]), (503, &json!("no")));
     let third = send(address, "POST", path, &headers, "{}").await.unwrap();
     assert_eq!(read_json(third).await.1["run"], 2);
-    let stats = get(address, "/stats").await;
+    let counters = get(address, "/stats").await;
     let runs = json!([{ "key": "k", "operation": "close", "runs": 2 }]);
-    assert_eq!(stats, json!({ "runs": runs, "refused": 1 }));
+    assert_eq!(counters, json!({ "runs": runs, "refused": 1 }));
     assert_eq!(get(address, "/load").await["running"], 0);
 }
 
