--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -32,15 +32,15 @@
         "decision", "size", "ns", "allocations"
     );
     let points = ENDPOINTS.map(|count| (count, placement(count)));
-    slope("place::choose, ns an endpoint", points[0], points[2]);
+    slope("place::choose, ns per endpoint", points[0], points[2]);
     let points = ENDPOINTS.map(|count| (count, sweep(count)));
-    slope("eject::sweep, ns an endpoint", points[0], points[2]);
+    slope("eject::sweep, ns per endpoint", points[0], points[2]);
     for callers in [CALLERS, MANY_CALLERS] {
         let points = WAITING.map(|count| (count, push_and_pop(count, callers)));
-        slope("queue push and pop, ns a call", points[0], points[2]);
+        slope("push and pop, ns per waiting call", points[0], points[2]);
     }
     let points = WAITING.map(|count| (count, take_expired(count)));
-    slope("queue::take_expired, ns a call", points[0], points[2]);
+    slope("take_expired, ns per waiting call", points[0], points[2]);
     for count in WAITING {
         admission(count);
     }
--- a/crates/policy/examples/patterns/capacity.rs
+++ b/crates/policy/examples/patterns/capacity.rs
@@ -6,10 +6,10 @@
 use crate::support::work;
 use crate::support::work::Pattern;
 
-/// Duration of a trial, in milliseconds.
+/// Duration of a trial in milliseconds, including [`WARM_UP`], which isn't counted.
 const SPAN: u64 = 900_000;
-/// Part of it until the load has settled, in milliseconds.
-const WARM: u64 = 300_000;
+/// Milliseconds until the load has settled.
+const WARM_UP: u64 = 300_000;
 /// Programs per second, more than any of the fleets can process.
 const FLOOD_RATE: f64 = 12.0;
 /// A load is carried while the routine programs' p95 is at most this many times that of an idle
@@ -37,7 +37,7 @@
 pub fn saturating_load(deployment: &Deployment, rules: Rules) -> f64 {
     let pattern = Pattern::Steady(1.0);
     let programs = work::programs(deployment, pattern, FLOOD_RATE, SPAN, 7);
-    let outcome = driver::simulate(deployment, rules, pattern, &programs, WARM, SPAN);
+    let outcome = driver::simulate(deployment, rules, pattern, &programs, WARM_UP, SPAN);
     let output: u64 = programs.iter().map(work::Program::output).sum();
     outcome.goodput / (output as f64 / programs.len() as f64)
 }
@@ -45,7 +45,7 @@
 fn routine_p95(deployment: &Deployment, rules: Rules, rate: f64) -> u64 {
     let pattern = Pattern::Steady(1.0);
     let programs = work::programs(deployment, pattern, rate, SPAN, 7);
-    let outcome = driver::simulate(deployment, rules, pattern, &programs, WARM, SPAN);
+    let outcome = driver::simulate(deployment, rules, pattern, &programs, WARM_UP, SPAN);
     if outcome.routine_lost > 0.01 {
         return u64::MAX;
     }
--- a/crates/policy/examples/patterns/main.rs
+++ b/crates/policy/examples/patterns/main.rs
@@ -20,10 +20,10 @@
 use support::work;
 use support::work::Pattern;
 
-/// Duration of a run in milliseconds, including [`WARM`], which isn't counted.
+/// Duration of a run in milliseconds, including [`WARM_UP`], which isn't counted.
 const SPAN: u64 = 900_000;
 /// Milliseconds until the load has settled: several times the duration of a mean program.
-const WARM: u64 = 300_000;
+const WARM_UP: u64 = 300_000;
 /// Seed of the generated programs.
 const SEED: u64 = 1;
 
@@ -87,7 +87,7 @@
         println!("carried: {rate:.2} programs/s by {}", rules.name());
     }
     println!(
-        "\npatterns, load 1 = {:.2} programs/s, what fifo + least outstanding carries:",
+        "\npatterns, load 1 = {:.2} programs/s, the highest load that fifo + least outstanding carries:",
         carried[0]
     );
     let runs = PATTERNS
@@ -95,7 +95,7 @@
         .flat_map(|pattern| with_all_rules(*pattern, carried[0]));
     table(deployment, seed, &runs.collect::<Vec<_>>());
     let limit = capacity::saturating_load(deployment, Rules::Ours);
-    println!("\nloads, load 1 = {limit:.2} programs/s, the limit of the endpoints under ours:");
+    println!("\nloads, load 1 = {limit:.2} programs/s, which saturates the endpoints under ours:");
     let loads = LOADS
         .iter()
         .flat_map(|load| with_all_rules(Pattern::Steady(*load), limit));
@@ -129,7 +129,7 @@
     table::print_header();
     let outcomes = parallel::map(runs, THREADS, |run| {
         let programs = work::programs(deployment, run.pattern, run.rate, SPAN, seed);
-        driver::simulate(deployment, run.rules, run.pattern, &programs, WARM, SPAN)
+        driver::simulate(deployment, run.rules, run.pattern, &programs, WARM_UP, SPAN)
     });
     for (run, outcome) in runs.iter().zip(&outcomes) {
         table::print_row(&run.pattern.name(), run.rules.name(), outcome);
--- a/crates/policy/examples/patterns/parallel.rs
+++ b/crates/policy/examples/patterns/parallel.rs
@@ -19,12 +19,16 @@
             scope.spawn(|| {
                 while let Some((index, item)) = take(items, &next) {
                     let result = apply(item);
-                    done.lock().expect("no run panics").push((index, result));
+                    done.lock()
+                        .expect("nothing panics while it holds the lock")
+                        .push((index, result));
                 }
             });
         }
     });
-    let mut done = done.into_inner().expect("no run panics");
+    let mut done = done
+        .into_inner()
+        .expect("nothing panics while it holds the lock");
     done.sort_by_key(|(index, _)| *index);
     done.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -15,7 +15,8 @@
 //!   later call wastes what has been spent on its program, so load is shed at the first call.
 //! - Urgent calls are measured against the waiting urgent calls, never against the routine ones.
 //!
-//! `retry_after` is the time in which the excess drains at the measured rate, times a random factor
+//! `retry_after` is the time in which the waiting calls drain at the measured rate (after
+//! [`Code::Overloaded`], only the part of it that exceeds the allowed wait), times a random factor
 //! from [1, 2) for each refusal, so that callers refused together don't return together.
 
 use rand::Rng;
@@ -55,7 +56,7 @@
 /// The properties of a call that its admission depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Its class.
+    /// Whether the call is urgent or routine.
     pub class: Class,
     /// Whether work has already been spent on its program.
     pub stage: Stage,
@@ -68,14 +69,14 @@
 /// The load at the arrival of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Waiting calls that are served before it: of its class for an urgent call, of both classes
-    /// for a routine one. Because the queue is fair, other callers' calls count only up to the
+    /// Waiting calls that are served before the call: of its class if it is urgent, of both classes
+    /// if it is routine. Because the queue is fair, other callers' calls count only up to the
     /// number of calls that its own caller has waiting, plus one. So a caller that floods waits
     /// behind its own calls, and programs of the others are still admitted.
     pub waiting: usize,
-    /// Waiting calls of its class and caller.
+    /// Waiting calls of the call's class and caller.
     pub own: usize,
-    /// Remaining capacity for its class, in calls.
+    /// Remaining capacity for the call's class, in calls.
     pub room: usize,
     /// Calls removed from the queue per second; `None` before it has been measured.
     pub drain: Option<f64>,
--- a/crates/policy/src/decaying_mean.rs
+++ b/crates/policy/src/decaying_mean.rs
@@ -45,14 +45,13 @@
         }
     }
 
-    /// Returns the value and the number of samples that it is worth, or `None` without samples.
+    /// Returns the mean and its weight in samples, or `None` without samples.
     #[must_use]
     pub fn value(&self) -> Option<(f64, f64)> {
         (self.weight > 0.0).then(|| (self.sum / self.weight, self.weight))
     }
 
-    /// Returns the value, shrunk towards `prior` (the pool's median) where it is based on few
-    /// samples.
+    /// Returns the mean, shrunk towards `prior` (the pool's median) if it is based on few samples.
     #[must_use]
     pub fn shrunk_towards(&self, prior: f64) -> f64 {
         (self.sum + prior * PRIOR_WEIGHT) / (self.weight + PRIOR_WEIGHT)
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,9 +1,10 @@
 //! Chooses the endpoint for a call (placement).
 //!
-//! Placement deals with a few programs that make most of the calls, slow endpoints and lagging load
-//! reports. Without it, a program leaves the endpoint that has its prefix cached and prefills its
-//! whole history again, or waits there behind a full batch; all VMs send to the endpoint that the
-//! last report showed idle; and a slow endpoint gets as many calls as a fast one.
+//! Placement deals with three problems: a few programs make most of the calls, some endpoints are
+//! slow, and load reports lag. Without placement, a program leaves the endpoint that has its prefix
+//! cached and prefills its whole history again, or waits there behind a full batch; all VMs send to
+//! the endpoint that the last report showed idle; and a slow endpoint gets as many calls as a fast
+//! one.
 //!
 //! The cost of an endpoint is in milliseconds: the expected wait and generation time, plus the
 //! prefill of what its cache lacks. The prefill counts twice, once as latency and once as wasted
@@ -37,8 +38,8 @@
 /// Share of a lane's slots that routine calls may use, so that the lane isn't idle without urgent
 /// calls: one slot of sixteen, which hardly slows an urgent call.
 pub const LANE_ROUTINE_SHARE: f64 = 0.0625;
-/// Calls that may be sent before a slot is free to the endpoint that has most of their prompt
-/// cached, as a share of its slots.
+/// Number of calls, as a share of an endpoint's slots, that may be sent to it ahead, before a slot
+/// is free. Routine calls are sent ahead only if the endpoint has most of their prompt cached.
 ///
 /// A VM learns late that another VM's call has ended. Without calls waiting at the endpoint, slots
 /// stay empty in the meantime, and programs leave their cached prefix for slots elsewhere. Sending
@@ -46,9 +47,9 @@
 /// wait at it.
 pub const SEND_AHEAD_SHARE: f64 = 0.5;
 
-/// Share of its speed that each call in a batch loses while a prompt is prefilled beside it.
+/// Share by which each call in a batch generates more slowly while a prompt is prefilled beside it.
 ///
-/// An engine splits each of its steps between the two.
+/// An engine splits each of its steps between generating for the batch and prefilling.
 pub const PREFILL_SLOWDOWN: f64 = 0.3;
 
 /// An endpoint that may run the call, as this VM sees it.
@@ -96,7 +97,7 @@
 /// The properties of a call that its placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// Its class.
+    /// Whether the call is urgent or routine.
     pub class: Class,
     /// Number of tokens in the whole prompt.
     pub prompt: u64,
@@ -137,17 +138,17 @@
 /// The chosen endpoint and the values behind the choice, for the decision's log line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// Its index among the candidates.
+    /// The chosen endpoint's index among the candidates.
     pub index: usize,
     /// Whether the call can start there.
     pub start: Start,
     /// Expected wait for a slot, in milliseconds.
     pub wait: f64,
-    /// Expected prefill time of what the cache lacks, in milliseconds.
+    /// Expected prefill time of the prompt tokens that the cache lacks, in milliseconds.
     pub miss: f64,
     /// Expected generation time, in milliseconds.
     pub run: f64,
-    /// The weighted sum by which candidates are compared.
+    /// Weighted sum of the expected times in milliseconds, by which candidates are compared.
     pub cost: f64,
     /// Lowest cost among the other candidates; infinite without any.
     pub runner_up_cost: f64,
@@ -257,8 +258,8 @@
     lanes
 }
 
-/// Returns how many calls of a class the endpoint may have at once. Routine calls keep one slot if
-/// an endpoint has no more than one to use.
+/// Returns how many calls of a class the endpoint may have at once. If an endpoint has only one
+/// usable slot, routine calls may use it too.
 #[must_use]
 pub fn capacity(slots: u32, share: f64, class: Class, lane: Lane) -> f64 {
     // Skips the rounding for the full share, which nearly all endpoints have: rounding is the most
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -66,8 +66,8 @@
     #[case] cache: f64,
     #[case] expected: usize,
 ) {
-    // Waiting for the holder takes 16 s over 15 slots for each call ahead; moving costs 4 s of
-    // prefill.
+    // Waiting for the holder takes 4 s over 15 slots for each of 18 calls, that is 4.8 s; moving
+    // costs 4 s of prefill.
     let holder = Candidate {
         cached: 20_000,
         reported: 32,
@@ -136,8 +136,8 @@
 
 #[test]
 fn endpoints_without_a_share_get_no_calls() {
-    let out = Candidate { share: 0.0, ..IDLE };
-    assert_eq!(choose(&[out, out], &CALL, &LATENCY), None);
+    let ejected = Candidate { share: 0.0, ..IDLE };
+    assert_eq!(choose(&[ejected, ejected], &CALL, &LATENCY), None);
     assert_eq!(choose(&[], &CALL, &LATENCY), None);
 }
 
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -22,7 +22,7 @@
 /// A call that is running at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Running {
-    /// Its class.
+    /// Whether the call is urgent or routine.
     pub class: Class,
     /// Whether the call can continue from what it has generated.
     pub resume: Resume,
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -22,9 +22,9 @@
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Identifies its content.
+    /// Identifies the part's content.
     pub id: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: u64,
 }
 
@@ -50,7 +50,7 @@
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         clippy::cast_precision_loss,
-        reason = "memories are some millions of tokens"
+        reason = "memories are some millions of tokens, far below 2^52"
     )]
     pub fn new(memory: u64) -> Self {
         Self {
@@ -110,7 +110,7 @@
 /// Fewest presumed holders of a first part: one may be unavailable and one full.
 pub const MIN_HOLDERS: usize = 3;
 /// Half-life of a turn's weight in the demand for its first part: about a hundred turns of a VM in
-/// a large deployment, and short beside the hours in which demand shifts.
+/// a large deployment, and short compared with the hours in which demand shifts.
 const DEMAND_HALF_LIFE: Millis = Millis::new(10_000);
 /// Most first parts whose demand is tracked; rarer parts need no more than [`MIN_HOLDERS`].
 const MAX_TRACKED: usize = 256;
@@ -190,14 +190,17 @@
     }
 }
 
-/// Returns for each endpoint of a pool whether it is presumed to hold a prompt's first part, as
-/// `holders` of them are. Each endpoint is identified by a number that never changes.
+/// Returns, for each endpoint of a pool, whether it is presumed to hold a prompt's first part.
+///
+/// `holders` endpoints are, or none if the pool has no more than that many. Each endpoint is
+/// identified by a number that never changes.
 ///
 /// This is for many VMs in front of many endpoints. The calls that one VM has sent say little about
 /// those of the others. Each VM would send the first turn of a program, whose long first part is
 /// shared, to any idle endpoint, until every endpoint has prefilled every first part. With
 /// rendezvous hashing, all VMs choose the same few endpoints for a part without exchanging
-/// messages. If VMs differ by one or two holders, the smaller set is a subset of the larger one.
+/// messages. If VMs differ in the number of holders by one or two, the smaller set is a subset of
+/// the larger one.
 ///
 /// The number of holders depends on the demand because a few parts may account for most of the
 /// work: with as few holders for such a part as for any other, most turns went to a tenth of the
--- a/crates/policy/src/prefix/tests.rs
+++ b/crates/policy/src/prefix/tests.rs
@@ -103,8 +103,8 @@
 #[test]
 fn a_small_pool_has_no_presumed_holders() {
     assert_eq!(super::presumed_holders(7, &[1, 2, 3], 3), [false; 3]);
-    let of_many = super::presumed_holders(7, &(0..45).collect::<Vec<u64>>(), 5);
-    assert_eq!(of_many.iter().filter(|presumed| **presumed).count(), 5);
+    let presumed = super::presumed_holders(7, &(0..45).collect::<Vec<u64>>(), 5);
+    assert_eq!(presumed.iter().filter(|is_holder| **is_holder).count(), 5);
 }
 
 /// One first part accounts for most of the work, and each VM sees few of the turns. A VM presumes
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,8 +1,8 @@
 //! The queue of waiting calls: their order and how long they may wait.
 //!
-//! It deals with long programs among short ones, a few callers that cause most of the load, and
-//! saturation. Without it, an emergency waits behind routine calls, a short program waits behind
-//! long ones on each of its turns, and one caller's flood delays everybody.
+//! The queue deals with long programs among short ones, a few callers that cause most of the load,
+//! and saturation. Without it, an emergency waits behind routine calls, a short program waits
+//! behind long ones on each of its turns, and one caller's flood delays everybody.
 //!
 //! The order has three levels:
 //! 1. Urgent calls always go before routine ones.
@@ -71,7 +71,7 @@
 pub struct Entry<T> {
     /// What the owner of the queue needs to continue with the call.
     pub item: T,
-    /// Its class.
+    /// Whether the call is urgent or routine.
     pub class: Class,
     /// The caller that sent it.
     pub caller: id::Caller,
@@ -149,7 +149,7 @@
         self.len() == 0
     }
 
-    /// Returns the limits.
+    /// Returns how many calls may wait.
     #[must_use]
     pub const fn limits(&self) -> &Limits {
         &self.limits
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -44,11 +44,11 @@
 /// A call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Its class.
+    /// Whether the call is urgent or routine.
     pub class: Class,
-    /// Whether it may be repeated.
+    /// Whether the call may run more than once.
     pub repeat: Repeat,
-    /// Whether the call ran.
+    /// Whether the call ran at the endpoint, as far as is known.
     pub ran: Ran,
     /// Number of attempts so far, counting from 1.
     pub tries: u32,
@@ -59,7 +59,7 @@
 pub enum Verdict {
     /// Retry after a pause.
     Again {
-        /// The pause.
+        /// Time until the retry.
         after: Millis,
     },
     /// Report the failure: the call must not be repeated or has used all its attempts.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -18,6 +18,7 @@
 /// the mean duration of a call, so that the effect of each step shows in a report before the next
 /// step.
 pub const DURATION: Millis = Millis::new(10_000);
+
 /// Returns the usable share of the slots of an endpoint that was added or restored at `since`.
 #[must_use]
 pub fn share(since: Millis, now: Millis) -> f64 {
--- a/crates/policy/src/stop/tests.rs
+++ b/crates/policy/src/stop/tests.rs
@@ -111,8 +111,8 @@
     assert_eq!(stop.unassigned_deadline(), after(abandoned_ms));
 }
 
-// An accepted answer ends at the last moment. The process keeps running until its last bytes are
-// sent, and exits before it is killed.
+// The answer to an accepted request ends at the last moment. The process keeps running until the
+// answer's last bytes are sent, and exits before it is killed.
 #[test]
 fn the_last_bytes_of_the_last_answer_are_sent() {
     let stop = Stop::new(BEGUN, Millis::new(8_000));
--- a/crates/policy/tests/patterns.rs
+++ b/crates/policy/tests/patterns.rs
@@ -12,14 +12,16 @@
 
 /// Programs per second that count as load 1; close to the endpoints' limit.
 const RATE: f64 = 5.4;
+/// Duration of a run in milliseconds, including [`WARM_UP`], which isn't counted.
 const SPAN: u64 = 180_000;
-const WARM: u64 = 60_000;
+/// Milliseconds until the load has settled.
+const WARM_UP: u64 = 60_000;
 const SEED: u64 = 3;
 
 fn run(pattern: Pattern, rules: Rules) -> Outcome {
     let deployment = deployment::small();
     let programs = work::programs(&deployment, pattern, RATE, SPAN, SEED);
-    driver::simulate(&deployment, rules, pattern, &programs, WARM, SPAN)
+    driver::simulate(&deployment, rules, pattern, &programs, WARM_UP, SPAN)
 }
 
 fn ratio(part: u64, whole: u64) -> f64 {
@@ -77,9 +79,9 @@
     assert!(burst.routine.p95 * 5 <= simple.routine.p95 * 4, "{burst:?}");
 }
 
-/// Two callers of forty request most of 1.3 times what the endpoints can do. Each other caller
-/// still gets most of its fair share. Without fairness the two fill the queue, and the small
-/// callers' programs time out.
+/// Callers request 1.3 times what the endpoints can do, and two of the forty request most of it.
+/// Each other caller still gets most of its fair share. Without fairness the two fill the queue,
+/// and the small callers' programs time out.
 #[test]
 fn a_few_callers_do_not_take_the_whole_fleet() {
     let ours = run(Pattern::FewCallers, Rules::Ours);
@@ -87,8 +89,8 @@
 }
 
 /// A few programs call ten times as often, without pauses and with long histories. The median
-/// program takes at most three quarters of its time with one queue, because each hot program stays
-/// with its prefix, so that its prefills don't interrupt the batches of the others.
+/// program takes at most three quarters of the time that it takes with one queue, because each hot
+/// program stays with its prefix, so that its prefills don't interrupt the batches of the others.
 #[test]
 fn hot_programs_do_not_slow_the_others() {
     let hot = run(Pattern::HotPrograms, Rules::Ours);
@@ -120,8 +122,8 @@
     assert!(slower <= 1.5, "{slower}");
 }
 
-/// One program in twenty is ten times as long. They don't block short ones: the median program
-/// takes at most three quarters of its time with one queue.
+/// One program in twenty is ten times as long. The long programs don't block short ones: the median
+/// program takes at most three quarters of the time that it takes with one queue.
 #[test]
 fn long_programs_do_not_block_short_ones() {
     let mixed = run(Pattern::LongAmongShort, Rules::Ours);
--- a/crates/policy/tests/support/dcaf.rs
+++ b/crates/policy/tests/support/dcaf.rs
@@ -1,7 +1,7 @@
 //! Two admission rules after the DCAF paper (Jiang et al., 2020), compared with `policy::admit`'s
 //! limit on the wait of first calls. They are used only in this simulator.
 
-/// The price is computed from the offers of this many milliseconds.
+/// The price is computed from the jobs that arrived within this many milliseconds.
 const WINDOW: u64 = 10_000;
 /// Milliseconds between two updates of the price.
 const UPDATE_INTERVAL: u64 = 1_000;
@@ -14,13 +14,14 @@
 pub struct Price {
     /// Service that the VM's part of the fleet provides, in milliseconds per millisecond.
     budget: f64,
-    offers: Vec<Offer>,
+    /// Jobs that asked to be admitted within the last [`WINDOW`].
+    recent_jobs: Vec<Job>,
     lambda: f64,
     updated: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Offer {
+struct Job {
     at: u64,
     gain: f64,
     cost: f64,
@@ -31,7 +32,7 @@
     pub fn new(budget: f64) -> Self {
         Self {
             budget,
-            offers: Vec::new(),
+            recent_jobs: Vec::new(),
             lambda: 0.0,
             updated: 0,
         }
@@ -39,8 +40,8 @@
 
     /// Returns whether a job is admitted: its gain must be at least the price of its cost.
     pub fn admits(&mut self, now: u64, gain: f64, cost: f64) -> bool {
-        self.offers.retain(|offer| offer.at + WINDOW > now);
-        self.offers.push(Offer {
+        self.recent_jobs.retain(|job| job.at + WINDOW > now);
+        self.recent_jobs.push(Job {
             at: now,
             gain,
             cost,
@@ -58,7 +59,7 @@
         if self.cost_at(0.0) <= budget {
             return 0.0;
         }
-        let ratios = self.offers.iter().map(|offer| offer.gain / offer.cost);
+        let ratios = self.recent_jobs.iter().map(|job| job.gain / job.cost);
         let mut low = 0.0;
         let mut high = ratios.fold(0.0, f64::max);
         for _ in 0..STEPS {
@@ -73,9 +74,9 @@
     }
 
     fn cost_at(&self, lambda: f64) -> f64 {
-        let admitted = self.offers.iter();
-        let admitted = admitted.filter(|offer| offer.gain >= lambda * offer.cost);
-        admitted.map(|offer| offer.cost).sum()
+        let admitted = self.recent_jobs.iter();
+        let admitted = admitted.filter(|job| job.gain >= lambda * job.cost);
+        admitted.map(|job| job.cost).sum()
     }
 }
 
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Updates the bound; called once a second. Each unit of control halves it.
+    /// Updates the bound; called once a second. Each unit of the control output halves the bound.
     pub fn update(&mut self, wait: u64) {
         let error = wait as f64 / TARGET - 1.0;
         self.sum = (self.sum + error).clamp(0.0, MAX_SUM);
--- a/crates/policy/tests/support/deployment.rs
+++ b/crates/policy/tests/support/deployment.rs
@@ -22,7 +22,7 @@
 pub struct Deployment {
     /// Its name in the table.
     pub name: &'static str,
-    /// Its runners.
+    /// The endpoints of the fleet.
     pub endpoints: Vec<Endpoint>,
     /// Its cost weights.
     pub weights: Weights,
@@ -99,7 +99,7 @@
     deployment
 }
 
-/// Spreads the lags between 0.2 and 2 s.
+/// Returns the lag of an endpoint's reports in milliseconds, spread between 0.2 and 2 s.
 fn lag(n: u32) -> u64 {
     200 + u64::from(n) * 777 % 1_800
 }
--- a/crates/policy/tests/support/driver.rs
+++ b/crates/policy/tests/support/driver.rs
@@ -74,9 +74,9 @@
     turn: usize,
     /// When the turn was first requested; 0 if it hasn't been.
     requested: u64,
-    /// Tokens of the committed history.
+    /// Tokens of the prompts and outputs of the finished turns.
     history: u64,
-    /// Tokens that some endpoint has computed.
+    /// Tokens of the history that some endpoint has computed.
     computed: u64,
     /// Tokens of this turn that were generated before a preemption.
     generated: u64,
@@ -112,13 +112,14 @@
     lags: Vec<u64>,
 }
 
-/// Simulates the programs under one set of rules; counts those that begin after `warm`.
+/// Simulates the programs under one set of rules; counts those that begin between `warm_up` and
+/// `span`.
 pub fn simulate(
     deployment: &Deployment,
     rules: Rules,
     pattern: Pattern,
     programs: &[Program],
-    warm: u64,
+    warm_up: u64,
     span: u64,
 ) -> Outcome {
     let mut driver = Driver::new(deployment, rules, programs);
@@ -132,7 +133,7 @@
         driver.at(span * 2 / 3, Event::Recover { endpoint });
     }
     driver.run(span + 10 * CALLER_TIMEOUT);
-    outcome::summarize(programs, &driver.records, warm, span)
+    outcome::summarize(programs, &driver.records, warm_up, span)
 }
 
 fn fastest(deployment: &Deployment) -> usize {
--- a/crates/policy/tests/support/engine.rs
+++ b/crates/policy/tests/support/engine.rs
@@ -6,7 +6,7 @@
 
 use super::deployment::Endpoint;
 
-/// How much slower each call generates in a full batch than alone.
+/// Share by which each token of a call takes longer in a full batch than alone.
 const BATCH_SLOWDOWN: f64 = 0.5;
 /// Factor on the generation rate of calls while a prompt is prefilled beside them.
 const BESIDE_PREFILL_FACTOR: f64 = 0.7;
@@ -28,7 +28,7 @@
     pub output: u64,
     /// When it was sent.
     pub sent: u64,
-    /// When it got its slot.
+    /// When it got its slot; 0 while it waits for one.
     pub started: u64,
     /// Prompt tokens that remain to be prefilled.
     pub prefill_left: f64,
@@ -50,7 +50,7 @@
 /// The state of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its properties.
+    /// Properties of the endpoint without a slowdown.
     pub spec: Endpoint,
     /// Calls that have a slot.
     pub running: Vec<Job>,
@@ -109,7 +109,7 @@
         ended
     }
 
-    /// Stops a call and returns it; what it has generated is missing from `output_left`.
+    /// Stops a call and returns it; it has generated `output - output_left` tokens.
     pub fn cancel(&mut self, program: usize, now: u64) -> Option<Job> {
         self.advance(now);
         if let Some(at) = self.waiting.iter().position(|j| j.program == program) {
@@ -192,7 +192,7 @@
         self.updated = now;
     }
 
-    /// Returns the rates of one prefill and of one generating call.
+    /// Returns the rates of one prefill and of one generating call, in tokens per second.
     fn rates(&self) -> (f64, f64) {
         let prefills = self
             .running
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,6 +1,7 @@
 //! A small simulator for the policy decisions, on a virtual clock: endpoints, VMs and callers are
 //! plain state, driven by an event heap, without a network. It runs a load pattern under one set of
 //! rules and reports the results for the callers. Shared by the example `patterns` and the tests.
+//! Times and durations are in milliseconds of the virtual clock unless stated otherwise.
 
 #![allow(
     dead_code,
--- a/crates/policy/tests/support/outcome.rs
+++ b/crates/policy/tests/support/outcome.rs
@@ -24,7 +24,7 @@
 /// The record of one program.
 #[derive(Clone, Copy, Debug)]
 pub struct Record {
-    /// Its state.
+    /// Whether it is in progress, finished or lost.
     pub status: Status,
     /// When it ended.
     pub ended: u64,
@@ -169,8 +169,8 @@
     ratios.fold(1.0, f64::min)
 }
 
-/// Returns the share of each caller that wants more than its share, if `total` is split max-min
-/// fairly.
+/// Splits `total` max-min fairly and returns the most that a caller gets, at least 1. A caller that
+/// requests less gets what it requests. Returns infinity if every request is below its share.
 fn water_level(requested: &[f64], total: f64) -> f64 {
     let mut sorted = requested.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -28,7 +28,7 @@
     pub at: u64,
     /// Calls that run or wait there.
     pub calls: u32,
-    /// Tokens per second of one call.
+    /// Tokens per second that it generates for one call.
     pub speed: f64,
     /// Programs and tokens in its cache, sorted by program.
     pub cached: Vec<(usize, u64)>,
@@ -37,9 +37,9 @@
 /// What a VM knows of an endpoint.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Its slots.
+    /// Number of calls that it runs at once.
     pub slots: u32,
-    /// Its prefill rate.
+    /// Prompt tokens per second that it prefills.
     pub prefill: f64,
     /// Its last report.
     pub report: Report,
@@ -50,18 +50,18 @@
 /// What a VM knows of a waiting call.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// Its program.
+    /// Index of its program.
     pub program: usize,
     /// The properties that its placement depends on.
     pub placed: place::Call,
-    /// Where the program's last call ended.
+    /// Where the program's last call ended, and left the program's prefix cached.
     pub prefix_location: Option<PrefixLocation>,
 }
 
 /// The endpoint that has a program's prefix.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixLocation {
-    /// The endpoint.
+    /// Index of the endpoint.
     pub endpoint: usize,
     /// Length of the prefix in tokens.
     pub tokens: u64,
@@ -83,7 +83,7 @@
     pub in_flight: Vec<usize>,
     /// The rate at which the queue drains.
     pub drain: admit::DrainRate,
-    /// The endpoints.
+    /// What the VM knows of each endpoint.
     pub views: Vec<View>,
     /// Which calls the endpoints are reserved for.
     pub lanes: Vec<place::Lane>,
@@ -215,7 +215,7 @@
 
 /// The part of a VM's state that a placement reads.
 pub struct Fleet<'a> {
-    /// The endpoints.
+    /// What the VM knows of each endpoint.
     pub views: &'a [View],
     /// Which calls the endpoints are reserved for.
     pub lanes: &'a [place::Lane],
--- a/crates/policy/tests/support/work.rs
+++ b/crates/policy/tests/support/work.rs
@@ -15,7 +15,7 @@
     Steady(f64),
     /// 0.6 of the load, and five times as much for ten seconds in each minute.
     Burst,
-    /// Two callers of forty send most of 1.3 times the load.
+    /// 1.3 times the load; two callers of forty send most of it.
     FewCallers,
     /// Five programs in a hundred make ten times as many calls, without pauses.
     HotPrograms,
@@ -88,13 +88,13 @@
 /// A program.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// Its caller.
+    /// Index of the caller that sends it.
     pub caller: usize,
-    /// Its class.
+    /// Whether it is urgent or routine.
     pub class: Class,
     /// When it begins.
     pub arrival: u64,
-    /// Its turns.
+    /// Its turns, in order.
     pub turns: Vec<Turn>,
 }
 
--- a/crates/replica/src/call.rs
+++ b/crates/replica/src/call.rs
@@ -20,8 +20,8 @@
 use crate::message::Ask;
 use crate::message::Body;
 
-/// How long a member may take to answer: some hundred times a sync plus a trip between data
-/// centres.
+/// How long a member may take to answer: some hundred times as long as a sync and a trip between
+/// data centres take together.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// The longest answer in bytes.
 const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
--- a/crates/replica/src/catch_up/tests.rs
+++ b/crates/replica/src/catch_up/tests.rs
@@ -90,7 +90,7 @@
         group.into_iter().cloned().collect()
     }
 
-    /// A record is acknowledged once a majority of its group has it; the others miss it.
+    /// Writes a record to a majority of its group, so that it is acknowledged; the others miss it.
     fn write(&mut self) {
         let number = self.acknowledged.len() as u64;
         let group = self.group(number);
@@ -101,7 +101,7 @@
     }
 
     /// Changes the list. Members then catch up one by one, each from as few members as the
-    /// decisions allow; the `lagging` last ones may not have caught up when the list changes again.
+    /// decisions allow. `lagging` of them don't catch up before the list changes again.
     fn change(&mut self, next: List, lagging: usize) {
         if self
             .replicas
@@ -176,7 +176,8 @@
         self.replica(own).ready = list.version;
     }
 
-    /// Writes a record (0), adds a member (1) or removes one from the list (2).
+    /// Depending on the action, writes a record (0), adds a member to the list (1) or removes one
+    /// from it (2).
     fn step(&mut self, (action, number, lagging): (u8, u8, usize)) {
         let own = member(number);
         let listed = self.list.has_member(&own);
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -36,7 +36,7 @@
 /// How many times a request is sent at most when the list changes in between.
 const MAX_TRIES: usize = 3;
 /// The pause before asking members again that are still catching up. A change of the list takes
-/// them some tens of milliseconds; a new disk requires nothing of the others.
+/// them some tens of milliseconds; after a new disk joins, the other members have nothing to copy.
 const CATCH_UP_RETRY_DELAY: Duration = Duration::from_millis(40);
 /// How many times such members are asked again. See [`CATCH_UP_RETRY_DELAY`].
 const CATCH_UP_RETRIES: usize = 8;
@@ -272,7 +272,7 @@
         Err(fault)
     }
 
-    /// Records what an attempt used.
+    /// Records how many tokens an attempt used.
     ///
     /// # Errors
     ///
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -45,7 +45,7 @@
 pub struct Identity {
     /// The disk's number.
     pub disk: u64,
-    /// The list in use.
+    /// The list of members in use.
     pub list: List,
     /// The list version up to which the member holds everything that was acknowledged.
     pub ready: u64,
@@ -54,7 +54,7 @@
 /// A record found when the folder was opened.
 #[derive(Debug)]
 pub struct Entry {
-    /// The record.
+    /// The record that the frame contains.
     pub record: Record,
     /// Where its frame is stored.
     pub location: Location,
@@ -105,9 +105,9 @@
 /// The result of opening a folder.
 #[derive(Debug)]
 pub struct Opened {
-    /// The disk.
+    /// The opened disk, for reading and writing records.
     pub disk: Disk,
-    /// The member's identity; `None` if the folder was empty.
+    /// The member's identity; `None` if the folder holds no identity file yet.
     pub identity: Option<Identity>,
     /// Segments that the writer creates and removes.
     pub events: mpsc::Receiver<SegmentEvent>,
--- a/crates/replica/src/disk/tests.rs
+++ b/crates/replica/src/disk/tests.rs
@@ -45,7 +45,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // Left behind only if the test failed early.
+        // The folder is absent only if the test failed before creating it.
         let _absent = fs::remove_dir_all(&self.0);
     }
 }
@@ -68,8 +68,8 @@
 }
 
 /// The power fails while a record is written, so that its end is missing or replaced by other
-/// bytes. After the start, everything that was answered is there and the torn record isn't. What is
-/// written after that start is found after the next one.
+/// bytes. After the restart, every record whose write was answered is found, and the torn one
+/// isn't. Records that are written after this restart are found after the next one.
 #[rstest]
 #[case::cut_short("cut", |bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 7))]
 #[case::zeroes("zeroes", |bytes: &mut Vec<u8>| { let at = bytes.len() - 100; bytes[at..].fill(0); })]
--- a/crates/replica/src/index.rs
+++ b/crates/replica/src/index.rs
@@ -18,7 +18,7 @@
 /// A turn in the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The turn that it continues.
+    /// The key of the turn that it continues, if any.
     pub previous: Option<Key>,
     /// Where it is stored.
     pub location: Location,
--- a/crates/replica/src/ledger.rs
+++ b/crates/replica/src/ledger.rs
@@ -19,14 +19,14 @@
 /// programs.
 pub const RETENTION: Millis = Millis::new(300_000);
 
-/// The tokens of one attempt at a turn.
+/// The tokens that one attempt at a turn reserved and used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The attempt.
+    /// The key of the attempt.
     pub turn: Key,
     /// Tokens reserved.
     pub most: u32,
-    /// Tokens used, once that is known.
+    /// Tokens used; `None` until the attempt is settled.
     pub used: Option<u32>,
 }
 
@@ -42,7 +42,7 @@
 /// All entries of one program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// The program.
+    /// The program's key.
     pub program: Key,
     /// Its entries, sorted by the keys of their attempts.
     pub entries: Vec<Entry>,
@@ -72,7 +72,7 @@
         self.merge(reservation.program, &[entry], now);
     }
 
-    /// Records what an attempt used.
+    /// Records how many tokens an attempt used.
     pub fn settle(&mut self, settlement: &Settlement, now: Millis) {
         let entry = Entry {
             turn: settlement.turn,
--- a/crates/replica/src/list.rs
+++ b/crates/replica/src/list.rs
@@ -15,7 +15,7 @@
 pub struct Member {
     /// The VM's name.
     pub vm: String,
-    /// Its data centre.
+    /// The VM's data centre.
     pub centre: String,
     /// The address at which it serves other VMs.
     pub address: SocketAddr,
@@ -31,8 +31,8 @@
     pub version: u64,
     /// The members, sorted by VM name.
     pub members: Vec<Member>,
-    /// The members of the previous version. The present members copy what was acknowledged from
-    /// them.
+    /// The members of the previous version. The present members copy from them what was
+    /// acknowledged.
     pub before: Vec<Member>,
 }
 
--- a/crates/replica/src/list/tests.rs
+++ b/crates/replica/src/list/tests.rs
@@ -36,9 +36,9 @@
 
 proptest! {
     /// Members on the other side of a partition may never have heard of a new list. If enough of
-    /// them could say "absent" under the old list, a caller would be told that a turn doesn't exist
-    /// which was answered under the new one. So an absence takes a majority, and the members that a
-    /// new list waits for must leave the others too few for a majority of any group.
+    /// them could say "absent" under the old list, a caller would be told that a turn that was
+    /// answered under the new list doesn't exist. So an absence takes a majority, and the members
+    /// that a new list waits for must leave the others too few for a majority of any group.
     #[test]
     fn members_outside_a_covering_subset_have_no_majority(
         list in lists(),
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -46,7 +46,7 @@
 /// changes; this is for a member that none of them reaches.
 const LIST_READ_INTERVAL: Millis = Millis::new(5_000);
 /// How often a VM that has to change the list reads it: a tenth of the time within which a VM with
-/// an empty disk has to be a full copy again.
+/// an empty disk has to be a complete replica again.
 const LIST_READ_INTERVAL_PENDING: Millis = Millis::new(500);
 /// A member without write requests for this long was cut off, frozen or idle. It then compares its
 /// records with the other members to get what it missed.
@@ -80,9 +80,10 @@
     pub own: list::Member,
     /// How many members may be lost at once.
     pub losses: usize,
-    /// The time.
+    /// The source of the current time.
     pub clock: Clock,
-    /// `Leaving` when operators want the VM emptied, `Left` once it is.
+    /// `Leaving` once operators have asked for the member to leave the list, `Left` once the other
+    /// members hold everything that it held.
     pub phase: watch::Sender<Phase>,
 }
 
@@ -186,7 +187,7 @@
         state.revision = entry.revision;
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => self.adopt(&list).await,
-            Err(fault) => log::error!("text=\"the list can't be decoded\" fault=\"{fault}\""),
+            Err(fault) => log::error!("text=\"list of members not decoded\" fault=\"{fault}\""),
         }
     }
 
--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -1,7 +1,8 @@
 //! Requests to members, and their answers.
 //!
 //! Each message is the body of a POST, encoded as `MessagePack`. Requests name the version of the
-//! list that the sender uses; a member that uses another one answers so and does nothing.
+//! list that the sender uses. A member that uses another one refuses the request, unless it is
+//! [`Body::Adopt`], [`Body::Status`] or [`Body::Fetch`].
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -29,7 +30,8 @@
 /// What a member is asked to do.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Sync these records, and return the accounts of the programs that they concern.
+    /// Sync these records, and return the entries of the program that a reservation among them is
+    /// for.
     Apply(Vec<Record>),
     /// Return a turn and as much of the chain that it continues as the member holds.
     Chain(Key),
@@ -37,12 +39,12 @@
     Account(Key),
     /// Adopt this list if it is newer.
     Adopt(List),
-    /// Return the keys of everything that the member holds.
+    /// Return the keys of the turns that the member holds, and its accounts.
     Keys,
-    /// Return the keys that the member holds and a VM has to hold only since the latest change of
-    /// the list, given how many members may be lost at once.
+    /// Like [`Self::Keys`], but return only what a VM has to hold since the latest change of the
+    /// list and didn't have to hold before.
     Gained {
-        /// The VM.
+        /// The VM's name.
         vm: String,
         /// How many members may be lost at once.
         losses: usize,
@@ -70,11 +72,12 @@
     Status(Status),
     /// The member uses a newer list: this one.
     Newer(List),
-    /// The member uses an older list and has to be sent the sender's.
+    /// The member uses an older list; the sender has to send its own list first.
     Older,
     /// The member doesn't yet hold everything that was acknowledged before its list.
     NotReady,
-    /// The member's disk failed.
+    /// The member can't do what was asked, for this reason. For example, its disk failed or it is
+    /// stopping.
     Failed(String),
 }
 
@@ -83,15 +86,15 @@
 pub struct Chain {
     /// The turns found, the newest first.
     pub turns: Vec<Link>,
-    /// The next earlier turn, if the chain continues: one that the member doesn't hold or that no
-    /// longer fitted the answer.
+    /// The key of the next earlier turn, if the chain continues: one that the member doesn't hold
+    /// or that no longer fitted the answer.
     pub next: Option<Key>,
 }
 
 /// A turn of a chain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
-    /// The turn.
+    /// The turn's key.
     pub key: Key,
     /// Its input and output.
     pub text: Bytes,
--- a/crates/replica/src/quorum.rs
+++ b/crates/replica/src/quorum.rs
@@ -9,15 +9,15 @@
 pub enum State {
     /// More answers are needed.
     Waiting,
-    /// A majority has it; more members may still answer.
+    /// A majority has what was written; more members may still answer.
     Majority,
-    /// Every member has it.
+    /// Every member of the group has what was written.
     All,
     /// A majority can no longer be reached.
     Failed,
 }
 
-/// Returns the state of a write, given how many members have it and how many failed.
+/// Returns the state of a write, given how many members confirmed it and how many failed.
 #[must_use]
 pub const fn write_state(group: usize, done: usize, failed: usize) -> State {
     if group > 0 && done == group {
@@ -37,7 +37,7 @@
 pub enum Verdict {
     /// The turn may run.
     Fits,
-    /// The turn may not run. Holds the tokens that are spent or reserved without it.
+    /// The turn may not run. Holds the tokens that the program's other turns have used or reserved.
     Spent(u64),
 }
 
--- a/crates/replica/src/quorum/tests.rs
+++ b/crates/replica/src/quorum/tests.rs
@@ -183,7 +183,8 @@
     }
 }
 
-/// The state of three concurrent reservations in the exhaustive search. Turns are bits.
+/// The state of three concurrent reservations in the exhaustive search. Sets of turns or members
+/// are bit masks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct SearchState {
     /// Which turns each member knows.
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -38,9 +38,9 @@
 /// A turn that later turns may continue from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The turn.
+    /// The turn's key.
     pub key: Key,
-    /// The turn that it continues.
+    /// The key of the turn that it continues, if any.
     pub previous: Option<Key>,
     /// Its input and output, as the prompt of a later turn repeats them.
     pub text: Bytes,
@@ -49,22 +49,22 @@
 /// A reservation of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The program whose budget is charged.
+    /// The key of the program whose budget is charged.
     pub program: Key,
-    /// The attempt at a turn.
+    /// The key of the attempt at a turn.
     pub turn: Key,
-    /// The most tokens that it can use.
+    /// The most tokens that the attempt can use.
     pub most: u32,
 }
 
-/// The tokens used of a reservation.
+/// How many of its reserved tokens an attempt at a turn has used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The program whose budget is charged.
+    /// The key of the program whose budget is charged.
     pub program: Key,
-    /// The attempt at a turn.
+    /// The key of the attempt at a turn.
     pub turn: Key,
-    /// The tokens that it used.
+    /// The tokens that the attempt used.
     pub used: u32,
 }
 
--- a/crates/replica/src/server.rs
+++ b/crates/replica/src/server.rs
@@ -41,7 +41,7 @@
 /// The longest request in bytes: a turn of the largest body that operators allow, and its output.
 const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
 
-/// A member.
+/// A member: its disk, and its state in memory.
 #[derive(Debug)]
 pub struct Member {
     disk: Disk,
@@ -67,7 +67,7 @@
     last_write: Millis,
 }
 
-/// Opens a member's folder. An empty disk gets the number `new_disk`.
+/// Opens a member's folder. A disk without a stored identity gets the number `new_disk`.
 ///
 /// # Errors
 ///
@@ -227,9 +227,9 @@
     }
 
     /// Returns the refusal of a request, if it is refused. Refused are requests under another
-    /// version of the list; while the process stops, writes and also status requests, because they
-    /// tell whether writes are possible; and reads before the member has caught up, because the
-    /// sender would trust an absence or a sum that may be wrong.
+    /// version of the list; while the process stops, writes and also status requests, because
+    /// their answers tell whether writes are possible; and reads before the member has caught up,
+    /// because the sender would trust an absence or a sum that may be wrong.
     fn refusal(&self, ask: &Ask) -> Option<Answer> {
         if self.writes.is_closed() && matches!(ask.body, Body::Apply(_) | Body::Status) {
             return Some(Answer::Failed("stopping".to_owned()));
--- a/crates/replica/src/server/read.rs
+++ b/crates/replica/src/server/read.rs
@@ -10,8 +10,8 @@
 use crate::server::Member;
 use crate::server::disk_failed;
 
-/// An answer gets no more turns once its text exceeds this length. It is a part of what a small VM
-/// can buffer.
+/// An answer gets no more turns once its text exceeds this length: a part of what a small VM can
+/// buffer.
 const MAX_TEXT_BYTES: usize = 512 * 1024;
 
 impl Member {
--- a/crates/replica/src/server/write.rs
+++ b/crates/replica/src/server/write.rs
@@ -92,8 +92,8 @@
         self.disk.append(frames).await.map(drop)
     }
 
-    /// Drops what the disk no longer holds, and rewrites the accounts from time to time. Should be
-    /// called at least about once a second.
+    /// Drops old accounts and the turns of removed segments, and rewrites the accounts from time to
+    /// time. Should be called at least about once a second.
     ///
     /// # Errors
     ///
--- a/crates/replica/src/unresponsive.rs
+++ b/crates/replica/src/unresponsive.rs
@@ -10,10 +10,9 @@
 /// after which the replacement of a removed VM counts. It is longer than a restart or a short
 /// network cut, because each change of the list makes all members compare what they hold.
 const EVICT_AFTER: Millis = Millis::new(3_000);
-/// The same for the other one of two members. It is shorter because each write needs both, so turns
-/// wait for it.
+/// The same for a member of a list of two. It is shorter because each write needs both members, so
+/// turns wait for the unresponsive one.
 const EVICT_AFTER_OF_TWO: Millis = Millis::new(1_500);
-
 /// The same where a data centre has several members and all of them are unresponsive. It is cut off
 /// or has lost its power, which the groups tolerate, and its members will come back together.
 /// Removing and re-adding them one by one would keep all members busy catching up for seconds. This
--- a/crates/replica/tests/list_changes.rs
+++ b/crates/replica/tests/list_changes.rs
@@ -28,7 +28,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // Left behind only if the test failed early.
+        // The folder is absent only if the test failed before creating it.
         let _absent = std::fs::remove_dir_all(&self.0);
     }
 }
