--- a/crates/relay/examples/fleet/measure.rs
+++ b/crates/relay/examples/fleet/measure.rs
@@ -36,7 +36,7 @@
     /// Processor time of building and reading messages, in per cent of a core: the mean, and that
     /// of the VM with the most.
     pub processor: (f64, f64),
-    /// Number of times that a VM used a runner again that had left.
+    /// Number of times that a VM used a departed runner again.
     pub readmissions: usize,
 }
 
@@ -95,7 +95,7 @@
     figures
 }
 
-/// Makes changes one after the other and returns how long it took for each until all VMs knew.
+/// Makes changes one after the other. Returns for each how long it took until all VMs knew of it.
 fn measure_changes(world: &mut World) -> Vec<(&'static str, Option<u64>)> {
     world.write_config();
     let config = world.run_until(AGREEMENT_TIMEOUT_MS, World::agree_on_config);
@@ -104,27 +104,27 @@
     let joining = world.add_runner();
     let joined = world.run_until(AGREEMENT_TIMEOUT_MS, |world| world.agree_to_use(&joining));
     let counted = time_until_counted(world, &joining);
-    let hub_config = config_after_hub_death(world);
-    let hub_counted = time_until_counted(world, &joining);
+    let config_hub_killed = config_after_hub_death(world);
+    let counted_hub_killed = time_until_counted(world, &joining);
     vec![
         ("config", config),
         ("runner left", left),
         ("runner came", joined),
         ("counts", counted),
-        ("config, hub killed", hub_config),
-        ("counts, hub killed", hub_counted),
+        ("config, hub killed", config_hub_killed),
+        ("counts, hub killed", counted_hub_killed),
     ]
 }
 
 /// Kills the first VM just before a new configuration. Returns how long it took until all VMs had
-/// it.
+/// the configuration.
 fn config_after_hub_death(world: &mut World) -> Option<u64> {
     world.kill(0);
     world.write_config();
     world.run_until(AGREEMENT_TIMEOUT_MS, World::agree_on_config)
 }
 
-/// Gives the last VM many requests and returns how long it took until all VMs knew.
+/// Gives the last VM many requests at a runner. Returns how long it took until all VMs counted them.
 fn time_until_counted(world: &mut World, runner: &str) -> Option<u64> {
     let last = world.vms.len() - 1;
     world.set_requests(last, runner, 2 * MARKER_REQUESTS);
--- a/crates/relay/examples/fleet/table.rs
+++ b/crates/relay/examples/fleet/table.rs
@@ -38,7 +38,7 @@
     }
     line(
         &mut text,
-        "\nper VM, idle: bytes/s mean and max, exchanges/s max, % of a core mean and max; most askers within a second, runners used again after leaving",
+        "\nper VM, idle: bytes/s mean and max, exchanges/s max, % of a core mean and max; most VMs that started an exchange with one VM within a second, uses of departed runners",
     );
     for row in figures {
         line(
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -41,7 +41,7 @@
 
 /// The time limit of a request that states none.
 const DEFAULT_TIME_LIMIT: Millis = Millis::new(30_000);
-/// The least limit, in bytes, up to which a refused request's body is read and discarded. Before a
+/// The smallest limit, in bytes, up to which a refused request's body is read and discarded. Before a
 /// configuration is loaded, it is the only limit.
 const MIN_DISCARD_LIMIT: usize = 4 * 1024 * 1024;
 /// How long the rest of a refused request's body is read.
--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A request is in progress to the last moment. If the listener stayed open until the process ends,
+/// A request is in progress until the last moment. If the listener stayed open until the process ends,
 /// connections still waiting to be accepted would then be accepted and reset unread, and their
 /// callers wouldn't know whether their requests ran. So the listener closes while there is time to
 /// answer, and the process doesn't end any sooner for it.
@@ -45,19 +45,19 @@
     let process = stopping(Millis::new(2_000)).await;
     let _busy = process.node.work.begin(work::Kind::Answer, "q-1");
     process.connections.closed.cancelled().await;
-    let shut = process.node.clock.now();
+    let closed_at = process.node.clock.now();
     process.drained.await.unwrap();
     let stop = process.node.stop().unwrap();
     assert!(
-        shut >= stop.deadline() && shut < stop.exit_at(),
-        "{shut} of {stop:?}"
+        closed_at >= stop.deadline() && closed_at < stop.exit_at(),
+        "{closed_at} of {stop:?}"
     );
     assert!(process.node.clock.now() >= stop.exit_at());
 }
 
 /// The balancer has noticed the stop and no request is in progress, but callers keep connecting
 /// without sending anything. If each open connection were waited for, the listener would stay open
-/// to the last moment and the next process would serve seconds later.
+/// until the last moment and the next process would begin to serve seconds later.
 #[tokio::test]
 async fn idle_connections_do_not_keep_the_listener_open() {
     let process = stopping(Millis::new(6_000)).await;
--- a/crates/relay/src/exchange/incoming.rs
+++ b/crates/relay/src/exchange/incoming.rs
@@ -12,7 +12,8 @@
 use crate::peers;
 use crate::roster::Roster;
 
-/// Applies a message.
+/// Applies a message: the sender's status and figures, and its configuration and entries of runners
+/// if they are newer.
 pub fn apply(node: &Arc<Node>, received: Message) {
     let now = node.clock.now();
     let status = peers::Status {
--- a/crates/relay/src/exchange/outgoing.rs
+++ b/crates/relay/src/exchange/outgoing.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// Returns the tallies for a VM and their origin. A hub sends the VMs of its own data centre all
-/// that it knows of the others, and other hubs the sum of its data centre.
+/// Returns the tallies for a VM and their origin. A hub sends the VMs of its own data centre the
+/// sum of all other VMs, and other hubs the sum of its data centre.
 fn tallies_for(node: &Node, to: &str, now: Millis) -> (Origin, Vec<Tally>) {
     let settings = &node.settings;
     let peers = node.peers();
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -23,12 +23,12 @@
 use crate::tally::Tally;
 
 /// How long a runner is still used after its entry was found missing at the end of an outage of the
-/// key-value service. Running runners are back in the list within two seconds.
+/// key-value service. Runners that still run are back in the list within two seconds.
 const MISSING_RETENTION: Millis = Millis::new(1_700);
 /// Cost of a round trip to another data centre for a request that may be repeated, in milliseconds.
 pub const REMOTE_COST_MS: f64 = 3.0;
-/// The same for a call that may run at most once. If the network breaks before the answer, its
-/// outcome stays unknown and its program ends. So a runner in the VM's own data centre is worth
+/// The same for a call that may run at most once. If the network breaks before the answer, the
+/// call's outcome stays unknown and its program ends. So a runner in the VM's own data centre is worth
 /// half the duration of a usual call.
 pub const REMOTE_COST_AT_MOST_ONCE_MS: f64 = 15.0;
 
@@ -61,7 +61,7 @@
     pub centre: &'a str,
     /// Cost of using another data centre, in milliseconds.
     pub remote_cost_ms: f64,
-    /// Current time.
+    /// Time at which the runner is chosen.
     pub now: Millis,
 }
 
@@ -78,7 +78,7 @@
     pub slots: u32,
     /// Estimated number of prompt tokens in the runner's cache.
     pub cached: u64,
-    /// Expected duration by which the runners were compared, in milliseconds.
+    /// Expected duration at the runner, by which runners were compared, in milliseconds.
     pub cost_ms: f64,
     /// Number of runners that were eligible.
     pub candidates: usize,
@@ -93,7 +93,7 @@
     Draining,
     /// The runner is gone.
     Removed,
-    /// Nothing of interest changed.
+    /// Nothing changed that is logged or passed on to other VMs.
     Unchanged,
 }
 
@@ -170,7 +170,7 @@
     }
 
     /// Marks the runners that are missing in a list that was read after an outage of the key-value
-    /// service. They stay in use for a while. `listed` is sorted.
+    /// service. They stay in use for `MISSING_RETENTION`. `listed` is sorted.
     pub fn note_missing(&mut self, listed: &[String], now: Millis) {
         for runner in &mut self.runners {
             if listed.binary_search(&runner.id).is_err() {
@@ -189,7 +189,7 @@
         gone.map(|runner| runner.id).collect()
     }
 
-    /// Removes and returns the runners whose entries have been missing for too long.
+    /// Removes and returns the runners whose entries have been missing for `MISSING_RETENTION`.
     pub fn remove_missing(&mut self, now: Millis) -> Vec<String> {
         let gone = |runner: &mut Runner| {
             let since = runner.missing_since;
@@ -200,8 +200,8 @@
     }
 
     /// Sets the memory of each service's engines from a new configuration. Entries may be read
-    /// before the first configuration; without this call, such a runner would be presumed to cache
-    /// no prompts for as long as it lives.
+    /// before the first configuration. Without this call, the runners of such entries would be
+    /// presumed to cache no prompts for as long as they live.
     pub fn set_memory(&mut self, memory: impl Fn(&str) -> u64) {
         for runner in &mut self.runners {
             let memory = memory(&runner.entry.service);
--- a/crates/relay/src/fleet/choice.rs
+++ b/crates/relay/src/fleet/choice.rs
@@ -14,11 +14,12 @@
 use crate::fleet::Request;
 use crate::fleet::runner::Runner;
 
-/// Presumed milliseconds a token before any runner of the service was measured, which is the first
-/// second of the first VM. It is then the same for all runners, so it only weighs prefill against
-/// the cost of another data centre.
+/// Presumed milliseconds per token as long as no runner of the service has been measured, that is,
+/// during the first second of the first VM. The pace is then the same for all runners, so it only
+/// weighs prefill against the cost of another data centre.
 const DEFAULT_PACE_MS: f64 = 3.0;
-/// Presumed milliseconds a request of a plain service, in the same situation.
+/// Presumed milliseconds per request of a plain service as long as none of its runners has been
+/// measured.
 const DEFAULT_PLAIN_PACE_MS: f64 = 50.0;
 /// Number of other VMs that must hold a runner off before this VM avoids it as well. A single VM
 /// may have a broken path to a runner that all others reach. If reports were ignored, each VM would
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -9,15 +9,16 @@
 /// A runner without an answer for this long is probed when another one in its data centre doesn't
 /// answer. Several times the pause between two answers of a busy runner.
 const QUIET_AFTER: Millis = Millis::new(300);
-/// How long a runner gets nothing after a request to it broke or failed, if none was answered
-/// since. Doubles with each further one up to [`MAX_HOLD_OFF`]. A successful connection doesn't end
-/// it, because a flapping runner accepts connections while it is down.
+/// How long a runner is held off after a request to it broke, or avoided after it failed a request.
+/// Doubles up to [`MAX_HOLD_OFF`] with each further request that breaks before one is answered, or
+/// fails before one succeeds. An answer ends a hold-off. A successful connection doesn't, because a
+/// flapping runner accepts connections while it is down.
 const FIRST_HOLD_OFF: Millis = Millis::new(250);
 /// The longest hold-off: about the time that a runner takes to come back.
 const MAX_HOLD_OFF: Millis = Millis::new(1_000);
 
-/// Returns how long a runner gets nothing after a failure. `earlier_failures`
-/// counts those since the last success.
+/// Returns how long a runner is held off or avoided after a failure. `earlier_failures` counts the
+/// failures before it since the last answer or success.
 pub(super) fn hold_off_span(earlier_failures: u32) -> Millis {
     let doubled = FIRST_HOLD_OFF.as_u64() << earlier_failures.min(8);
     Millis::new(doubled).min(MAX_HOLD_OFF)
@@ -25,7 +26,7 @@
 
 impl Fleet {
     /// Records that a connection to a runner failed or broke. Returns where to probe the runner if
-    /// it counted as reachable before. The runner gets nothing until a new connection is made: in a
+    /// it counted as reachable before. The runner gets no requests until a new connection is made: in a
     /// partition, each request sent there would wait in vain.
     pub fn note_unreachable(&mut self, id: &str, now: Millis) -> Option<Target> {
         let runner = self.runner(id)?;
--- a/crates/relay/src/fleet/load.rs
+++ b/crates/relay/src/fleet/load.rs
@@ -11,9 +11,9 @@
     pub runners: u64,
     /// Number of requests that the runners work on at once.
     pub slots: u64,
-    /// Requests of this VM in flight at them.
+    /// Requests of this VM in flight at the runners.
     pub own_requests: u64,
-    /// Requests of all VMs in flight at them.
+    /// Requests of all VMs in flight at the runners.
     pub occupied: u64,
 }
 
--- a/crates/relay/src/fleet/runner.rs
+++ b/crates/relay/src/fleet/runner.rs
@@ -49,20 +49,25 @@
     pub(super) id_hash: u64,
     /// Memory of its engine in tokens; 0 for plain services.
     pub(super) memory_tokens: u64,
+    /// The prompts that the runner is presumed to have cached.
     pub(super) prompt_cache: Cache,
-    /// Milliseconds a token; milliseconds a request for plain services.
+    /// Measured milliseconds per token, or per request of a plain service.
     pub(super) pace: Mean,
     /// A connection failed or broke, and none has been made since.
     pub(super) unreachable: bool,
     /// Requests to the runner that broke since its last answer.
     pub(super) broken_requests: u32,
+    /// Gets no requests before this time, because requests to it broke. An answer ends this.
     pub(super) held_off_until: Millis,
     /// Requests that the runner failed since its last success.
     pub(super) failed_requests: u32,
+    /// Is used before this time only if there is no other runner, because it failed requests.
     pub(super) avoided_until: Millis,
     /// Time of its last answer or of the last connection made by a probe.
     pub(super) last_contact: Millis,
+    /// Gets no requests before this time, because a different runner answered at its address.
     pub(super) address_taken_until: Millis,
+    /// Counts as full before this time, because it refused a request as full.
     pub(super) full_until: Millis,
     /// When the runner's entry was found missing after an outage of the key-value service.
     pub(super) missing_since: Option<Millis>,
@@ -115,8 +120,8 @@
     pub(super) fn candidate(&self, request: &Request<'_>, median_pace: f64) -> Candidate {
         let (others, _) = self.peer_reports.all(request.now);
         let known = self.own_requests + others;
-        // The runner's own report counts if it is higher than what is known here: another VM that
-        // can't reach this one has requests there, too.
+        // The runner's own report counts if it is higher than what this VM knows: a VM that can't
+        // reach this VM may have requests at the runner, too.
         let reported = self
             .load
             .filter(|(_, at)| request.now.since(*at) < REPORTED_LOAD_MAX_AGE);
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -33,12 +33,12 @@
                 follower.listed(&node, listed)
             }
             Step::Watch(revision) => {
-                let news = node
+                let update = node
                     .kv
                     .changes(subject.prefix(), revision, subject.watch_timeout());
-                let news = news.await;
+                let update = update.await;
                 node.metrics.count(Counter::StoreCalls);
-                follower.watched(&node, news)
+                follower.watched(&node, update)
             }
         };
         sleep(pause).await;
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// It is open where to learn of the subject.
+    /// It isn't decided yet where to learn of the subject.
     Decide,
     /// All entries are being requested.
     List(Source),
@@ -125,11 +125,11 @@
     }
 
     /// Applies the answer to [`Step::Watch`]. Returns how long to wait before the next step.
-    pub fn watched(&mut self, node: &Arc<Node>, news: edge::Result<Update>) -> Duration {
+    pub fn watched(&mut self, node: &Arc<Node>, update: edge::Result<Update>) -> Duration {
         let Phase::Watch(revision) = self.phase else {
             return Duration::ZERO;
         };
-        match news {
+        match update {
             Ok(Update::Changes {
                 changes,
                 revision: next,
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -35,12 +35,13 @@
 /// callers close first.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 /// How often the members (VMs with a disk) are checked: often enough that a partition is noticed
-/// before the load balancer's next readiness check, and that turns are served again soon after it.
+/// before the load balancer's next readiness check, and that turns are served again soon after it ends.
 const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// How often the members are checked while too few answer. Each turn is refused until enough do,
 /// and after a restart of all VMs the callers retry within some hundred milliseconds.
 const LOST_MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often connections, runners and entries are swept.
+/// How often connections that were unused for too long are closed, runners whose entries have been
+/// missing for too long are removed, and unreachable runners are probed.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why the process can't run.
@@ -58,7 +59,7 @@
     Io(std::io::Error),
 }
 
-/// The outcome of a process.
+/// The result of running a process.
 pub type Result<T> = std::result::Result<T, Fault>;
 
 /// Runs the process until SIGTERM.
@@ -135,7 +136,7 @@
     ));
 
     let shared = node.clone();
-    let handler = move |_request| std::future::ready(probe::ready(&shared));
+    let handler = move |_request| std::future::ready(probe::answer_readiness(&shared));
     let listener = listen::bind(ready).await?;
     tokio::spawn(listen::run(
         listener,
@@ -156,7 +157,7 @@
 
     let shared = node.clone();
     let counted = connections.clone();
-    let handler = move |_request| std::future::ready(probe::metrics(&shared, &counted));
+    let handler = move |_request| std::future::ready(probe::answer_metrics(&shared, &counted));
     let listener = listen::bind(metrics).await?;
     tokio::spawn(listen::run(
         listener,
@@ -210,7 +211,8 @@
     }
 }
 
-/// Sweeps connections and runners repeatedly, and tries unreachable runners again.
+/// Repeatedly closes connections that were unused for too long, removes runners whose entries have
+/// been missing for too long, and probes unreachable runners.
 async fn sweep(node: Arc<Node>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
--- a/crates/relay/src/history.rs
+++ b/crates/relay/src/history.rs
@@ -50,7 +50,7 @@
             }
             Err(fault) => {
                 // If the members are lost, the following turns are refused at once, and the log
-                // names the members before it has this refusal.
+                // names the members before it shows this refusal.
                 member_health::suspect(node, &fault).await;
                 let refusal = Refusal::new(Code::RecordsUnreachable, &fault.to_string());
                 return Err(refusal.retry_after(RETRY_DELAY));
--- a/crates/relay/src/ingest.rs
+++ b/crates/relay/src/ingest.rs
@@ -60,9 +60,9 @@
 /// Drops the runners that aren't listed; `source` says in the log where the list came from.
 ///
 /// If the last known list is too recent for entries to have lapsed, the runners have left: if they
-/// were used any longer, they would get calls after the time within which a leaving runner has to
-/// be free of them. Otherwise the service may have been away and lost the entries of live runners,
-/// so these runners are used a while longer.
+/// were used any longer, they would get calls after the time in which a leaving runner has to stop
+/// getting them. Otherwise the service may have been unavailable and lost the entries of live
+/// runners, so these runners are used a while longer.
 pub fn drop_missing(node: &Node, listed: &[String], source: &str) {
     if node.may_have_lapsed() {
         let now = node.clock.now();
@@ -172,7 +172,7 @@
     if entry.key == subject::members_key() {
         match rmp_serde::from_slice::<List>(&entry.value) {
             Ok(list) => node.replicas.adopt(list),
-            Err(fault) => log::error!("text=\"list of members not decoded\" fault=\"{fault}\""),
+            Err(fault) => log::error!("text=\"can't decode list of members\" fault=\"{fault}\""),
         }
         return;
     }
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -43,8 +43,8 @@
 /// The longest refusal body of a runner that is read, in bytes, so that the connection can be
 /// reused.
 const MAX_REFUSAL_BYTES: usize = 64 * 1024;
-/// How long a refusal's body may take to arrive. A request that no runner has waits meanwhile, and
-/// a new connection costs less than a longer wait.
+/// How long a refusal's body may take to arrive. The request, which no runner has, waits
+/// meanwhile, and a new connection costs less than a longer wait.
 const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A request that was read and routed.
@@ -79,7 +79,7 @@
 /// An attempt to run a request at a runner.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The runner.
+    /// The runner that the request is sent to.
     pub runner: fleet::Choice,
     /// When the attempt was sent.
     pub sent_at: Instant,
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Decides from the head of an answer whether the runner took the request, and records what it
-    /// says about the runner.
+    /// Decides from the head of an answer whether the runner took the request, and records what
+    /// the head says about the runner.
     async fn classify_reply(&self, mut reply: Reply, attempt: Attempt) -> SendOutcome {
         let answer_headers = header::answer(&reply.head.headers);
         let now = self.node.clock.now();
--- a/crates/relay/src/member_health.rs
+++ b/crates/relay/src/member_health.rs
@@ -2,14 +2,14 @@
 //! refused because they don't.
 //!
 //! A turn needs a majority of the members. In a data centre that is cut off, every turn would wait
-//! in vain, and its caller would come back to the same VM until the load balancer sends it
-//! elsewhere. So the VM checks the members often, reports itself as not ready to the load balancer
+//! in vain, and its caller would come back to the same VM until the load balancer sends the
+//! caller elsewhere. So the VM checks the members often, reports itself as not ready to the load balancer
 //! after the first failed check, refuses turns at once from the second failed check on, and asks
 //! their callers to come back when the load balancer is expected to have noticed.
 //!
 //! A turn whose records can't be read or whose tokens can't be reserved makes the VM suspect its
-//! members. Their disks may be slow while they still answer. If the members counted as lost then,
-//! turns would be refused and answers broken off that only have to wait. So a suspicion counts as
+//! members. Their disks may be slow while they still answer. Counting the members as
+//! lost then would refuse turns and break off answers that only have to wait. So a suspicion counts as
 //! one failed check, however many turns raise it, and a check is made at once to confirm or clear
 //! it.
 
@@ -26,8 +26,8 @@
 /// How long the members may take to answer a check. They usually answer within a few milliseconds;
 /// one that is busy with many records takes some tens of milliseconds.
 pub const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Consecutive failed checks after which turns are refused. A single check may fail because two
-/// members pause.
+/// Consecutive failed checks after which turns are refused; a suspicion counts as one. A single
+/// check may fail because two members pause.
 const LOST_AFTER: u32 = 2;
 /// The longest time that a restarting member is away: its process is started again after a short
 /// delay. Members that are away for longer are cut off or down, for an unknown time.
@@ -123,7 +123,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     service: TurnService,
-    /// Failed checks since the last successful one.
+    /// Failed checks since the last successful one, including a suspicion that a failed check
+    /// confirmed.
     failed_checks: u32,
     /// Whether a turn has found too few members since the last check.
     suspected: bool,
@@ -135,7 +136,7 @@
 }
 
 impl Health {
-    /// Records the result of a check. Returns whether it changes whether turns are served.
+    /// Records the result of a check. Returns whether turns start or stop being served.
     pub fn record_check(&mut self, check: Check, now: Millis) -> bool {
         match check {
             Check::Enough => {
@@ -153,8 +154,7 @@
         }
     }
 
-    /// Records that a turn found too few members. Returns whether turns, served until now, are
-    /// refused from now on.
+    /// Records that a turn found too few members. Returns whether turns stop being served.
     pub fn suspect(&mut self, now: Millis) -> bool {
         self.record_first_failure(now);
         self.suspected = true;
@@ -208,9 +208,9 @@
     }
 
     /// Returns when a refused turn may be retried: when the load balancer is expected to send it to
-    /// another VM. Retried sooner, it would meet the same refusal and use up one of its tries. The
-    /// delay is short for a VM that has just started, which needs some milliseconds more and not
-    /// another VM, and for a VM whose members answer but are slow.
+    /// another VM. A sooner retry would be refused as well and use up one of the turn's tries. The
+    /// delay is short for a VM whose members answer but are slow, and for a VM that has just
+    /// started: it needs only some more milliseconds, so the turn needs no other VM.
     #[must_use]
     pub fn retry_after(&self, now: Millis) -> Millis {
         if self.service == TurnService::Starting || self.is_ready() {
--- a/crates/relay/src/member_health/tests.rs
+++ b/crates/relay/src/member_health/tests.rs
@@ -22,7 +22,7 @@
 }
 
 /// A data centre is cut off. The load balancer is told at the first failed check, so that it sends
-/// elsewhere as soon as it can; turns are refused from the second failed check on.
+/// callers elsewhere as soon as it can; turns are refused from the second failed check on.
 #[test]
 fn readiness_is_lost_at_the_first_failed_check() {
     let mut health = serving();
@@ -36,7 +36,7 @@
 }
 
 /// Several turns can't reserve their tokens, because the disks of two members are slow; both
-/// members answer. The turns in progress wait for them, and others come: only a check that fails as
+/// members answer. The turns in progress wait for the members, and other turns arrive: only a check that fails as
 /// well shows that the members are lost. Meanwhile the load balancer is told that the VM isn't
 /// ready.
 #[test]
@@ -66,7 +66,7 @@
     assert!(!health.serves_turns());
 }
 
-/// A turn is refused by a VM that is cut off. Its caller has few tries: it should come back when
+/// A turn is refused by a VM that is cut off. Its caller has few tries: the caller should come back when
 /// the load balancer will send it to another VM, not before, and not long after.
 #[test]
 fn refused_turn_is_retried_when_the_balancer_has_noticed() {
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The most other VMs with which all VMs exchange messages pairwise. At 16 exchanges a second with
-/// each, that is under 200 messages a second and VM, which takes a few per cent of a small VM's
+/// each, that is under 200 messages per VM and second, which take a few per cent of a small VM's
 /// processor.
 pub const MAX_DIRECT_PEERS: usize = 12;
 /// Number of VMs of a data centre that exchange with their hub at the full rate, 16 times a second
@@ -48,9 +48,9 @@
     pub centre: String,
     /// Address that takes messages from other VMs.
     pub address: SocketAddr,
-    /// Revision of the roster that the VM had when it was last heard.
+    /// Revision of the roster that the VM had when it was last heard from.
     pub roster: u64,
-    /// Revision of the configuration that the VM had then.
+    /// Revision of the configuration that the VM had when it was last heard from.
     pub config: u64,
     last_heard: Millis,
     lifecycle: Lifecycle,
@@ -84,7 +84,7 @@
     pub lifecycle: Lifecycle,
 }
 
-/// The part of a VM in the exchange, from its own view of the other VMs.
+/// A VM's role in the exchange, which follows from what it knows of the other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Exchanges with all other VMs.
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Removes VMs whose entries lapsed long ago.
+    /// Removes VMs whose entries lapsed at least `LAPSED_RETENTION` ago.
     pub fn forget_lapsed(&mut self, now: Millis) {
         let recent = |since: Millis| now.since(since) < LAPSED_RETENTION;
         self.known.retain(|peer| peer.lapsed_at.is_none_or(recent));
@@ -176,9 +176,9 @@
     /// VMs no more information.
     ///
     /// In a small deployment a VM that is stopping is skipped before it turns silent. If the next
-    /// one stopped as well, waiting for the second timeout would have all VMs use a runner that
-    /// has left for longer than allowed. In a larger deployment it isn't skipped, because leaves
-    /// hear only their hub and would all read at once.
+    /// one stopped as well, waiting until both have timed out would make all VMs use a departed
+    /// runner for longer than allowed. In a larger deployment a stopping VM isn't skipped, because
+    /// leaves hear only their hub and would all read at once.
     #[must_use]
     pub fn is_reader(&self, own: &str, now: Millis) -> bool {
         let keeps_running = |peer: &Peer| !self.is_direct() || peer.lifecycle == Lifecycle::Stays;
@@ -214,7 +214,7 @@
         u32::try_from(largest.unwrap_or(0) / LEAVES_AT_FULL_RATE).unwrap_or(u32::MAX) + 1
     }
 
-    /// Returns the part of the VM `own` in the exchange.
+    /// Returns the role of the VM `own` in the exchange.
     #[must_use]
     pub fn exchange_role(&self, own: &str, centre: &str, now: Millis) -> Role {
         if self.is_direct() {
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -35,8 +35,8 @@
 const TIMEOUT_MULTIPLE: u32 = 3;
 
 /// Serves a call. A call that may run at most once continues after its caller has left, because
-/// breaking it off would leave its outcome unknown to everyone. `guard` makes the process wait for
-/// it when it stops.
+/// breaking it off would leave its outcome unknown to everyone. `guard` makes a stopping process
+/// wait for the call.
 pub async fn serve(job: Job, guard: work::Guard) -> Response<Body> {
     if job.route.kind == Kind::Idempotent {
         return run_cancellable(&job).await;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Logs that the caller has left if it is dropped before the call has finished.
+/// Logs that the caller has left if the guard is dropped before the call has finished.
 struct CallerGoneGuard<'a> {
     job: &'a Job,
     finished: bool,
@@ -149,8 +149,8 @@
     if !may_retry {
         return job.deadline;
     }
-    let aim = job.route.slo.as_duration().max(Duration::from_millis(20));
-    job.deadline.min(Instant::now() + aim * TIMEOUT_MULTIPLE)
+    let target = job.route.slo.as_duration().max(Duration::from_millis(20));
+    job.deadline.min(Instant::now() + target * TIMEOUT_MULTIPLE)
 }
 
 async fn read_answer(
--- a/crates/relay/src/probe.rs
+++ b/crates/relay/src/probe.rs
@@ -11,7 +11,7 @@
 
 /// Answers whether the VM takes callers. Ignores the path, because nothing else is asked there.
 #[must_use]
-pub fn ready(node: &Node) -> Response<Body> {
+pub fn answer_readiness(node: &Node) -> Response<Body> {
     if node.is_ready() {
         return answer::text(StatusCode::OK, "ready\n");
     }
@@ -20,7 +20,7 @@
 
 /// Answers with the metrics.
 #[must_use]
-pub fn metrics(node: &Node, connections: &Connections) -> Response<Body> {
+pub fn answer_metrics(node: &Node, connections: &Connections) -> Response<Body> {
     // Taken before the array is built: otherwise the lock would be held until the array is
     // complete, and `is_ready` locks it again.
     let load = node.fleet().load(node.clock.now());
--- a/crates/relay/src/register.rs
+++ b/crates/relay/src/register.rs
@@ -21,7 +21,7 @@
 /// How long a VM's entry lasts without renewal. Long compared to a short outage of the service,
 /// because a dead VM costs its peers only unanswered messages.
 pub const LEASE_TTL: Millis = Millis::new(8_000);
-/// Interval of renewals: three times within the lease.
+/// Interval of renewals: three fit into [`LEASE_TTL`].
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(2_500);
 
 /// Keeps this VM's entry in the key-value service for as long as it is polled.
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -1,8 +1,9 @@
 //! Decides which requests a stopping process refuses, so that its end doesn't cut off requests that
 //! another VM could serve.
 //!
-//! Two moments of a stop matter here. From the send deadline on, no runner gets a request that may
-//! outlast the process. At the answer deadline, the last answers have to go out.
+//! Two moments of a stop matter here. From the send deadline ([`Stop::unassigned_deadline`]) on, no
+//! runner gets a request that may outlast the process. At the answer deadline ([`Stop::deadline`]),
+//! the last answers have to go out.
 
 use std::future::Future;
 
@@ -22,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the process is stopping and ends before the request.
+/// Fails if the process is stopping and the request may outlast it.
 pub fn admit(node: &Node, ends: Instant) -> Result<(), Refusal> {
     match node.stop() {
         Some(stop) if outlasts(node, stop, ends) => Err(refusal(node, stop, ends)),
@@ -58,8 +59,8 @@
 
 /// Waits for `work` that a request needs before a runner gets it. If the process is stopping, waits
 /// at most until the send deadline if the request may outlast the process, and until the answer
-/// deadline otherwise. If the process's end cut the request off, its caller couldn't know that it
-/// has not run.
+/// deadline otherwise. If the process's end cut the request off, its caller couldn't know that
+/// the request has not run.
 ///
 /// # Errors
 ///
@@ -127,7 +128,7 @@
 fn refusal(node: &Node, stop: Stop, ends: Instant) -> Refusal {
     let now = node.clock.now();
     let detail = format!(
-        "the VM has been stopping for {}, ends in {}, and the request may need {}",
+        "the VM has been stopping for {}, requests have {} left, and this one may need {}",
         now.since(stop.begun()),
         stop.left(now),
         time_needed(ends)
--- a/crates/relay/src/shutdown/tests.rs
+++ b/crates/relay/src/shutdown/tests.rs
@@ -16,7 +16,7 @@
 use super::with_send_deadline;
 use crate::node::Node;
 
-/// Of this, the send deadline is after 1.1 s, and the answer deadline after 1.6 s.
+/// The grace period. The send deadline is 1.1 s after its start, the answer deadline 1.6 s.
 const GRACE: Millis = Millis::new(2_000);
 
 fn node() -> Arc<Node> {
@@ -84,9 +84,8 @@
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
-// A turn waits for VMs with a disk for longer than the time that it has, and the process ends
-// meanwhile. It isn't abandoned at the send deadline, because it should have been over before the
-// process ends. If it were cut off at that end, its caller wouldn't know that no runner got the
+// A turn waits for VMs with a disk beyond its own latest end, and the process ends meanwhile. It isn't abandoned at the send deadline, because it should have been over before the
+// process ends. If it were cut off when the process ends, its caller wouldn't know that no runner got the
 // turn.
 #[tokio::test]
 async fn overdue_request_is_refused_at_the_answer_deadline() {
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -42,23 +42,23 @@
 use crate::node;
 use crate::subject;
 
-/// How long it may take to connect to another VM.
+/// Timeout for connecting to another VM.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long sent bytes may go unacknowledged.
-const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long sent bytes may stay unacknowledged before the connection counts as dead.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long an unused connection is kept.
-const KEEP_UNUSED: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The most unused connections to another VM.
-const MAX_UNUSED_CONNECTIONS: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 /// How long a connection from another VM may be idle.
 const INCOMING_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
-/// How long a watch waits for a request to empty this VM.
-const WATCH_WAIT: Millis = Millis::new(20_000);
-/// The pause after a failed call.
+/// How long a watch waits at the service for the request to retire this VM.
+const WATCH_TIMEOUT: Millis = Millis::new(20_000);
+/// The pause after a failed call of the key-value service.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// How long the last answers may take to be sent.
+/// How long a stopping process waits until its last answers have been sent.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often the process checks whether they have been sent.
+/// How often a stopping process checks whether its last answers have been sent.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Runs the process until SIGTERM.
@@ -85,10 +85,10 @@
     );
     let http = Client::new(Limits {
         connect_timeout: CONNECT_TIMEOUT,
-        unacked_timeout: ACK_TIMEOUT,
-        idle_timeout: KEEP_UNUSED,
+        unacked_timeout: UNACKED_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
         reuse_delay: Duration::ZERO,
-        max_idle: MAX_UNUSED_CONNECTIONS,
+        max_idle: MAX_IDLE_CONNECTIONS,
     });
     let kv = Kv::new(http.clone(), settings.store, node::STORE_TIMEOUT);
     let (phase, phases) = watch::channel(Phase::Member);
@@ -184,7 +184,8 @@
     Ok(())
 }
 
-/// Empties the VM when operators request it, and reports the progress to them.
+/// Retires the VM when operators request it: its member leaves the list, and the other members copy
+/// what it holds. Reports the progress to the operators.
 async fn retire(
     kv: Kv,
     vm: String,
@@ -192,7 +193,7 @@
     mut phases: watch::Receiver<Phase>,
 ) {
     wait_for_request(&kv, &vm).await;
-    log::info!("text=\"operators asked to empty the VM\" vm={vm}");
+    log::info!("text=\"operators asked to retire the VM\" vm={vm}");
     write_status(&kv, &vm, keys::retire_running()).await;
     phase.send_replace(Phase::Leaving);
     if phases
@@ -203,7 +204,7 @@
         return;
     }
     write_status(&kv, &vm, keys::retire_complete()).await;
-    log::info!("text=\"the VM has been emptied\" vm={vm}");
+    log::info!("text=\"the VM is retired: other members hold everything that it held\" vm={vm}");
 }
 
 async fn wait_for_request(kv: &Kv, vm: &str) {
@@ -218,7 +219,7 @@
                     return;
                 }
             }
-            Err(fault) => log::debug!("requests to empty the VM can't be read: {fault}"),
+            Err(fault) => log::debug!("requests to retire the VM can't be read: {fault}"),
         }
         sleep(RETRY_PAUSE).await;
     }
@@ -230,7 +231,7 @@
     while let Ok(Update::Changes {
         changes,
         revision: next,
-    }) = kv.changes(key, revision, WATCH_WAIT).await
+    }) = kv.changes(key, revision, WATCH_TIMEOUT).await
     {
         revision = next.max(revision);
         let is_request = |change: &Change| matches!(change, Change::Set(entry) if entry.key == key);
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -50,7 +50,7 @@
 /// The most parts of an answer that wait for a slow caller. Beyond that, the runner's stream is not
 /// read further.
 const MAX_QUEUED_PARTS: usize = 32;
-/// How often a stream is resumed after a break.
+/// The most times that a stream is resumed after a break.
 const MAX_RESUMES: u32 = 3;
 /// How long the end of a stream is held back beyond the request's deadline while its text is being
 /// kept. The caller has all events by then, and giving up would make it repeat the whole turn.
@@ -395,7 +395,7 @@
 
 /// Records how fast the runner was.
 ///
-/// Measured from the runner's first event on. Otherwise the wait for a slot and the reading of the
+/// The pace is measured from the runner's first event on. Otherwise the wait for a slot and the reading of the
 /// prompt would make a runner that only got long prompts look slow.
 fn record_pace(job: &Job, attempt: &Attempt, state: &State, events_before: u64, end: &End) {
     let events = state.events - events_before;
@@ -488,8 +488,8 @@
     }
 }
 
-/// Keeps a turn's text and settles its tokens. Returns `false` if the text has to be kept and could
-/// not be.
+/// Keeps a turn's text, then settles its tokens; does nothing if the route doesn't keep turns.
+/// Returns `false`, without settling, if the text has to be kept and could not be.
 async fn keep_turn(job: &Job, account: Option<Account>, used: u32, output: &Bytes) -> bool {
     if !is_kept(&job.route) {
         return true;
--- a/crates/relay/src/subject.rs
+++ b/crates/relay/src/subject.rs
@@ -52,8 +52,8 @@
 pub enum Source {
     /// By watching the key-value service.
     Store,
-    /// By reading a copy at the service now and then. The copy may be seconds old and a read costs
-    /// a tenth.
+    /// By reading a copy at the service now and then. The copy may be seconds old; reading it costs
+    /// a tenth of a read of the latest entries.
     Copy,
     /// From messages of other VMs.
     Peers,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Decides where a VM learns of a subject. `role` is the VM's part in the exchange, `is_reader`
+/// Decides where a VM learns of a subject. `role` is the VM's role in the exchange, `is_reader`
 /// whether it reads the runners for the other VMs, and `stale` whether the information from other
 /// VMs is too old.
 ///
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -10,7 +10,7 @@
 /// One version of the configuration, indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// The version.
+    /// Version of the configuration.
     pub version: u64,
     /// Whether a configuration has been read yet.
     pub loaded: bool,
@@ -58,7 +58,7 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Finds a service.
+    /// Finds a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         let found = self
--- a/crates/relay/src/tally/tests.rs
+++ b/crates/relay/src/tally/tests.rs
@@ -21,8 +21,8 @@
     Origin::Vm(name.to_owned())
 }
 
-/// Returns what a VM that considers itself a hub sends to another one of its data centre that does
-/// as well.
+/// Returns what one of two VMs sends to the other, where both consider themselves the hub of their
+/// data centre.
 fn forwarded_sum(from: &Reports, own: u32, to: &str) -> Tally {
     let counts = |origin: &Origin| is_forwarded(origin, Recipient::SameCentre(to), "a", |_| true);
     tally(own + from.sum(NOW, counts).0)
--- a/crates/relay/tests/ending.rs
+++ b/crates/relay/tests/ending.rs
@@ -24,7 +24,7 @@
 use wire::clock::Clock;
 use wire::clock::Millis;
 
-/// Of this, the send deadline is after 1.1 s, and the answer deadline after 1.6 s.
+/// The grace period. The send deadline is 1.1 s after its start, the answer deadline 1.6 s.
 const GRACE: Millis = Millis::new(2_000);
 
 /// The answer that a caller gets.
@@ -70,7 +70,8 @@
     node
 }
 
-/// Serves a request that was accepted before the stop, on a route of a kind that allows 20 s.
+/// Serves a request that was accepted before the stop, on a route of this kind with a time limit of
+/// 20 s.
 async fn ask(node: &Arc<Node>, kind: &str, rest: &str) -> Reply {
     let job = support::job(node, &support::table(kind, rest), "q-1");
     let guard = node.work.begin(Kind::Answer, "q-1");
@@ -92,7 +93,7 @@
 
 /// A request was accepted before the stop, and its runner works on it without end. When the process
 /// ends, the caller's connection would be closed without an answer. So the caller is told before
-/// that the outcome is unknown, with a status that doesn't promise that nothing has run, as 503
+/// the end that the outcome is unknown, with a status that doesn't promise that nothing has run, as 503
 /// would.
 #[rstest]
 #[case::repeatable("idempotent")]
--- a/crates/relay/tests/failing.rs
+++ b/crates/relay/tests/failing.rs
@@ -105,12 +105,12 @@
     node
 }
 
-/// What the callers got.
+/// Counts of callers' requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Results {
     requests: u32,
     failed: u32,
-    /// Requests that took several times the usual work.
+    /// Requests that took more than four times [`WORK_TIME`].
     slow: u32,
 }
 
@@ -180,7 +180,7 @@
 
 /// A runner turns a request away and stalls within the refusal's body, which is read only so that
 /// the connection can be reused. If the body were waited for, the request, which no runner has,
-/// would be held beyond its deadline and beyond the process's last call.
+/// would be held beyond its deadline and beyond the send deadline of a stopping process.
 #[tokio::test]
 async fn stalled_refusal_body_does_not_delay_the_answer() {
     let node = node(&[Behaviour::StallsRefusal]).await;
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -59,7 +59,7 @@
         let at = world.since_start();
         assert!(
             known.is_some(),
-            "at {at}: config {} leaves {} comes {}",
+            "at {at}, known to all VMs: configuration {}, leaving runner {}, new runner {}",
             world.agree_on_config(),
             world.agree_to_drop(&self.leaving),
             world.agree_to_use(&self.joining)
@@ -67,15 +67,19 @@
     }
 }
 
-/// Fails if a VM used a runner again that had left, or if too many VMs started exchanges with the
-/// same VM within a second. Allowed are those of its data centre, and as many others while data
-/// centres look for their hubs.
+/// Fails if a VM used a departed runner again, or if too many VMs started exchanges with the
+/// same VM within a second. Allowed are twice as many as a data centre has VMs: those
+/// of its own, and as many others while data centres look for their hubs.
 fn assert_invariants(world: &World) {
     assert_eq!(world.readmissions, [], "runners that left are used again");
     let of_centre = world.vms.len().div_ceil(CENTRES);
     for vm in &world.vms {
         let askers = vm.traffic.max_askers;
-        assert!(askers <= 2 * of_centre, "{}: {askers} askers", vm.name);
+        assert!(
+            askers <= 2 * of_centre,
+            "{}: {askers} VMs started exchanges with it within a second",
+            vm.name
+        );
     }
 }
 
@@ -163,8 +167,8 @@
 }
 
 /// One half of the VMs of each data centre can't reach the other half, while all reach the service.
-/// The bounds hold for both halves. When the partition heals, no VM uses a runner again that has
-/// left.
+/// The bounds hold for both halves. When the partition heals, no VM uses a departed runner
+/// again.
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
--- a/crates/relay/tests/fleet_model/network.rs
+++ b/crates/relay/tests/fleet_model/network.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Number of messages in a thousand that are late.
+/// Number of messages in a thousand that are late, by 20 to 120 ms.
 const LATE_PER_MILLE: u32 = 10;
 
 /// A sender or recipient of messages.
--- a/crates/relay/tests/fleet_model/queue.rs
+++ b/crates/relay/tests/fleet_model/queue.rs
@@ -24,10 +24,10 @@
     LeaseExpires {
         /// The VM whose entry the lease keeps.
         vm: usize,
-        /// When the lease lapses unless it was renewed.
+        /// When the lease lapses unless it was renewed, in milliseconds.
         due: u64,
     },
-    /// A watch has reached its timeout at the service.
+    /// The watch of this number has reached its timeout at the service.
     WatchEnds(u64),
     /// The service renews its copies.
     RenewCopy,
@@ -52,7 +52,7 @@
         by: usize,
         /// The other VM's number of starts and ends when it sent the message.
         incarnation: u64,
-        /// When the message was sent.
+        /// When the message was sent, in milliseconds.
         sent: u64,
         /// The message.
         message: Box<Message>,
@@ -74,7 +74,7 @@
     pub follower: usize,
     /// The requested data.
     pub ask: Ask,
-    /// When the call times out.
+    /// When the call times out, in milliseconds.
     pub until: u64,
 }
 
--- a/crates/relay/tests/fleet_model/simulate.rs
+++ b/crates/relay/tests/fleet_model/simulate.rs
@@ -178,9 +178,9 @@
     /// Answers the watches for which there are changes.
     pub(super) fn answer_watches(&mut self) {
         let store = &self.store;
-        let has_news =
+        let has_changes =
             |watch: &mut Watch| store.has_changed(SUBJECTS[watch.follower].prefix(), watch.after);
-        let answered: Vec<Watch> = self.watches.extract_if(.., has_news).collect();
+        let answered: Vec<Watch> = self.watches.extract_if(.., has_changes).collect();
         for watch in answered {
             self.answer_watch(watch);
         }
@@ -191,14 +191,14 @@
             return;
         }
         let prefix = SUBJECTS[watch.follower].prefix();
-        let news = self.store.changes(prefix, watch.after);
-        let bytes = store::news_bytes(&news);
+        let update = self.store.changes(prefix, watch.after);
+        let bytes = store::update_bytes(&update);
         let call = Call {
             follower: watch.follower,
             ask: Ask::Watch(watch.after),
             until: watch.until,
         };
-        self.return_answer(watch.vm, call, Answer::Watched(Ok(news)), bytes);
+        self.return_answer(watch.vm, call, Answer::Watched(Ok(update)), bytes);
     }
 
     fn return_answer(&mut self, vm: usize, call: Call, answer: Answer, bytes: usize) {
@@ -216,7 +216,7 @@
         let follower_state = &mut process.followers[follower];
         let pause = match answer {
             Answer::Listed(listed) => follower_state.listed(&node, listed),
-            Answer::Watched(news) => follower_state.watched(&node, news),
+            Answer::Watched(update) => follower_state.watched(&node, update),
         };
         let pause = Millis::from(pause).as_u64();
         self.schedule(vm, pause, Step::Follow(follower));
@@ -342,7 +342,7 @@
         self.schedule(vm, LOAD_INTERVAL_MS, Step::ChangeLoad);
     }
 
-    /// Records a runner that left, that the VM had stopped using, and that it uses again.
+    /// Records the departed runners that the VM had stopped using and now uses again.
     fn record_readmissions(&mut self, vm: usize) {
         let at = self.since_start();
         let Vm { name, process, .. } = &mut self.vms[vm];
--- a/crates/relay/tests/fleet_model/store.rs
+++ b/crates/relay/tests/fleet_model/store.rs
@@ -99,9 +99,9 @@
     listing.entries.iter().map(entry_bytes).sum()
 }
 
-/// Returns the size of changes in bytes.
-pub fn news_bytes(news: &Update) -> usize {
-    let Update::Changes { changes, .. } = news else {
+/// Returns the size of changes in bytes, with values in base64.
+pub fn update_bytes(update: &Update) -> usize {
+    let Update::Changes { changes, .. } = update else {
         return 0;
     };
     let bytes = |change: &Change| match change {
--- a/crates/relay/tests/fleet_model/traffic.rs
+++ b/crates/relay/tests/fleet_model/traffic.rs
@@ -146,7 +146,7 @@
         self.askers.insert(by);
     }
 
-    /// Completes a second.
+    /// Updates `max_askers` at the end of a second.
     pub fn end_second(&mut self) {
         self.max_askers = self.max_askers.max(self.askers.len());
         self.askers.clear();
--- a/crates/relay/tests/fleet_model/view.rs
+++ b/crates/relay/tests/fleet_model/view.rs
@@ -1,4 +1,5 @@
-//! The views of runners and configuration that have to agree, and violations by VMs.
+//! The views of runners and configuration that have to agree, and departed runners that a VM used
+//! again.
 
 use adapter::config;
 use adapter::kv::Freshness;
@@ -9,7 +10,7 @@
 use super::vm::Process;
 use super::world::World;
 
-/// A runner that had left and was used again.
+/// A departed runner that was used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Readmission {
     /// The VM that used it again.
--- a/crates/relay/tests/fleet_model/world.rs
+++ b/crates/relay/tests/fleet_model/world.rs
@@ -30,7 +30,7 @@
 const POLL_INTERVAL_MS: u64 = 10;
 /// Name of the service of all runners.
 const SERVICE: &str = "models";
-/// Number of messages in a thousand that are lost.
+/// Number of messages in a thousand that are lost and retransmitted.
 const LOST_PER_MILLE: u32 = 2;
 
 /// Size of a fleet.
@@ -59,12 +59,12 @@
     pub store: Store,
     /// The network.
     pub network: Network,
-    /// Runners that had left and were used again.
+    /// Departed runners that were used again.
     pub readmissions: Vec<Readmission>,
     pub(super) queue: Queue,
     pub(super) watches: Vec<Watch>,
     pub(super) watch_count: u64,
-    /// When each VM's lease lapses; 0 for a VM without a lease.
+    /// When each VM's lease lapses, in milliseconds; 0 for a VM without a lease.
     pub(super) leases: Vec<u64>,
     pub(super) departed: BTreeSet<String>,
     time: Arc<AtomicU64>,
@@ -112,12 +112,12 @@
         world
     }
 
-    /// Returns the current time.
+    /// Returns the current time in milliseconds.
     pub fn now(&self) -> u64 {
         self.time.load(Ordering::SeqCst)
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start in milliseconds.
     pub fn since_start(&self) -> u64 {
         self.now() - START_TIME_MS
     }
@@ -238,7 +238,8 @@
         self.set_now(end);
     }
 
-    /// Simulates until `holds` is true, for at most `max_ms`. Returns how long it took.
+    /// Simulates until `holds` is true, for at most `max_ms`. Returns how long it took in
+    /// milliseconds; `None` if it did not become true.
     pub fn run_until(&mut self, max_ms: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
         let begin = self.now();
         while self.now() - begin <= max_ms {
@@ -287,7 +288,7 @@
         vms.map(|vm| vm.name.clone()).collect()
     }
 
-    /// Returns the names of the running VMs that know of fewer requests at a runner.
+    /// Returns the names of the running VMs that know of fewer than `requests` requests at a runner.
     pub fn vms_counting_less(&self, runner: &str, requests: u32) -> Vec<String> {
         let counts_less = |vm: &&Vm| {
             let process = vm.process.as_ref();
@@ -300,7 +301,7 @@
             .collect()
     }
 
-    /// Returns the names of the running VMs that know of at least this many requests at a runner.
+    /// Returns the names of the running VMs that know of at least `requests` requests at a runner.
     pub fn vms_counting(&self, runner: &str, requests: u32) -> Vec<String> {
         let less = self.vms_counting_less(runner, requests);
         let counts = |vm: &&Vm| vm.process.is_some() && !less.contains(&vm.name);
