--- a/crates/relay/examples/fleet/measure.rs
+++ b/crates/relay/examples/fleet/measure.rs
@@ -124,7 +124,8 @@
     world.run_until(AGREEMENT_TIMEOUT_MS, World::agree_on_config)
 }
 
-/// Gives the last VM many requests at a runner. Returns how long it took until all VMs counted them.
+/// Gives the last VM many requests at a runner. Returns how long it took until all VMs counted
+/// them.
 fn time_until_counted(world: &mut World, runner: &str) -> Option<u64> {
     let last = world.vms.len() - 1;
     world.set_requests(last, runner, 2 * MARKER_REQUESTS);
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -41,8 +41,8 @@
 
 /// The time limit of a request that states none.
 const DEFAULT_TIME_LIMIT: Millis = Millis::new(30_000);
-/// The smallest limit, in bytes, up to which a refused request's body is read and discarded. Before a
-/// configuration is loaded, it is the only limit.
+/// The smallest limit, in bytes, up to which a refused request's body is read and discarded. Before
+/// a configuration is loaded, it is the only limit.
 const MIN_DISCARD_LIMIT: usize = 4 * 1024 * 1024;
 /// How long the rest of a refused request's body is read.
 const MAX_DISCARD_TIME: Duration = Duration::from_secs(1);
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -39,8 +39,8 @@
     // refused, the listener would stay open to the last moment and keep the next process from
     // serving.
     wait_until(|| stop.closes_listener(node.clock.now(), requests(node))).await;
-    // A request that is accepted after the last check would be cut off, so no
-    // connection is accepted any more by then.
+    // A request that is accepted after the last check would be cut off, so no connection is
+    // accepted any more by then.
     connections.closed.cancel();
     if timeout(LISTENER_CLOSE_TIMEOUT, listener).await.is_err() {
         log::warn!("text=\"the listener for callers did not close in time\"");
--- a/crates/relay/src/drain/tests.rs
+++ b/crates/relay/src/drain/tests.rs
@@ -36,10 +36,10 @@
     }
 }
 
-/// A request is in progress until the last moment. If the listener stayed open until the process ends,
-/// connections still waiting to be accepted would then be accepted and reset unread, and their
-/// callers wouldn't know whether their requests ran. So the listener closes while there is time to
-/// answer, and the process doesn't end any sooner for it.
+/// A request is in progress until the last moment. If the listener stayed open until the process
+/// ends, connections still waiting to be accepted would then be accepted and reset unread, and
+/// their callers wouldn't know whether their requests ran. So the listener closes while there is
+/// time to answer, and the process doesn't end any sooner for it.
 #[tokio::test]
 async fn listener_closes_while_there_is_time_to_answer() {
     let process = stopping(Millis::new(2_000)).await;
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet.rs
@@ -28,8 +28,8 @@
 /// Cost of a round trip to another data centre for a request that may be repeated, in milliseconds.
 pub const REMOTE_COST_MS: f64 = 3.0;
 /// The same for a call that may run at most once. If the network breaks before the answer, the
-/// call's outcome stays unknown and its program ends. So a runner in the VM's own data centre is worth
-/// half the duration of a usual call.
+/// call's outcome stays unknown and its program ends. So a runner in the VM's own data centre is
+/// worth half the duration of a usual call.
 pub const REMOTE_COST_AT_MOST_ONCE_MS: f64 = 15.0;
 
 /// The runners, sorted by id.
--- a/crates/relay/src/fleet/health.rs
+++ b/crates/relay/src/fleet/health.rs
@@ -26,8 +26,8 @@
 
 impl Fleet {
     /// Records that a connection to a runner failed or broke. Returns where to probe the runner if
-    /// it counted as reachable before. The runner gets no requests until a new connection is made: in a
-    /// partition, each request sent there would wait in vain.
+    /// it counted as reachable before. The runner gets no requests until a new connection is made:
+    /// in a partition, each request sent there would wait in vain.
     pub fn note_unreachable(&mut self, id: &str, now: Millis) -> Option<Target> {
         let runner = self.runner(id)?;
         runner.held_off_until = now.plus(hold_off_span(runner.broken_requests));
--- a/crates/relay/src/follow/outage.rs
+++ b/crates/relay/src/follow/outage.rs
@@ -10,8 +10,8 @@
 use crate::subject::Subject;
 
 /// The longest pause after failed calls for the system's own keys, and for VMs that read the
-/// runners only because the reader doesn't. So many VMs call at once then that retries in quick
-/// succession would keep the service busy with refusals.
+/// runners only because the reader doesn't. Many VMs call at once in these cases, and shorter
+/// pauses would keep the service busy with refusals.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
 /// The longest pause after failed calls for the configuration. Under a third of the time in which a
 /// configuration has to be in force, and long enough that VMs refused by the service don't keep it
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -35,7 +35,8 @@
 /// callers close first.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 /// How often the members (VMs with a disk) are checked: often enough that a partition is noticed
-/// before the load balancer's next readiness check, and that turns are served again soon after it ends.
+/// before the load balancer's next readiness check, and that turns are served again soon after it
+/// ends.
 const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// How often the members are checked while too few answer. Each turn is refused until enough do,
 /// and after a restart of all VMs the callers retry within some hundred milliseconds.
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -43,8 +43,8 @@
 /// The longest refusal body of a runner that is read, in bytes, so that the connection can be
 /// reused.
 const MAX_REFUSAL_BYTES: usize = 64 * 1024;
-/// How long a refusal's body may take to arrive. The request, which no runner has, waits
-/// meanwhile, and a new connection costs less than a longer wait.
+/// How long a refusal's body may take to arrive. The request, which no runner has, waits meanwhile,
+/// and a new connection costs less than a longer wait.
 const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A request that was read and routed.
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Decides from the head of an answer whether the runner took the request, and records what
-    /// the head says about the runner.
+    /// Decides from the head of an answer whether the runner took the request, and records what the
+    /// head says about the runner.
     async fn classify_reply(&self, mut reply: Reply, attempt: Attempt) -> SendOutcome {
         let answer_headers = header::answer(&reply.head.headers);
         let now = self.node.clock.now();
@@ -383,8 +383,8 @@
     }
 }
 
-/// Returns whether a status is a failure of the runner itself. A gateway timeout isn't: that
-/// runner was slow, which shows in the time that it took.
+/// Returns whether a status is a failure of the runner itself. A gateway timeout isn't: that runner
+/// was slow, which shows in the time that it took.
 #[must_use]
 pub fn is_runner_failure(status: StatusCode) -> bool {
     status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT
--- a/crates/relay/src/member_health.rs
+++ b/crates/relay/src/member_health.rs
@@ -2,16 +2,15 @@
 //! refused because they don't.
 //!
 //! A turn needs a majority of the members. In a data centre that is cut off, every turn would wait
-//! in vain, and its caller would come back to the same VM until the load balancer sends the
-//! caller elsewhere. So the VM checks the members often, reports itself as not ready to the load balancer
+//! in vain, and its caller would come back to the same VM until the load balancer sends the caller
+//! elsewhere. So the VM checks the members often, reports itself as not ready to the load balancer
 //! after the first failed check, refuses turns at once from the second failed check on, and asks
 //! their callers to come back when the load balancer is expected to have noticed.
 //!
 //! A turn whose records can't be read or whose tokens can't be reserved makes the VM suspect its
-//! members. Their disks may be slow while they still answer. Counting the members as
-//! lost then would refuse turns and break off answers that only have to wait. So a suspicion counts as
-//! one failed check, however many turns raise it, and a check is made at once to confirm or clear
-//! it.
+//! members. Their disks may be slow while they still answer. Counting the members as lost then
+//! would refuse turns and break off answers that only have to wait. So a suspicion counts as one
+//! failed check, however many turns raise it, and a check is made at once to confirm or clear it.
 
 use std::time::Duration;
 
--- a/crates/relay/src/member_health/tests.rs
+++ b/crates/relay/src/member_health/tests.rs
@@ -36,9 +36,9 @@
 }
 
 /// Several turns can't reserve their tokens, because the disks of two members are slow; both
-/// members answer. The turns in progress wait for the members, and other turns arrive: only a check that fails as
-/// well shows that the members are lost. Meanwhile the load balancer is told that the VM isn't
-/// ready.
+/// members answer. The turns in progress wait for the members, and other turns arrive: only a check
+/// that fails as well shows that the members are lost. Meanwhile the load balancer is told that the
+/// VM isn't ready.
 #[test]
 fn suspicions_by_turns_alone_do_not_lose_the_members() {
     let mut health = serving();
@@ -66,8 +66,8 @@
     assert!(!health.serves_turns());
 }
 
-/// A turn is refused by a VM that is cut off. Its caller has few tries: the caller should come back when
-/// the load balancer will send it to another VM, not before, and not long after.
+/// A turn is refused by a VM that is cut off. Its caller has few tries: the caller should come back
+/// when the load balancer will send it to another VM, not before, and not long after.
 #[test]
 fn refused_turn_is_retried_when_the_balancer_has_noticed() {
     let mut health = serving();
--- a/crates/relay/src/node.rs
+++ b/crates/relay/src/node.rs
@@ -192,8 +192,8 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// In the first `START_WAIT` after the process's start, waits until `known` holds, at most until
-    /// the time `until`. Returns at once after that phase.
+    /// In the first `START_WAIT` after the process's start, waits until `known` holds, but not
+    /// beyond `until`. Later, returns at once.
     ///
     /// After a power loss of all VMs, callers retry within the first tens of milliseconds, and each
     /// refusal would use up one of the few attempts that a turn has.
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -97,10 +97,10 @@
     assert!(!peers.is_reader("vm-003", later));
 }
 
-/// A runner's entry is removed while the VM that reads the entries for all is stopping, and the next
-/// one by name as well. If each were considered the reader until it had been silent for a second, the
-/// other VMs would learn of the removal more than two seconds later, and send requests to a runner
-/// that is gone.
+/// A runner's entry is removed while the VM that reads the entries for all is stopping, and the
+/// next one by name as well. If each were considered the reader until it had been silent for a
+/// second, the other VMs would learn of the removal more than two seconds later, and send requests
+/// to a runner that is gone.
 #[test]
 fn stopping_readers_are_skipped() {
     let mut peers = peers(6);
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -59,8 +59,8 @@
 
 /// Waits for `work` that a request needs before a runner gets it. If the process is stopping, waits
 /// at most until the send deadline if the request may outlast the process, and until the answer
-/// deadline otherwise. If the process's end cut the request off, its caller couldn't know that
-/// the request has not run.
+/// deadline otherwise. If the process's end cut the request off, its caller couldn't know that the
+/// request has not run.
 ///
 /// # Errors
 ///
--- a/crates/relay/src/shutdown/tests.rs
+++ b/crates/relay/src/shutdown/tests.rs
@@ -84,9 +84,9 @@
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
-// A turn waits for VMs with a disk beyond its own latest end, and the process ends meanwhile. It isn't abandoned at the send deadline, because it should have been over before the
-// process ends. If it were cut off when the process ends, its caller wouldn't know that no runner got the
-// turn.
+// A turn waits for VMs with a disk beyond its own latest end, and the process ends meanwhile. It
+// isn't abandoned at the send deadline, because it should have been over before the process ends.
+// If it were cut off when the process ends, its caller wouldn't know that no runner got the turn.
 #[tokio::test]
 async fn overdue_request_is_refused_at_the_answer_deadline() {
     let node = node();
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -395,8 +395,8 @@
 
 /// Records how fast the runner was.
 ///
-/// The pace is measured from the runner's first event on. Otherwise the wait for a slot and the reading of the
-/// prompt would make a runner that only got long prompts look slow.
+/// The pace is measured from the runner's first event on. Otherwise the wait for a slot and the
+/// reading of the prompt would make a runner that only got long prompts look slow.
 fn record_pace(job: &Job, attempt: &Attempt, state: &State, events_before: u64, end: &End) {
     let events = state.events - events_before;
     let now = job.node.clock.now();
--- a/crates/relay/tests/ending.rs
+++ b/crates/relay/tests/ending.rs
@@ -93,8 +93,8 @@
 
 /// A request was accepted before the stop, and its runner works on it without end. When the process
 /// ends, the caller's connection would be closed without an answer. So the caller is told before
-/// the end that the outcome is unknown, with a status that doesn't promise that nothing has run, as 503
-/// would.
+/// the end that the outcome is unknown, with a status that doesn't promise that nothing has run, as
+/// 503 would.
 #[rstest]
 #[case::repeatable("idempotent")]
 #[case::once("non_idempotent")]
--- a/crates/relay/tests/fleet.rs
+++ b/crates/relay/tests/fleet.rs
@@ -67,9 +67,9 @@
     }
 }
 
-/// Fails if a VM used a departed runner again, or if too many VMs started exchanges with the
-/// same VM within a second. Allowed are twice as many as a data centre has VMs: those
-/// of its own, and as many others while data centres look for their hubs.
+/// Fails if a VM used a departed runner again, or if too many VMs started exchanges with the same
+/// VM within a second. Allowed are twice as many as a data centre has VMs: those of its own, and as
+/// many others while data centres look for their hubs.
 fn assert_invariants(world: &World) {
     assert_eq!(world.readmissions, [], "runners that left are used again");
     let of_centre = world.vms.len().div_ceil(CENTRES);
@@ -167,8 +167,7 @@
 }
 
 /// One half of the VMs of each data centre can't reach the other half, while all reach the service.
-/// The bounds hold for both halves. When the partition heals, no VM uses a departed runner
-/// again.
+/// The bounds hold for both halves. When the partition heals, no VM uses a departed runner again.
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
--- a/crates/relay/tests/fleet_model/world.rs
+++ b/crates/relay/tests/fleet_model/world.rs
@@ -288,7 +288,8 @@
         vms.map(|vm| vm.name.clone()).collect()
     }
 
-    /// Returns the names of the running VMs that know of fewer than `requests` requests at a runner.
+    /// Returns the names of the running VMs that know of fewer than `requests` requests at a
+    /// runner.
     pub fn vms_counting_less(&self, runner: &str, requests: u32) -> Vec<String> {
         let counts_less = |vm: &&Vm| {
             let process = vm.process.as_ref();
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Creates a table with one route of a kind; `extra_fields` are added to the end of its
-/// JSON object.
+/// Creates a table with one route of a kind; `extra_fields` are added to the end of its JSON
+/// object.
 pub fn table(kind: &str, extra_fields: &str) -> Arc<Table> {
     let route = fakes::store::route("r", kind, SERVICE, TIME_LIMIT.as_u64(), extra_fields);
     let document = format!(r#"{{"version":1,"services":[],"routes":[{route}]}}"#);
