--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -44,9 +44,10 @@
 
 async fn measure_appends() {
     println!(
-        "\nappends of one committed turn of {TEXT_LEN} + {TEXT_LEN} bytes, platform answers in 2 ms"
+        "\nappends of one committed turn, its question and answer of {TEXT_LEN} bytes each, \
+         platform answers in 2 ms"
     );
-    println!("callers  turns/s  writes/s  turns/write  p50 ms  p95 ms  processor us/turn");
+    println!("callers  turns/s  writes/s  turns/write  p50 ms  p95 ms        CPU us/turn");
     for callers in [1_usize, 8, 32, 256] {
         let memory = Memory::default();
         let opened = open(&memory, RESPONSE_TIME).await;
@@ -83,14 +84,16 @@
     while start.elapsed() < MEASURED_TIME {
         let append_start = Instant::now();
         let record = committed(caller, 1, 1);
-        log.append(vec![record]).await.expect("the append lands");
+        log.append(vec![record]).await.expect("the append succeeds");
         durations.push(append_start.elapsed());
     }
     durations
 }
 
 fn measure_programs() {
-    println!("\nstate in memory, programs of 2 turns of {TEXT_LEN} + {TEXT_LEN} bytes");
+    println!(
+        "\nstate in memory, programs of 2 turns, each question and answer of {TEXT_LEN} bytes"
+    );
     println!("programs  KB/program  decide+apply us/turn  image MB  image ms");
     for programs in [1_000, 10_000, 100_000] {
         let before = resident_bytes();
@@ -145,12 +148,12 @@
         now: Millis::ZERO,
     };
     let record = decision::commit(state, commit).expect("the turn fits a key");
-    state.apply(&record.expect("the attempt runs"));
+    state.apply(&record.expect("the attempt is running"));
 }
 
 async fn measure_rebuilds() {
-    println!("\ntakeover of a shard, platform answers in 2 ms, a turn in each batch");
-    println!("batches  from the journal ms (processor)  from an image ms (processor)");
+    println!("\ntakeover of a shard, platform answers in 2 ms, a turn in every three batches");
+    println!("batches    from the journal, ms (CPU ms)    from an image, ms (CPU ms)");
     for batches in [1_000_usize, 10_000] {
         let memory = Memory::default();
         fill(&memory, batches).await;
@@ -182,11 +185,11 @@
                 .log
                 .append(vec![record])
                 .await
-                .expect("the append lands");
+                .expect("the append succeeds");
         }
         let record = committed(program, 1, 1);
         let append = opened.log.append(vec![record]);
-        append.await.expect("the append lands");
+        append.await.expect("the append succeeds");
     }
 }
 
@@ -216,7 +219,7 @@
         epoch: 1,
         copies: Vec::new(),
     };
-    State::rebuild([&opened]).expect("the record fits")
+    State::rebuild([&opened]).expect("the record matches the state")
 }
 
 fn created(program: usize) -> Record {
@@ -344,9 +347,13 @@
         self.memory.read(key).await
     }
 
-    async fn commit(&self, txn: &edge::Txn, weight: edge::Priority) -> edge::Result<edge::Outcome> {
+    async fn commit(
+        &self,
+        txn: &edge::Txn,
+        priority: edge::Priority,
+    ) -> edge::Result<edge::Outcome> {
         self.wait().await;
-        self.memory.commit(txn, weight).await
+        self.memory.commit(txn, priority).await
     }
 
     async fn grant(&self, ttl: Millis) -> edge::Result<edge::Lease> {
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -4,11 +4,17 @@
 //! The ownership record decides which VM tries; the [`Record::Opened`] in the journal is the fence
 //! that makes the next append of every earlier owner fail.
 //!
-//! The steps of a claim: read the journal; write the ownership record if it is free; collect the
-//! batches that other VMs hold for the old owner, which also fences the old owner on those VMs;
-//! write these batches to the journal keys and with the bytes that the old owner chose, so that the
-//! result is the same whichever of the two writes them; then append the fence. Records that the old
-//! owner appends in the meantime are read and applied as usual.
+//! A claim takes these steps:
+//!
+//! 1. Read the journal.
+//! 2. Write the ownership record if it is free.
+//! 3. Collect the batches that other VMs hold for the old owner, which also fences the old owner on
+//!    those VMs.
+//! 4. Write these batches to the journal, with the keys and the bytes that the old owner chose, so
+//!    that the result is the same whether the claimer or the old owner writes them.
+//! 5. Append the fence.
+//!
+//! Records that the old owner appends in the meantime are read and applied as usual.
 //!
 //! After an outage all leases have expired at once. Claimers therefore wait for one lease time
 //! first, so that the owners can [`reclaim`] their shards.
@@ -45,13 +51,14 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// How often one key is sent before the claim fails; the caller then starts the claim again.
+/// The maximum number of sends of one key. After that the claim fails, and the caller starts it
+/// again.
 const MAX_TRIES: u32 = 5;
 
 /// The value of the ownership key `owner/<centre>/<index>`. The key expires with the owner's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
-    /// The owner.
+    /// The VM that owns the shard.
     pub vm: id::Vm,
     /// One more than the epoch of the shard's previous opening.
     pub epoch: u64,
@@ -76,7 +83,8 @@
     /// The ownership record belongs to another VM.
     #[display("{} owns the shard", _0.vm)]
     Owned(#[error(not(source))] Ownership),
-    /// Another VM has claimed or opened the shard in the meantime.
+    /// In the meantime, another VM has claimed or opened the shard, or the old owner has written a
+    /// snapshot.
     #[display("another VM claims the shard")]
     Raced,
     /// A VM that may hold pending batches doesn't answer, and the platform still lists it.
@@ -117,8 +125,8 @@
 ///
 /// Returns a [`Fault`]; the caller may try again later.
 pub async fn open(setup: Setup, lease: edge::Lease) -> Result<Opened> {
-    // Checked before the journal is read, which may be long, so that claiming a shard that has an
-    // owner costs only one read.
+    // The record is checked before the journal, which may be long, is read: claiming a shard that
+    // has an owner then costs only one read.
     let expected = free_revision(&setup).await?;
     let mut loaded = load::load(setup.platform.as_ref(), &setup.shard).await?;
     let epoch = loaded.state.epoch() + 1;
@@ -179,7 +187,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the platform doesn't answer as expected; the record then goes when the lease expires.
+/// Fails if the platform doesn't answer as expected; the record is then deleted when the lease
+/// expires.
 pub async fn release(setup: &Setup, epoch: u64) -> Result<()> {
     let key = key::owner(&setup.shard);
     let Some(entry) = setup.platform.read(&key).await? else {
@@ -289,9 +298,9 @@
     }
 }
 
-/// Writes a value to the key at the journal's end. Returns `false` if that key holds another value:
-/// the other value is applied, and the journal's end moves on by one key. Fails if a newer owner
-/// wrote the other value.
+/// Writes a value to the journal key after the last one that was read. Returns `false` if that key
+/// already holds another value: the rest of the journal is then read and applied. Fails if a newer
+/// owner wrote a part of it.
 async fn append_value(
     setup: &Setup,
     loaded: &mut Loaded,
@@ -331,8 +340,7 @@
     }
 }
 
-/// Tells the holders that served the old owner that its batches are in the journal, so that they
-/// drop them.
+/// Tells the old owner's copy holders that its batches are in the journal and can be dropped.
 async fn notify_drained(setup: &Setup, loaded: &Loaded, held: &[copy::Batch]) {
     if held.is_empty() {
         return;
--- a/crates/journal/src/claim/load.rs
+++ b/crates/journal/src/claim/load.rs
@@ -25,8 +25,8 @@
 /// that the platform's response time is small compared with the transfer, and small compared with a
 /// VM's memory.
 const PAGE_BYTES: usize = 4 * 1024 * 1024;
-/// How often a journal that changes during the read is read. Each image takes hundreds of appends,
-/// so an image rarely changes twice during one read.
+/// The maximum number of reads of a journal that changes while it is read. A new image follows only
+/// after hundreds of appends, so the image rarely changes twice during one read.
 const MAX_READS: u32 = 5;
 
 /// A shard as far as it has been read.
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads a shard. Reads it again, [`MAX_READS`] times in all, while it appears damaged.
+/// Reads a shard, up to [`MAX_READS`] times while it appears damaged.
 pub(super) async fn load(platform: &dyn Platform, shard: &id::Shard) -> Result<Loaded> {
     let mut fault = Fault::Raced;
     for _ in 0..MAX_READS {
--- a/crates/journal/src/copy.rs
+++ b/crates/journal/src/copy.rs
@@ -17,7 +17,7 @@
 /// A VM that may hold copies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
-    /// The VM.
+    /// The name of the VM.
     pub vm: id::Vm,
     /// Random for each start of the VM's process. A restarted VM has lost its copies, and without
     /// this number couldn't be told from a VM that never held any.
@@ -27,7 +27,7 @@
 /// A batch that waits for the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The epoch of the owner that wrote it.
+    /// The epoch of the owner that formed the batch.
     pub epoch: u64,
     /// The number of the journal key that the batch is meant for.
     pub seq: u64,
@@ -95,7 +95,7 @@
     async fn keep(&self, shard: &id::Shard, held: Vec<Batch>);
 
     /// Tells a VM that the batches of a shard up to `seq` are in the journal ([`Store::drained`]).
-    /// The message may get lost: later batches of a higher epoch also drop the older ones.
+    /// A lost message does no harm: a batch of a higher epoch also drops the older ones.
     async fn drained(&self, holder: &Holder, shard: &id::Shard, epoch: u64, seq: u64);
 }
 
@@ -103,7 +103,9 @@
 #[derive(Debug)]
 pub struct Store {
     incarnation: u64,
+    /// The maximum size of all held batches, in bytes.
     limit: usize,
+    /// The size of all held batches, in bytes.
     used: usize,
     shards: Vec<ShardCopies>,
 }
@@ -111,7 +113,7 @@
 #[derive(Debug)]
 struct ShardCopies {
     shard: id::Shard,
-    /// Owners of an earlier epoch are refused.
+    /// Batches and claims of a lower epoch are refused.
     fence: u64,
     /// Sorted by epoch and number.
     held: Vec<Batch>,
--- a/crates/journal/src/copy/replicate.rs
+++ b/crates/journal/src/copy/replicate.rs
@@ -1,4 +1,4 @@
-//! Offers a batch to all VMs that hold a shard's copies at the same time.
+//! Offers a batch at the same time to all VMs that hold a shard's copies.
 //!
 //! Prevents the failure "one hanging VM delays every turn of an outage": the first acknowledgements
 //! suffice, and the others may arrive later.
@@ -52,7 +52,8 @@
         match answer {
             Ok(Ok(())) => acks += 1,
             Ok(Err(Fault::Fenced(_))) => return Replication::Fenced,
-            // The VM panicked, was restarted, is full or is unreachable: no acknowledgement.
+            // The VM was restarted, is full or is unreachable, or the offer's task panicked: no
+            // acknowledgement.
             Ok(Err(_)) | Err(_) => {}
         }
         if acks >= required {
--- a/crates/journal/src/decision.rs
+++ b/crates/journal/src/decision.rs
@@ -5,8 +5,9 @@
 //! returns either the records that the caller must apply and append before it acts, or a refusal.
 //! The functions never change the state, so a decision that isn't used has no effect.
 //!
-//! Every refusal says `ran: no`, with two exceptions: an unknown outcome says `unknown`, and a turn
-//! that ran but is too large to be stored says `yes`.
+//! Every refusal says `ran: no`, with two exceptions: `unknown` if a call may have run
+//! ([`Code::OutcomeUnknown`], [`Code::OwnerLost`]), and `yes` if a turn ran but is too large to be
+//! stored.
 
 mod call;
 mod lifecycle;
--- a/crates/journal/src/decision/call.rs
+++ b/crates/journal/src/decision/call.rs
@@ -26,19 +26,19 @@
 /// A request for a call that may run at most once.
 #[derive(Clone, Copy, Debug)]
 pub struct Intend<'a> {
-    /// The program.
+    /// The program that the call belongs to.
     pub program: &'a id::Program,
     /// The caller that sent the request.
     pub caller: &'a id::Caller,
     /// The caller's idempotency key.
     pub key: &'a id::Key,
-    /// The digest of service, operation and body.
+    /// The digest of the service, the operation and the body.
     pub digest: id::Digest,
     /// The attempt's random ID.
     pub attempt: id::Attempt,
     /// The current time.
     pub now: Millis,
-    /// The state of the log. An intent counts only once it is in the journal; copies aren't enough.
+    /// The state of the log. An intent is durable only in the journal; copies aren't enough.
     pub status: Status,
 }
 
@@ -51,9 +51,9 @@
     Join(id::Attempt),
     /// The service has already answered.
     Replay {
-        /// The HTTP status.
+        /// The HTTP status of the service's answer.
         status: u16,
-        /// The body.
+        /// The body of the service's answer.
         body: &'a Bytes,
     },
 }
@@ -89,9 +89,12 @@
     }]))
 }
 
-/// Records the outcome of a call. Returns `None` if the call is already resolved, if its key
-/// belongs to another attempt, or if the outcome is [`Outcome::NotRun`] and an earlier owner made
-/// the call.
+/// Records the outcome of a call. An answer that is too large to be stored is recorded as
+/// [`Outcome::Unknown`].
+///
+/// Returns `None` if the call already has an outcome (only [`Outcome::Unknown`] may still be
+/// replaced, by an answer), if its key is unused or belongs to another attempt, or if the outcome
+/// is [`Outcome::NotRun`] and an earlier owner made the call.
 ///
 /// A caller whose append was [withheld](crate::log::Fault::Withheld) withdraws the call with
 /// [`Outcome::NotRun`].
--- a/crates/journal/src/decision/lifecycle.rs
+++ b/crates/journal/src/decision/lifecycle.rs
@@ -22,7 +22,7 @@
 /// A request to create a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Create<'a> {
-    /// The program.
+    /// The program's name.
     pub program: &'a id::Program,
     /// The caller that sent the request.
     pub caller: &'a id::Caller,
@@ -83,7 +83,8 @@
     Ok(stopped.into_iter().chain([ended]).collect())
 }
 
-/// Lists the programs whose idle limit has passed; the owner [`end`]s them.
+/// Lists the programs whose idle limit has passed and that have no turn running here; the owner
+/// [`end`]s them.
 pub fn idle_programs(state: &State, now: Millis) -> impl Iterator<Item = &id::Program> {
     let idle = move |program: &&Program| {
         program.ended.is_none()
@@ -107,7 +108,7 @@
 }
 
 /// Records that an endpoint holds no cache of an ended program. Returns `None` if this is already
-/// recorded.
+/// recorded or the program hasn't ended.
 #[must_use]
 pub fn cache_released(
     state: &State,
--- a/crates/journal/src/decision/tests.rs
+++ b/crates/journal/src/decision/tests.rs
@@ -347,8 +347,8 @@
 
 #[test]
 fn the_second_endpoint_that_crashes_poisons_the_content() {
-    // A request crashes its runner, is moved to another runner and crashes that one too. From then
-    // on it is refused, also in another program; other content isn't.
+    // A request crashes its endpoint, is moved to another endpoint and crashes that one too. From
+    // then on the request is refused, also in another program; other content isn't.
     let mut state = state_with_program();
     start_turn(&mut state, FIRST_TURN);
     for (name, poisoned) in [("a", false), ("a", false), ("b", true)] {
--- a/crates/journal/src/decision/turn.rs
+++ b/crates/journal/src/decision/turn.rs
@@ -30,7 +30,7 @@
 /// A request to run a turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Begin<'a> {
-    /// The program.
+    /// The program that the turn belongs to.
     pub program: &'a id::Program,
     /// The caller that sent the request.
     pub caller: &'a id::Caller,
@@ -59,14 +59,14 @@
     Start(Start),
     /// The same turn is already running here; its answer also answers this request.
     Join {
-        /// The turn.
+        /// The turn's number.
         turn: u32,
-        /// The attempt that is running.
+        /// The ID of the running attempt.
         attempt: id::Attempt,
     },
     /// The turn is already committed.
     Replay {
-        /// The turn.
+        /// The turn's number.
         turn: u32,
         /// The stored answer.
         answer: &'a chat::Answer,
@@ -76,9 +76,9 @@
 /// An attempt that may be dispatched once its records are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
-    /// The turn.
+    /// The turn's number.
     pub turn: u32,
-    /// The attempt.
+    /// The attempt's ID.
     pub attempt: id::Attempt,
     /// The output limit to send to the endpoint, in tokens.
     pub reserved: u64,
@@ -89,12 +89,12 @@
 /// The end of an attempt that is followed by another attempt of the same turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart<'a> {
-    /// The program.
+    /// The program that the turn belongs to.
     pub program: &'a id::Program,
-    /// The attempt that ended.
+    /// The ID of the attempt that ended.
     pub ended: id::Attempt,
-    /// The number of tokens it generated. `None` if unknown; the whole reservation then counts as
-    /// spent.
+    /// The number of tokens that this attempt generated. `None` if unknown; the whole reservation
+    /// then counts as spent.
     pub used: Option<u64>,
     /// The maximum number of tokens for the rest of the answer.
     pub max_tokens: u64,
@@ -106,20 +106,20 @@
     pub now: Millis,
 }
 
-/// The complete answer of an attempt.
+/// A request to commit the answer of an attempt.
 #[derive(Clone, Debug)]
 pub struct Commit<'a> {
-    /// The program.
+    /// The program that the turn belongs to.
     pub program: &'a id::Program,
-    /// The attempt.
+    /// The ID of the attempt.
     pub attempt: id::Attempt,
     /// The turn's new messages, as given in [`Begin`].
     pub messages: Vec<chat::Message>,
-    /// The answer.
+    /// The complete answer.
     pub answer: chat::Answer,
     /// The number of tokens this attempt generated.
     pub used: u64,
-    /// The endpoint that ran it.
+    /// The endpoint that ran the attempt.
     pub endpoint: &'a id::Endpoint,
     /// The current time.
     pub now: Millis,
@@ -263,7 +263,7 @@
     Ok(Some(record))
 }
 
-/// Attributes an endpoint's crash to the content of a turn that ran there.
+/// Attributes an endpoint's crash to the content of a turn that was running there.
 #[must_use]
 pub fn blame(
     state: &State,
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -70,11 +70,11 @@
     /// valid.
     #[display("the shard has another owner")]
     Lost {
-        /// What may be said of work that waited for the append and wasn't dispatched: `No` if its
-        /// records are certainly not in the journal, otherwise `Unknown`.
+        /// What callers may be told about work that waited for the append and wasn't dispatched:
+        /// `No` if its records are certainly not in the journal, otherwise `Unknown`.
         ran: Ran,
     },
-    /// The platform doesn't answer and the records contain an intent, which counts only in the
+    /// The platform doesn't answer and the records contain an intent, which is durable only in the
     /// journal. The records stay queued, so the state stays valid. The caller must not dispatch the
     /// call, and withdraws it with [`crate::decision::resolve`] and
     /// [`crate::record::Outcome::NotRun`].
@@ -97,20 +97,20 @@
 /// The parameters of a log.
 #[derive(Clone)]
 pub struct Setup {
-    /// The platform.
+    /// The platform whose key-value service holds the journal.
     pub platform: Arc<dyn Platform>,
-    /// The VMs of the centre.
+    /// Sends requests about copies to the VMs of the centre.
     pub peers: Arc<dyn copy::Peers>,
     /// This VM.
     pub vm: id::Vm,
-    /// The shard.
+    /// The shard whose journal this is.
     pub shard: id::Shard,
     /// Random for each claim; the batches' nonces are derived from it.
     pub seed: u64,
     /// The other VMs that hold copies during an outage: two, or four in a larger centre.
     pub copy_holders: Vec<copy::Holder>,
-    /// How many of them must hold a batch before it counts as durable. With 0, or if none of them
-    /// answers, appends wait for the platform.
+    /// How many of the copy holders must have a batch before it counts as durable. With 0, or if
+    /// none of them answers, appends wait for the platform.
     pub acks: usize,
 }
 
@@ -121,7 +121,7 @@
     pub seq: u64,
     /// The epoch of the last opening.
     pub epoch: u64,
-    /// The snapshot index.
+    /// The snapshot index as the owner knows it.
     pub index: snapshot::KnownIndex,
 }
 
@@ -137,7 +137,6 @@
 /// What the task reports in addition to its status.
 #[derive(Debug, Default)]
 struct Flags {
-    /// A snapshot is due.
     snapshot_due: AtomicBool,
     /// A change of the copy holders isn't in the journal yet.
     changing_holders: AtomicBool,
@@ -224,8 +223,8 @@
         self.send_command(Command::Snapshot(image));
     }
 
-    /// Steps down for a new owner and returns the batches that may not be in the journal. Later
-    /// calls return the same batches.
+    /// Steps down for a new owner and returns the batches that may be missing from the journal.
+    /// Later calls return the same batches.
     pub async fn step_down(&self) -> Vec<copy::Batch> {
         let (sender, receiver) = oneshot::channel();
         self.send_command(Command::StepDown(sender));
--- a/crates/journal/src/log/queue.rs
+++ b/crates/journal/src/log/queue.rs
@@ -1,7 +1,7 @@
 //! The ordered batches that wait for the journal, and the waiters for each of them.
 //!
-//! Prevents the failure "a caller is told something false about an append": what may be said about
-//! each append depends on whether its batch ever left this VM.
+//! Prevents the failure "a caller is told something false about an append": what callers may be
+//! told about each append depends on whether its batch ever left this VM.
 
 use std::collections::VecDeque;
 
@@ -20,7 +20,7 @@
 /// Waits for the result of an append.
 #[derive(Debug)]
 pub(crate) struct Waiter {
-    /// Whether the append contains an intent, for which copies don't count.
+    /// Whether the append contains an intent, for which copies aren't enough.
     intent: bool,
     sender: oneshot::Sender<Result<Durable>>,
 }
@@ -30,7 +30,7 @@
 pub(crate) struct Arrival {
     pub(crate) records: Vec<Record>,
     pub(crate) bytes: usize,
-    /// Whether it may wait and share a write with other appends, see [`is_deferrable`].
+    /// Whether the append may wait and share a write with other appends, see [`is_deferrable`].
     pub(crate) deferrable: bool,
     waiter: Option<Waiter>,
 }
@@ -43,11 +43,11 @@
     pub(crate) index: Option<snapshot::Index>,
     /// The copy holders that apply once the batch is in the journal.
     pub(crate) holders: Option<Vec<copy::Holder>>,
-    /// Whether it was sent to the platform.
+    /// Whether the batch was sent to the platform.
     pub(crate) sent: bool,
-    /// Whether it was offered to another VM.
+    /// Whether the batch was offered to another VM.
     pub(crate) offered: bool,
-    /// Whether enough other VMs hold it.
+    /// Whether enough other VMs hold the batch.
     pub(crate) held: bool,
     waiters: Vec<Waiter>,
 }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tells the waiter of an intent that the intent can't count now.
+    /// Tells the waiter of an append with an intent that the intent can't become durable now.
     pub(crate) fn withhold_intents(&mut self, retry_after: Millis) {
         let ran = Ran::No;
         if let Some(waiter) = self.waiter.take_if(|waiter| waiter.intent) {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Tells the waiters for which copies count that other VMs hold the batch.
+    /// Tells the waiters of appends without an intent that other VMs hold the batch.
     pub(crate) fn note_copied(&mut self) {
         self.held = true;
         for waiter in self.waiters.extract_if(.., |waiter| !waiter.intent) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Tells the waiters of intents that the intents can't count now.
+    /// Tells the waiters of intents that the intents can't become durable now.
     pub(crate) fn withhold_intents(&mut self, retry_after: Millis) {
         let ran = if self.sent { Ran::Unknown } else { Ran::No };
         for waiter in self.waiters.extract_if(.., |waiter| waiter.intent) {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Returns what may be said about the batch when the shard is lost. A batch that left this VM
-    /// may be in the journal, or the new owner may write it there.
+    /// Returns what callers may be told about the batch when the shard is lost. A batch that left
+    /// this VM may be in the journal, or the new owner may write it there.
     pub(crate) fn ran(&self) -> Ran {
         if self.sent || self.offered {
             return Ran::Unknown;
--- a/crates/journal/src/log/retry.rs
+++ b/crates/journal/src/log/retry.rs
@@ -9,7 +9,7 @@
 /// The wait after the first failure. A lost packet or a leader change in the platform is over after
 /// tens of milliseconds, and callers are waiting.
 const FIRST_WAIT_MS: u64 = 40;
-/// The longest wait. A shard is available again within a second of the platform, and a thousand
+/// The longest wait. A shard is available again within a second after the platform, and a thousand
 /// shards send at most a thousand calls per second to a platform that is down, below its normal
 /// reads and writes taken together.
 pub(crate) const MAX_WAIT: Millis = Millis::new(1_000);
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -66,11 +66,11 @@
     last_seq: u64,
     /// Consecutive failures to write the first batch.
     write_failures: u32,
-    /// Consecutive failures to have a batch held by enough VMs.
+    /// Consecutive offers of a batch that too few VMs acknowledged.
     hold_failures: u32,
     /// Whether the first batch had been sent before its current send.
     sent_before: bool,
-    /// The weight at which the next batch waits for the rate budget.
+    /// The priority with which the next batch waits for the rate budget; `None` if it doesn't wait.
     pacing: Option<Priority>,
     /// Whether the next batch has finished waiting for the rate budget.
     paced: bool,
@@ -105,8 +105,8 @@
 }
 
 impl Task {
-    /// Serves until nothing is left to do, or until the shard is lost; then returns the queued
-    /// batches.
+    /// Serves until every handle is dropped and nothing is left to write, or until the shard is
+    /// lost. Returns the queued batches if the shard is lost, otherwise `None`.
     async fn serve(
         &mut self,
         commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -206,7 +206,8 @@
 
 /// The shard belongs to another owner.
 struct Lost {
-    /// What may be said about the first batch, if more is known than follows from its sends.
+    /// What callers may be told about the first batch, if more is known than whether it was sent or
+    /// offered.
     first_ran: Option<Ran>,
 }
 
--- a/crates/journal/src/log/task/batch.rs
+++ b/crates/journal/src/log/task/batch.rs
@@ -32,6 +32,8 @@
     /// Forms a batch from the arrivals. While the platform answers, the queue holds one batch at a
     /// time, so that the next batch gathers what arrives in the meantime. During an outage, a batch
     /// is formed once enough other VMs hold all queued ones, for the same reason.
+    ///
+    /// Also starts writing a requested image once every append that it covers is in a batch.
     pub(super) fn form_batch(&mut self) {
         let may_form = if self.is_open() {
             self.queue.batches.is_empty() && (self.paced || self.arrivals.is_empty())
@@ -69,7 +71,7 @@
         let holders = records.iter().rev().find_map(changed_holders);
         let seq = self.last_seq + 1;
         let nonce = write::nonce(self.setup.seed, seq);
-        // Records that can't be encoded have no size and were refused on arrival.
+        // Records that can't be encoded count as too large and were refused on arrival.
         let value = write::encode(&self.setup.vm, nonce, records).unwrap_or_default();
         self.last_seq = seq;
         self.snapshots.note_batch(count, value.len());
@@ -86,26 +88,27 @@
     /// arrives in the meantime. Without this wait, a burst of commits uses up the budget, and the
     /// starts of turns queue behind batches of one record each.
     ///
-    /// A batch of only deferrable records leaves half of the budget to other writes. If the budget
-    /// is short, it is written together with the next turn start, or after [`MAX_DEFERRAL`].
+    /// A batch of only deferrable records leaves half of the budget to other writes. If no more than
+    /// that is left, the batch waits until a turn start joins it, or for [`MAX_DEFERRAL`]; then the
+    /// batch may use the whole budget.
     pub(super) fn begin_pace(&mut self, pace: Slot<()>) -> Slot<()> {
         let nothing_to_pace = self.arrivals.is_empty() || !self.queue.batches.is_empty();
         if self.paced || nothing_to_pace || !self.is_open() {
             self.pacing = None;
             return None;
         }
-        let weight = if self.arrivals.iter().all(|arrival| arrival.deferrable) {
+        let priority = if self.arrivals.iter().all(|arrival| arrival.deferrable) {
             Priority::Background
         } else {
             Priority::Commit
         };
-        if pace.is_some() && self.pacing == Some(weight) {
+        if pace.is_some() && self.pacing == Some(priority) {
             return pace;
         }
-        self.pacing = Some(weight);
+        self.pacing = Some(priority);
         let platform = Arc::clone(&self.setup.platform);
         Some(Box::pin(async move {
-            let paced = platform.wait_for_budget(weight);
+            let paced = platform.wait_for_budget(priority);
             if tokio::time::timeout(MAX_DEFERRAL.as_duration(), paced)
                 .await
                 .is_err()
--- a/crates/journal/src/log/task/outcome.rs
+++ b/crates/journal/src/log/task/outcome.rs
@@ -92,7 +92,8 @@
     pub(super) fn handle_fault(&mut self, fault: &edge::Fault) {
         let shard = &self.setup.shard;
         match fault {
-            // The platform answers; the queue waits for as long as the platform says.
+            // Not a failure: only a rate limit is reached. The wait before the next send doesn't
+            // grow.
             edge::Fault::Limited(_) => {}
             edge::Fault::Unknown(_) => {
                 self.write_failures = self.write_failures.saturating_add(1);
--- a/crates/journal/src/program.rs
+++ b/crates/journal/src/program.rs
@@ -22,9 +22,9 @@
 pub struct Program {
     /// The program's name.
     pub id: id::Program,
-    /// The caller that created it; no other caller may use it.
+    /// The caller that created the program; no other caller may use it.
     pub caller: id::Caller,
-    /// The maximum number of tokens it may generate.
+    /// The maximum number of tokens that the program may generate.
     pub tokens: u64,
     /// The maximum number of turns.
     pub turns: u32,
@@ -43,7 +43,7 @@
     pub calls: Vec<Call>,
     /// The endpoints that may hold cache of the program, sorted by name.
     pub holders: Vec<id::Endpoint>,
-    /// Why and when it ended, if it has.
+    /// Why and when the program ended, if it has.
     pub ended: Option<Ending>,
     /// The digest of the history.
     pub chain: id::Digest,
@@ -65,13 +65,13 @@
 pub struct Running {
     /// The epoch of the owner that started it.
     pub epoch: u64,
-    /// The turn.
+    /// The turn's number.
     pub turn: u32,
-    /// The attempt.
+    /// The attempt's random ID.
     pub attempt: id::Attempt,
     /// The digest of the new messages.
     pub digest: id::Digest,
-    /// Tokens reserved for it.
+    /// Tokens reserved for the attempt.
     pub reserved: u64,
 }
 
@@ -84,7 +84,7 @@
     pub epoch: u64,
     /// The only dispatch that the intent allows.
     pub attempt: id::Attempt,
-    /// The digest of service, operation and body.
+    /// The digest of the service, the operation and the body.
     pub digest: id::Digest,
     /// The outcome, if it is known. Never [`Outcome::NotRun`]: such a call is removed, so that its
     /// key can be used again.
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Returns whether one of this program's records matches its current state.
+    /// Returns whether a record of this program matches the program's current state.
     pub(crate) fn accepts(&self, record: &Record) -> bool {
         let is_running = |attempt| self.running.as_ref().is_some_and(|r| r.attempt == attempt);
         match record {
@@ -318,7 +318,8 @@
     }
 }
 
-/// Returns the next digest of a chain of digests.
+/// Returns the digest of the chain that results from adding the digest `next` to the chain with the
+/// digest `chain`.
 pub(crate) fn chain_digest(chain: id::Digest, next: id::Digest) -> id::Digest {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&chain.0.to_be_bytes());
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -34,7 +34,7 @@
 pub enum Record {
     /// A VM took over the shard; all earlier writers have lost it.
     Opened {
-        /// The VM.
+        /// The new owner.
         vm: id::Vm,
         /// One more than the epoch of the shard's previous opening; the fencing token of the
         /// owner's orders.
@@ -47,16 +47,16 @@
     /// Other VMs hold the owner's pending batches from now on, because one was restarted or has
     /// left.
     Copies {
-        /// The VMs.
+        /// The VMs that hold the batches.
         holders: Vec<Holder>,
     },
     /// A program was created.
     Created {
-        /// The program.
+        /// The program's name.
         program: id::Program,
-        /// The caller that created it; no other caller may use it.
+        /// The caller that created the program; no other caller may use it.
         caller: id::Caller,
-        /// The maximum number of tokens it may generate.
+        /// The maximum number of tokens that the program may generate.
         tokens: u64,
         /// The maximum number of turns.
         turns: u32,
@@ -67,11 +67,11 @@
     },
     /// A turn may now be dispatched. Its reservation counts as spent until the attempt ends.
     Started {
-        /// The program.
+        /// The program that the turn belongs to.
         program: id::Program,
-        /// The turn.
+        /// The turn's number.
         turn: u32,
-        /// The attempt; answers are matched against it.
+        /// The attempt's ID; answers are matched against it.
         attempt: id::Attempt,
         /// The digest of the turn's new messages.
         digest: id::Digest,
@@ -84,20 +84,20 @@
     },
     /// An attempt ended without a committed answer.
     Stopped {
-        /// The program.
+        /// The program that the turn belongs to.
         program: id::Program,
-        /// The turn.
+        /// The turn's number.
         turn: u32,
-        /// The attempt.
+        /// The attempt's ID.
         attempt: id::Attempt,
         /// The number of generated tokens, or the whole reservation if the number is unknown.
         used: u64,
     },
     /// A turn was committed to the history.
     Committed {
-        /// The program.
+        /// The program that the turn belongs to.
         program: id::Program,
-        /// The turn.
+        /// The turn's number.
         turn: u32,
         /// The attempt that produced the answer.
         attempt: id::Attempt,
@@ -120,7 +120,7 @@
         key: id::Key,
         /// The only dispatch that this intent allows.
         attempt: id::Attempt,
-        /// The digest of service, operation and body.
+        /// The digest of the service, the operation and the body.
         digest: id::Digest,
         /// The time of the intent.
         at: Millis,
@@ -138,17 +138,17 @@
     },
     /// An endpoint crashed while it ran this content.
     Blamed {
-        /// The program.
+        /// The program whose turn was running.
         program: id::Program,
         /// The digest of the content including the history before it:
         /// [`crate::state::State::content_digest`].
         content: id::Digest,
-        /// The endpoint.
+        /// The endpoint that crashed.
         endpoint: id::Endpoint,
     },
     /// A program ended; its history may be dropped.
     Ended {
-        /// The program.
+        /// The program that ended.
         program: id::Program,
         /// The reason: [`Code::ProgramEnded`] if the caller ended it, otherwise the limit that was
         /// reached.
@@ -158,14 +158,14 @@
     },
     /// An endpoint confirmed that it holds no cache of an ended program.
     Released {
-        /// The program.
+        /// The ended program.
         program: id::Program,
-        /// The endpoint.
+        /// The endpoint that confirmed it.
         endpoint: id::Endpoint,
     },
     /// An ended program on which nothing depends any more is dropped, and its name is free again.
     Forgotten {
-        /// The program.
+        /// The program that is dropped.
         program: id::Program,
     },
 }
@@ -175,15 +175,16 @@
 pub enum Outcome {
     /// The service answered.
     Answered {
-        /// The HTTP status.
+        /// The HTTP status of the service's answer.
         status: u16,
-        /// The body.
+        /// The body of the service's answer.
         body: bytes::Bytes,
     },
     /// The call was never sent, or the service refused it before it ran; the key may be used
     /// again.
     NotRun,
-    /// The call was sent and no answer came; it is never sent again.
+    /// The call may have run, and its answer didn't arrive whole or is too large to be stored. The
+    /// call is never sent again.
     Unknown,
 }
 
--- a/crates/journal/src/snapshot.rs
+++ b/crates/journal/src/snapshot.rs
@@ -39,8 +39,8 @@
 pub(crate) use progress::Progress;
 pub(crate) use progress::Removal;
 
-/// How often one chunk or removal is tried before the image or removal is abandoned; about 15 s
-/// with the longest waits. The next image tries again.
+/// The maximum number of tries of one chunk or removal, about 15 s with the longest waits. After
+/// that the image or removal is abandoned; the next image tries again.
 const MAX_TRIES: u32 = 20;
 /// Keys removed in one transaction; half of etcd's default limit.
 const KEYS_PER_REMOVAL: u64 = 64;
@@ -56,7 +56,7 @@
 pub struct Index {
     /// The number of the last journal key that the image covers.
     pub seq: u64,
-    /// The epoch of the owner that wrote it.
+    /// The epoch of the owner that wrote the image.
     pub epoch: u64,
     /// The number of keys that hold the image.
     pub chunks: u32,
@@ -71,7 +71,7 @@
 pub struct KnownIndex {
     /// The platform's revision at which the index was set; 0 if it was never set.
     pub revision: u64,
-    /// The index.
+    /// The value of the index key; `None` if it was never set.
     pub index: Option<Index>,
 }
 
@@ -233,7 +233,7 @@
         let Some(last) = listed.last() else {
             return true;
         };
-        // The smallest listed name after the last one.
+        // The smallest key that can follow the last one in the list.
         from = format!("{}!", last.key);
         let keys = listed.into_iter().map(|entry| entry.key);
         let deletes: Vec<Write> = keys.filter(|key| *key < end).map(Write::Delete).collect();
--- a/crates/journal/src/snapshot/progress.rs
+++ b/crates/journal/src/snapshot/progress.rs
@@ -20,7 +20,7 @@
     pub(crate) from: u64,
     /// The number of the last journal key to remove.
     pub(crate) through: u64,
-    /// The previous image.
+    /// The index of the previous image, whose chunks are removed.
     pub(crate) image: Option<Index>,
 }
 
@@ -28,8 +28,11 @@
 #[derive(Debug)]
 pub(crate) struct Progress {
     known: KnownIndex,
+    /// The number of the first journal key that may still exist.
     floor: u64,
+    /// The number of batches since the last image's index was set.
     batches: u64,
+    /// The size of these batches in bytes.
     bytes: u64,
     stage: Stage,
 }
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Records that a batch of `count` appends was formed.
+    /// Records that a batch of `count` appends and this many bytes was formed.
     pub(crate) fn note_batch(&mut self, count: usize, bytes: usize) {
         if let Stage::Requested { arrivals, .. } = &mut self.stage {
             *arrivals -= count;
@@ -96,7 +99,8 @@
         self.bytes += bytes as u64;
     }
 
-    /// Returns whether the journal has grown enough since the last image.
+    /// Returns whether the journal has grown enough since the last image, unless an image is in
+    /// progress.
     pub(crate) fn is_due(&self) -> bool {
         let last = self.known.index.as_ref().map_or(0, |index| index.bytes);
         self.batches >= BATCHES_BEFORE_IMAGE
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -225,9 +225,9 @@
         }
     }
 
-    /// Adds the turn. Unless the content is already refused, also clears it of earlier blame: it
-    /// has now run to completion, so a crash was caused by something else that ran at the same
-    /// time.
+    /// Adds the turn. Unless its content is already refused, also removes the content's earlier
+    /// blames: the content has now run to completion, so a crash was caused by something else that
+    /// ran at the same time.
     fn commit(&mut self, id: &id::Program, record: &Record) {
         let Ok(index) = self.find(id) else { return };
         let digest = self.programs[index].running.as_ref().map(|r| r.digest);
--- a/crates/journal/tests/fuzz/owner.rs
+++ b/crates/journal/tests/fuzz/owner.rs
@@ -79,8 +79,8 @@
     running: Vec<Run>,
     /// Calls at services that haven't ended.
     running_calls: Vec<(id::Key, id::Attempt)>,
-    /// Whether a caller was told something while it existed only in copies.
-    exposed: bool,
+    /// Whether a caller was told something that existed only in copies at that time.
+    told_from_copies: bool,
     dead: bool,
 }
 
@@ -93,7 +93,7 @@
             waiting: Vec::new(),
             running: Vec::new(),
             running_calls: Vec::new(),
-            exposed: false,
+            told_from_copies: false,
             dead: false,
         }
     }
@@ -104,17 +104,17 @@
     }
 
     /// Returns whether something that a caller was told may exist only in copies.
-    pub fn is_exposed(&self) -> bool {
-        self.exposed && (self.dead || self.log.status() != Status::Open)
+    pub fn depends_on_copies(&self) -> bool {
+        self.told_from_copies && (self.dead || self.log.status() != Status::Open)
     }
 
-    /// Returns whether it serves requests, as far as it knows.
+    /// Returns whether this owner serves requests, as far as it knows.
     pub fn is_open(&self) -> bool {
         !self.dead && self.log.status() != Status::Lost
     }
 
     pub fn die(&mut self) {
-        self.exposed = self.is_exposed();
+        self.told_from_copies = self.depends_on_copies();
         self.dead = true;
         self.waiting.clear();
         self.running.clear();
@@ -202,7 +202,8 @@
         let Some(last) = owner.state.program(&id).and_then(|p| p.history.last()) else {
             return;
         };
-        // A replayed answer must be durable; the node waits for the turn's own append.
+        // An answer may be replayed only once it is durable. The node waits for the append that
+        // commits the turn; this test skips the replay while the owner has pending appends.
         if !owner.has_no_pending_appends() {
             return;
         }
@@ -398,16 +399,16 @@
         match effect {
             Effect::None => {}
             Effect::Dispatch(run) => {
-                owner.exposed |= copied;
+                owner.told_from_copies |= copied;
                 owner.running.push(run.clone());
                 self.oracle.runs.push(run);
             }
             Effect::TellAnswer(answered) => {
-                owner.exposed |= copied;
+                owner.told_from_copies |= copied;
                 self.oracle.note_answer(answered);
             }
             Effect::Send(key, attempt) => {
-                assert!(!copied, "an intent counted in copies");
+                assert!(!copied, "an intent was taken as durable in copies");
                 owner.running_calls.push((key.clone(), attempt));
                 let refused = false;
                 self.oracle.calls.push(Call {
@@ -417,7 +418,7 @@
                 });
             }
             Effect::TellOutcome(key, attempt) => {
-                owner.exposed |= copied;
+                owner.told_from_copies |= copied;
                 self.oracle.answered_calls.push((key, attempt));
             }
         }
@@ -446,7 +447,9 @@
         }
     }
 
-    /// Picks an item of an active owner on any VM.
+    /// Picks one of the items that `count` counts on each active owner, such as running turns:
+    /// number `pick` modulo their total. Returns the VM and the item's index there, or `None` if
+    /// there are no items.
     fn pick(&mut self, pick: usize, count: impl Fn(&Owner) -> usize) -> Option<(usize, usize)> {
         let mut all = Vec::new();
         for vm in 0..self.vms.len() {
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -79,7 +79,7 @@
     pub oracle: Oracle,
     /// The last number handed out for attempts, seeds and incarnations.
     last_number: u64,
-    /// Deaths since the last time that everything callers were told was in the journal.
+    /// VM deaths since the last time that everything callers were told was in the journal.
     deaths: u32,
     /// The highest epoch that any VM has opened.
     last_epoch: u64,
@@ -136,7 +136,7 @@
         (vm, shared)
     }
 
-    /// Picks a VM that believes it owns the shard, if there is one.
+    /// Picks a VM that believes it owns the shard. Returns `pick` if there is none.
     fn owner_vm(&self, pick: usize) -> usize {
         let owners = (0..VMS).filter(|vm| self.is_running(*vm) && self.vms[*vm].is_owner());
         let owners: Vec<usize> = owners.collect();
@@ -190,7 +190,7 @@
         for shared in self.shared_vms.lock().unwrap().iter_mut() {
             shared.logs.retain(|(_, log)| log.status() != Status::Lost);
         }
-        if !self.is_exposed() {
+        if !self.depends_on_copies() {
             self.deaths = 0;
         }
     }
@@ -302,7 +302,7 @@
             Err(claim::Fault::Damaged(why)) if !why.contains("missing") => panic!("{why}"),
             Err(fault) => {
                 if std::env::var_os("FUZZ_TRACE").is_some() {
-                    eprintln!("claim of {vm}: {fault}");
+                    eprintln!("claim by VM {vm} failed: {fault}");
                 }
                 return;
             }
@@ -352,20 +352,21 @@
     }
 
     /// Returns whether something that a caller was told exists only in copies.
-    fn is_exposed(&self) -> bool {
+    fn depends_on_copies(&self) -> bool {
         let owners = self.vms.iter().filter_map(|vm| vm.owner.as_ref());
-        let mut exposed = owners.filter(|owner| owner.is_exposed());
-        exposed.any(|owner| owner.epoch == self.last_epoch)
+        let mut dependent = owners.filter(|owner| owner.depends_on_copies());
+        dependent.any(|owner| owner.epoch == self.last_epoch)
     }
 
     fn kill(&mut self, vm: usize) {
         let dead = *self.vms[vm].mode.borrow() == Mode::Dead;
-        if dead || (self.is_exposed() && self.deaths > 0) {
+        if dead || (self.depends_on_copies() && self.deaths > 0) {
             return;
         }
         self.deaths += 1;
         self.vms[vm].mode.send_replace(Mode::Dead);
-        // What this owner told callers remains exposed until another VM opens the shard.
+        // What this owner told callers may still exist only in copies until another VM opens the
+        // shard.
         if let Some(owner) = &mut self.vms[vm].owner {
             owner.die();
         }
@@ -377,7 +378,7 @@
             return;
         }
         let (mut fresh, shared) = self.start();
-        fresh.owner = self.vms[vm].owner.take().filter(Owner::is_exposed);
+        fresh.owner = self.vms[vm].owner.take().filter(Owner::depends_on_copies);
         self.vms[vm] = fresh;
         self.shared_vms.lock().unwrap()[vm] = shared;
     }
@@ -453,9 +454,13 @@
         entry
     }
 
-    async fn commit(&self, txn: &edge::Txn, weight: edge::Priority) -> edge::Result<edge::Outcome> {
+    async fn commit(
+        &self,
+        txn: &edge::Txn,
+        priority: edge::Priority,
+    ) -> edge::Result<edge::Outcome> {
         self.reach().await?;
-        let outcome = self.memory.commit(txn, weight).await;
+        let outcome = self.memory.commit(txn, priority).await;
         wait_while_paused(&self.mode).await;
         outcome
     }
--- a/crates/journal/tests/takeover.rs
+++ b/crates/journal/tests/takeover.rs
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct FixedPeers {
     held: Vec<copy::Batch>,
-    /// An owner that appends once more before the first response.
+    /// An owner that appends once more before a claimer gets its response.
     owner: Option<Log>,
     /// The batches of lost shards that this VM keeps.
     kept: Arc<Mutex<Vec<copy::Batch>>>,
@@ -235,12 +235,12 @@
 #[case::lost_write(Injection::LoseWrite)]
 #[case::delayed(Injection::Delay)]
 #[tokio::test(start_paused = true)]
-async fn an_append_of_unknown_outcome_is_written_once(#[case] play: Injection) {
+async fn an_append_of_unknown_outcome_is_written_once(#[case] injection: Injection) {
     // The platform performs the write, loses it, or performs it later, and the response never
     // comes. The owner sends the same bytes until the key holds them.
     let memory = Memory::default();
     let mut opened = open(&memory, "a").await.unwrap();
-    memory.inject(play);
+    memory.inject(injection);
     append_program(&mut opened, "p").await;
     memory.deliver();
     assert_eq!(list(&memory, &key::journal_prefix(&shard())).await.len(), 2);
@@ -448,7 +448,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_steps_down_reports_nothing_absent_that_it_hands_over() {
+async fn an_owner_that_steps_down_never_reports_a_handed_over_batch_as_absent() {
     // A claimer asks the old owner to step down while an intent is being written. The claimer
     // writes the batches that it gets, so the old owner must not tell its caller that the intent
     // isn't in the journal.
@@ -470,7 +470,7 @@
 
 #[rstest]
 #[case::of_the_last_owner(2, true)]
-#[case::of_an_owner_before(1, false)]
+#[case::of_an_earlier_owner(1, false)]
 #[tokio::test]
 async fn only_the_last_owners_pending_batches_are_taken_over(
     #[case] epoch: u64,
