--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -125,8 +125,8 @@
     pub index: snapshot::KnownIndex,
 }
 
-/// A handle to the task that appends. All clones share one task, which ends when all of them are
-/// dropped and everything passed to it is in the journal.
+/// A handle to the task that appends. All clones share one task, which ends when all clones are
+/// dropped and everything passed to the task is in the journal.
 #[derive(Clone, Debug)]
 pub struct Log {
     commands: mpsc::UnboundedSender<Command>,
--- a/crates/journal/src/log/task.rs
+++ b/crates/journal/src/log/task.rs
@@ -64,9 +64,9 @@
     queue: Queue,
     /// The number of the last batch that was formed.
     last_seq: u64,
-    /// Consecutive failures to write the first batch.
+    /// The number of consecutive failures to write the first batch.
     write_failures: u32,
-    /// Consecutive offers of a batch that too few VMs acknowledged.
+    /// The number of consecutive offers that too few VMs acknowledged.
     hold_failures: u32,
     /// Whether the first batch had been sent before its current send.
     sent_before: bool,
--- a/crates/journal/src/log/task/batch.rs
+++ b/crates/journal/src/log/task/batch.rs
@@ -88,9 +88,9 @@
     /// arrives in the meantime. Without this wait, a burst of commits uses up the budget, and the
     /// starts of turns queue behind batches of one record each.
     ///
-    /// A batch of only deferrable records leaves half of the budget to other writes. If no more than
-    /// that is left, the batch waits until a turn start joins it, or for [`MAX_DEFERRAL`]; then the
-    /// batch may use the whole budget.
+    /// A batch of only deferrable records leaves half of the budget to other writes. If only that
+    /// half is left, the batch waits until a turn start joins it, or for [`MAX_DEFERRAL`]; then it
+    /// may use the whole budget.
     pub(super) fn begin_pace(&mut self, pace: Slot<()>) -> Slot<()> {
         let nothing_to_pace = self.arrivals.is_empty() || !self.queue.batches.is_empty();
         if self.paced || nothing_to_pace || !self.is_open() {
--- a/crates/journal/src/log/task/outcome.rs
+++ b/crates/journal/src/log/task/outcome.rs
@@ -92,8 +92,8 @@
     pub(super) fn handle_fault(&mut self, fault: &edge::Fault) {
         let shard = &self.setup.shard;
         match fault {
-            // Not a failure: only a rate limit is reached. The wait before the next send doesn't
-            // grow.
+            // Not a failure: the platform answers, or only this VM's rate budget is short. The wait
+            // before the next send doesn't grow.
             edge::Fault::Limited(_) => {}
             edge::Fault::Unknown(_) => {
                 self.write_failures = self.write_failures.saturating_add(1);
--- a/crates/journal/tests/fuzz/world.rs
+++ b/crates/journal/tests/fuzz/world.rs
@@ -34,11 +34,10 @@
 use super::oracle::Oracle;
 use super::owner::Owner;
 
-/// The duration of leases.
 const LEASE_DURATION: Millis = Millis::new(5_000);
 /// The number of scheduler yields after which every task that doesn't wait for time has run.
 const SCHEDULER_YIELDS: usize = 30;
-/// How many bytes of copies a VM holds for other VMs.
+/// The maximum size of the copies that a VM holds for other VMs.
 const COPY_LIMIT_BYTES: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
