--- a/crates/node/examples/overhead.rs
+++ b/crates/node/examples/overhead.rs
@@ -152,7 +152,7 @@
 
 impl Role {
     fn start(arguments: &[&str]) -> Self {
-        let binary = std::env::current_exe().expect("the example knows its file");
+        let binary = std::env::current_exe().expect("the path of the example's executable");
         let mut command = Command::new(binary);
         command.args(arguments).stdout(Stdio::piped());
         let mut child = command.spawn().expect("the example starts itself");
--- a/crates/node/examples/slopes/model.rs
+++ b/crates/node/examples/slopes/model.rs
@@ -38,7 +38,7 @@
         "http B/s",
         "largest",
         "load age",
-        "all hear in"
+        "propagation"
     );
     for (centres, vms, endpoints) in RUNS {
         simulate(centres, vms, endpoints);
@@ -79,7 +79,8 @@
     );
 }
 
-/// Gives each endpoint's poller a load report each second. Every other report is significant.
+/// Gives each endpoint's poller a load report each second. Every other report differs enough to be
+/// published to the centre; the rest stay on their VM.
 fn report(fleet: &mut Fleet, endpoints: usize, step: u64) {
     let now = fleet.now();
     let round = 1_000 / TICK.as_u64();
--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -51,7 +51,7 @@
 /// owns which shard. A VM without peers doesn't wait.
 pub const DISCOVERY_TIME: Millis = Millis::new(2_000);
 /// The first delay after a failed claim. It is doubled each time up to [`MAX_RETRY_DELAY`], so that
-/// a VM that is alone in thinking all others down doesn't read every record all the time.
+/// a VM that wrongly considers all others down doesn't keep reading every record.
 const FIRST_RETRY_DELAY: Millis = Millis::new(500);
 /// The longest delay after failed claims. It is about a lease time, and bounds how long a shard
 /// waits for its claimer after its lease has expired.
@@ -118,7 +118,7 @@
     /// The time to live of a lease.
     pub lease: Millis,
     /// Data centres that an operator has declared lost.
-    pub lost: &'a [id::Centre],
+    pub lost_centres: &'a [id::Centre],
 }
 
 impl<'a> Facts<'a> {
@@ -220,7 +220,7 @@
         let wanted = facts.shards.iter().filter(|shard| {
             // The cheapest check comes first: with 512 shards, most are of other centres.
             let claimable_centre =
-                Some(&shard.centre) == own_centre || facts.lost.contains(&shard.centre);
+                Some(&shard.centre) == own_centre || facts.lost_centres.contains(&shard.centre);
             claimable_centre
                 && facts.owned.binary_search(shard).is_err()
                 && is_unowned(facts, shard)
@@ -276,7 +276,7 @@
     shard: &id::Shard,
     eligibility: Eligibility,
 ) -> Option<&'a id::Vm> {
-    let lost = |centre: &id::Centre| facts.lost.contains(centre);
+    let lost = |centre: &id::Centre| facts.lost_centres.contains(centre);
     let home_lost = lost(&shard.centre);
     let eligible = facts.vms.iter().filter(|v| {
         let home = v.centre == shard.centre;
--- a/crates/node/src/controllers/claims/tests.rs
+++ b/crates/node/src/controllers/claims/tests.rs
@@ -49,7 +49,7 @@
         owners,
         platform: Health::Since(Millis::ZERO),
         lease: LEASE,
-        lost: &[],
+        lost_centres: &[],
     }
 }
 
@@ -209,15 +209,15 @@
         index: 0,
     }];
     let facts = Facts {
-        lost: &lost,
+        lost_centres: &lost,
         ..facts(&vms, &shards, &[])
     };
     assert_eq!(simulate(facts, Millis::new(1_000)).0, claimed);
 }
 
 // A claim fails because the dead owner's lease is still running. It is retried with growing delays:
-// a VM that is alone in thinking all others down would otherwise read every record of its centre
-// all the time.
+// a VM that wrongly considers all others down would otherwise keep reading every record of its
+// centre.
 #[test]
 fn a_failed_claim_is_retried_with_growing_delays() {
     let (vms, shards) = (vms(1), shards(1));
--- a/crates/node/src/controllers/config.rs
+++ b/crates/node/src/controllers/config.rs
@@ -26,8 +26,8 @@
 /// delaying a change; in eight centres these are 16 waiting calls instead of 380.
 pub const WATCHERS: usize = 2;
 
-/// How often a VM that doesn't watch reads the key, as a fallback for heartbeats. At 380 VMs this
-/// costs 13 reads a second of the platform's 2,000.
+/// The time between two reads of the key by a VM that doesn't watch it, as a fallback for
+/// heartbeats. At 380 VMs this costs 13 reads a second of the platform's 2,000.
 pub const POLL_INTERVAL: Millis = Millis::new(30_000);
 
 /// The document in force on a VM.
@@ -151,13 +151,13 @@
 pub struct Rollout {
     /// VMs that are up and have this or a higher revision in force.
     pub reached: Vec<id::Vm>,
-    /// VMs that are up and have a lower one in force.
+    /// VMs that are up and have a lower revision in force.
     pub behind: Vec<id::Vm>,
     /// VMs that are down. They take the highest revision before they serve again.
     pub silent: Vec<id::Vm>,
 }
 
-/// Sorts the VMs by whether `revision` is in force on them.
+/// Divides the VMs by whether `revision` or a higher one is in force on them.
 #[must_use]
 pub fn rollout(revision: u64, vms: &[InForce]) -> Rollout {
     let mut rollout = Rollout::default();
--- a/crates/node/src/controllers/config/change.rs
+++ b/crates/node/src/controllers/config/change.rs
@@ -31,8 +31,9 @@
 /// cover half an hour, in 600 bytes.
 pub const MAX_RECENT_NONCES: usize = 64;
 
-/// How often a change that names no expected revision is tried when it keeps losing races. Each
-/// lost race means that another change was accepted, so eight operators at once all succeed.
+/// The maximum number of tries of a change that names no expected revision. Each try that loses a
+/// race means that another change was accepted, so when eight operators make a change at once,
+/// each succeeds by its eighth try.
 const MAX_TRIES: u32 = 8;
 
 /// The delay between two attempts to resolve a change in doubt: a few times the platform's response
--- a/crates/node/src/controllers/config/edit.rs
+++ b/crates/node/src/controllers/config/edit.rs
@@ -43,7 +43,7 @@
     RemoveEndpoint(id::Endpoint),
     /// Declares a data centre lost.
     Lost(id::Centre),
-    /// Takes a data centre off the lost ones.
+    /// Withdraws the declaration that a data centre is lost.
     Found(id::Centre),
     /// Makes all of these edits in one revision, or none of them.
     Several(Vec<Edit>),
--- a/crates/node/src/controllers/copies.rs
+++ b/crates/node/src/controllers/copies.rs
@@ -125,8 +125,8 @@
     }
 }
 
-/// Number of VMs that hold a shard's batches, in a centre that has as many. Two of them may then
-/// fail while two acknowledge.
+/// The maximum number of VMs that hold a shard's batches. Of four holders, two may fail while two
+/// acknowledge.
 const MAX_HOLDERS: usize = 4;
 
 /// Chooses the VMs that hold a shard's batches.
--- a/crates/node/src/controllers/members.rs
+++ b/crates/node/src/controllers/members.rs
@@ -60,7 +60,7 @@
     Silent,
     /// It was suspected, and the platform's list no longer contains it.
     Unlisted,
-    /// Another VM reported it.
+    /// Another VM reported that it is down.
     Told,
 }
 
--- a/crates/node/src/controllers/members/broadcast.rs
+++ b/crates/node/src/controllers/members/broadcast.rs
@@ -3,19 +3,19 @@
 //! Each item goes into a number of frames that grows with the logarithm of the fleet. By then all
 //! but a few VMs have received it, and these few get it when digests are compared.
 
-/// Sends of an item in addition to one for each doubling of the fleet. An item that each VM
-/// forwards `n` times misses about one VM in `e^n`: one in 8,000 at 96 VMs. More sends would reach
-/// hardly anyone and would add load while the whole fleet starts.
+/// How many times a VM sends an item in addition to one time for each doubling of the fleet. An
+/// item that each VM forwards `n` times misses about one VM in `e^n`: one in 8,000 at 96 VMs. More
+/// sends would reach hardly anyone and would add load while the whole fleet starts.
 const EXTRA_SENDS: u32 = 2;
 
-/// Returns how often one VM sends an item in a fleet of `vms`.
+/// Returns how many times one VM sends an item in a fleet of `vms`.
 #[must_use]
 pub fn transmit_limit(vms: usize) -> u32 {
     let doublings = usize::BITS - vms.leading_zeros();
     doublings + EXTRA_SENDS
 }
 
-/// Keys of items to send, with how often each was sent.
+/// Keys of items to send, with the number of times that each was sent.
 #[derive(Clone, Debug)]
 pub struct Queue<K> {
     items: Vec<(K, u32)>,
--- a/crates/node/src/controllers/members/exchange.rs
+++ b/crates/node/src/controllers/members/exchange.rs
@@ -22,7 +22,7 @@
 /// The most load reports in a frame: at 4 frames a round and about 50 bytes a report these are 1.6
 /// KB a second, of the 4 KB a second that are allowed.
 const MAX_LOADS: usize = 8;
-/// The most endpoints in a frame that are leaving or no longer are.
+/// The most findings in a frame about whether an endpoint is leaving.
 const MAX_LISTINGS: usize = 12;
 /// How long this VM's knowledge must have been unchanged before a differing digest means that this
 /// VM missed an update, and not that the update is still spreading.
--- a/crates/node/src/controllers/members/heartbeat.rs
+++ b/crates/node/src/controllers/members/heartbeat.rs
@@ -39,7 +39,7 @@
 /// The status of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The VM.
+    /// The name of the VM.
     #[serde(rename = "v")]
     pub vm: id::Vm,
     /// Its data centre.
@@ -83,7 +83,7 @@
     /// The shard.
     #[serde(rename = "s")]
     pub shard: id::Shard,
-    /// The VM.
+    /// The name of the VM.
     #[serde(rename = "v")]
     pub vm: id::Vm,
     /// The epoch of the ownership.
@@ -105,7 +105,7 @@
 /// The load of an endpoint, as reported by the VM that polls it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// The endpoint.
+    /// The name of the endpoint.
     #[serde(rename = "e")]
     pub endpoint: id::Endpoint,
     /// The age of the report. Ages are sent instead of times because the clocks of VMs differ.
@@ -134,7 +134,7 @@
 /// What the platform's list says of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The endpoint.
+    /// The name of the endpoint.
     #[serde(rename = "e")]
     pub endpoint: id::Endpoint,
     /// Whether it is leaving.
--- a/crates/node/src/controllers/members/loads.rs
+++ b/crates/node/src/controllers/members/loads.rs
@@ -11,7 +11,8 @@
 use super::super::poller::Audience;
 use super::heartbeat;
 
-/// How often one VM forwards a report. Two suffice because each VM receives four frames a round.
+/// How many times one VM forwards a report. Two times suffice because each VM receives four frames
+/// a round.
 const MAX_SENDS: u32 = 2;
 /// By how much a report must be newer than the known one, in milliseconds. Each hop adds its
 /// transit time to the apparent time of a report, so without this margin a report would come back
--- a/crates/node/src/controllers/poller.rs
+++ b/crates/node/src/controllers/poller.rs
@@ -18,21 +18,22 @@
 
 pub mod sweep;
 
-/// How often an endpoint is asked for its load. An endpoint that leaves must get no calls after 3
-/// s: 1 s until it is polled, 1 s to spread the report and 1 s of margin.
+/// The time between two requests for an endpoint's load. An endpoint that leaves must get no calls
+/// after 3 s: 1 s until it is polled, 1 s to spread the report and 1 s of margin.
 pub const LOAD_INTERVAL: Millis = Millis::new(1_000);
-/// How often a runner is asked which programs it has cached; see [`sweep::GRACE`] for the time
-/// until a leak is found.
+/// The time between two requests for the programs that a runner has cached; see [`sweep::GRACE`]
+/// for the time until a leak is found.
 pub const CACHE_INTERVAL: Millis = Millis::new(15_000);
 /// Consecutive polls without an answer after which an endpoint counts as down. A single answer may
 /// be lost.
 const FAILURE_THRESHOLD: u32 = 2;
 /// The maximum age of a published report while nothing changes.
 const REFRESH_INTERVAL: Millis = Millis::new(5_000);
-/// A report is published if the number of calls changed by this fraction, one eighth. A smaller
-/// change affects placement by less than the lag of the reports does.
+/// A report is published to the other VMs if the number of calls changed by at least one eighth,
+/// and by at least [`MIN_CHANGE`]. A smaller change affects placement by less than the lag of the
+/// reports does.
 const CHANGE_DIVISOR: u32 = 8;
-/// The smallest change of the number of calls that is published.
+/// The smallest change of the number of calls that is published to the other VMs.
 const MIN_CHANGE: u32 = 2;
 
 /// What an endpoint is asked for.
--- a/crates/node/src/controllers/run/claims.rs
+++ b/crates/node/src/controllers/run/claims.rs
@@ -33,10 +33,10 @@
 /// The time between two decisions, equal to the interval of claims. Each decision lists all VMs
 /// again.
 const DECISION_INTERVAL: Millis = Millis::new(100);
-/// How often possibly stale records are checked.
+/// The time between two checks of records that may be stale.
 const CLEANUP_INTERVAL: Millis = Millis::new(1_000);
 /// How long the next owner may take to answer the notice of a handover.
-const TIMEOUT: Millis = Millis::new(500);
+const NOTICE_TIMEOUT: Millis = Millis::new(500);
 
 /// How a claim or a handover ended.
 enum Completion {
@@ -186,7 +186,7 @@
             owners: &owners,
             platform: self.renewer.health(),
             lease: core.settings.platform.lease,
-            lost: &config.lost,
+            lost_centres: &config.lost,
         });
         for action in actions {
             self.act(action);
@@ -242,7 +242,7 @@
                 let core = self.core.clone();
                 self.core
                     .tasks
-                    .spawn(async move { members::heartbeat(&core, &to, TIMEOUT).await });
+                    .spawn(async move { members::heartbeat(&core, &to, NOTICE_TIMEOUT).await });
             }
         }
     }
--- a/crates/node/src/controllers/run/config.rs
+++ b/crates/node/src/controllers/run/config.rs
@@ -41,7 +41,7 @@
 const PULL_TIMEOUT: Millis = Millis::new(1_000);
 /// The delay between two attempts of a VM that starts and finds no configuration.
 const BOOT_RETRY_DELAY: Millis = Millis::new(500);
-/// How often a VM checks whether it is one of the watchers.
+/// The time between two checks of whether this VM is one of the watchers.
 const WATCHER_CHECK_INTERVAL: Millis = Millis::new(2_000);
 /// How long the outcome of a change in doubt is investigated before the operator is told that it is
 /// unknown.
@@ -147,7 +147,8 @@
     (outcome, reached)
 }
 
-/// Sorts the VMs by whether a revision is in force, according to their heartbeats.
+/// Divides the VMs into those on which this or a higher revision is in force, those on which it
+/// isn't, and those that are down, according to their heartbeats.
 #[must_use]
 pub fn rollout(core: &Core, revision: u64) -> Rollout {
     let exchange = core.control.exchange();
@@ -159,7 +160,8 @@
     classify(revision, &members.collect::<Vec<_>>())
 }
 
-/// Asks the VMs that aren't known to have a revision, until all have it or the time is over.
+/// Asks the VMs that aren't known to have a revision, until all have it or [`ROLLOUT_TIMEOUT`] has
+/// passed.
 pub async fn survey(core: &Arc<Core>, revision: u64) -> Rollout {
     let end = core.clock.now().plus(ROLLOUT_TIMEOUT);
     loop {
--- a/crates/node/src/controllers/run/members.rs
+++ b/crates/node/src/controllers/run/members.rs
@@ -47,8 +47,8 @@
     core.tasks.spawn(run(core.clone()));
 }
 
-/// Answers a heartbeat. If the sender has a higher revision, it is pulled first, so that the answer
-/// contains the revision then in force.
+/// Answers a heartbeat. If the sender has a higher revision, its configuration is pulled first, so
+/// that the answer contains the revision then in force.
 pub async fn serve(core: &Arc<Core>, body: &[u8]) -> Option<Bytes> {
     let heartbeat: Heartbeat = call::decode(body)?;
     if core
--- a/crates/node/src/controllers/run/poller.rs
+++ b/crates/node/src/controllers/run/poller.rs
@@ -31,12 +31,12 @@
 use crate::http::body;
 use crate::peer;
 
-/// How often due polls are determined: a quarter of the time between two polls. Each time the
-/// poller of every endpoint is chosen again, which is 14,000 hashes for 150 endpoints and 95 VMs in
-/// a centre.
+/// The time between two checks of which polls are due: a quarter of the time between two polls.
+/// Each time the poller of every endpoint is chosen again, which is 14,000 hashes for 150 endpoints
+/// and 95 VMs in a centre.
 const SCHEDULE_INTERVAL: Millis = Millis::new(250);
-/// How often each of the two VMs of a centre that read the platform's list does so: 16 reads a
-/// second in eight centres.
+/// The time between two reads of the platform's list by each of the two VMs of a centre that read
+/// it: 16 reads a second in eight centres.
 const LIST_INTERVAL: Millis = Millis::new(1_000);
 /// How long an endpoint may take to answer; half the time between two polls.
 const ANSWER_TIMEOUT: Millis = Millis::new(500);
--- a/crates/node/src/dispatch/endpoint_state.rs
+++ b/crates/node/src/dispatch/endpoint_state.rs
@@ -33,7 +33,8 @@
 /// prompt; runners report no figure for it.
 const PREFILL_SPEED_RATIO: f64 = 50.0;
 /// How long an endpoint gets no calls after it was unreachable, or refused a call without a retry
-/// time. About the delay of the load reports and the platform's list, which then show its state.
+/// time. This is about the delay of the load reports and of the platform's list, which show the
+/// endpoint's state after that time.
 pub const DEFAULT_PAUSE: Millis = Millis::new(1_000);
 
 /// What this VM knows about one endpoint.
@@ -43,8 +44,9 @@
     pub endpoint: id::Endpoint,
     /// Detects from its calls whether it fails or is slow.
     pub detector: Detector,
-    /// Calls that wait for it, counted in the last pass over the queue.
-    pub claimed: u32,
+    /// The number of queued calls that wait for this endpoint, counted in the last pass over the
+    /// queue.
+    pub waiting_calls: u32,
     /// This VM's calls at the endpoint, which correct the last load report.
     own_calls: Calls,
     /// Its reported speed in tokens per second, smoothed; 0 before the first report with a speed.
@@ -64,7 +66,7 @@
         Self {
             endpoint,
             detector: Detector::new(since),
-            claimed: 0,
+            waiting_calls: 0,
             own_calls: Calls::default(),
             speed: 0.0,
             reported_at: Millis::ZERO,
@@ -148,7 +150,7 @@
             reported: load.map_or(0, |load| load.running.saturating_add(load.waiting)),
             sent: u32::try_from(self.own_calls.sent_since_report()).unwrap_or(u32::MAX),
             ended: u32::try_from(self.own_calls.ended_since_report()).unwrap_or(u32::MAX),
-            claimed: self.claimed,
+            claimed: self.waiting_calls,
             speed,
             prefill: speed * PREFILL_SPEED_RATIO,
             cached,
--- a/crates/node/src/dispatch/runner.rs
+++ b/crates/node/src/dispatch/runner.rs
@@ -42,7 +42,7 @@
     pub request: &'a chat::Request,
     /// The whole history and the new messages.
     pub prompt: &'a [chat::Message],
-    /// The program, a hint to the runner's cache.
+    /// The program, which is a hint to the runner's cache.
     pub program: &'a id::Program,
     /// The attempt.
     pub attempt: id::Attempt,
--- a/crates/node/src/dispatch/scheduler.rs
+++ b/crates/node/src/dispatch/scheduler.rs
@@ -47,7 +47,7 @@
 pub struct Work {
     /// The program.
     pub program: id::Program,
-    /// The turn, 0 for a service's call.
+    /// The turn's number; 0 for a service call.
     pub turn: u32,
     /// The caller that made the request.
     pub caller: id::Caller,
@@ -158,8 +158,8 @@
 /// Returns a refusal, always with `ran: no`, if no endpoint may take the call, the load is too
 /// high, the call has waited for too long, or the VM stops before the call could end.
 pub async fn acquire(core: &Arc<Core>, work: Work) -> Result<Slot> {
-    let arrived = core.clock.now();
-    let admission = place_or_queue(core, work, arrived)?;
+    let arrived_at = core.clock.now();
+    let admission = place_or_queue(core, work, arrived_at)?;
     let slot = match admission {
         Admission::Placed(slot) => Ok(slot),
         Admission::Queued(receiver) => {
@@ -168,7 +168,7 @@
         }
     };
     core.metrics
-        .record_queue_wait(core.clock.now().since(arrived));
+        .record_queue_wait(core.clock.now().since(arrived_at));
     slot
 }
 
@@ -196,12 +196,12 @@
     }
     loop {
         for endpoint in endpoints.iter_mut() {
-            endpoint.claimed = 0;
+            endpoint.waiting_calls = 0;
         }
         let mut chosen = None;
         let popped = queue.pop_where(|entry| {
             let placement = choose(core, &view, endpoints, &entry.item.work, now);
-            count_claim(endpoints, placement.as_ref());
+            count_waiting_call(endpoints, placement.as_ref());
             chosen = placement.filter(Placement::can_start);
             chosen.is_some()
         });
@@ -251,7 +251,7 @@
         return Err(refusal.retry_after(endpoint_state::DEFAULT_PAUSE));
     }
     let is_first = state.queue.waiting(class) == 0;
-    count_claim(&mut state.endpoints, placement.as_ref());
+    count_waiting_call(&mut state.endpoints, placement.as_ref());
     if let Some(placement) = placement
         && placement.can_start()
         && is_first
@@ -316,13 +316,13 @@
 
 /// Counts a call that waits for its preferred endpoint, so that calls behind it don't plan with the
 /// same slot.
-fn count_claim(endpoints: &mut [endpoint_state::State], placement: Option<&Placement>) {
+fn count_waiting_call(endpoints: &mut [endpoint_state::State], placement: Option<&Placement>) {
     let Some(placement) = placement.filter(|placement| !placement.can_start()) else {
         return;
     };
     let name = &placement.endpoint.name;
     if let Ok(at) = endpoints.binary_search_by(|s| s.endpoint.cmp(name)) {
-        endpoints[at].claimed += 1;
+        endpoints[at].waiting_calls += 1;
     }
 }
 
--- a/crates/node/src/dispatch/service.rs
+++ b/crates/node/src/dispatch/service.rs
@@ -22,7 +22,7 @@
 pub struct Job<'a> {
     /// IP address and port of the service.
     pub address: &'a str,
-    /// The call.
+    /// The service, the operation, the idempotency key and the body.
     pub call: &'a Call,
     /// The attempt.
     pub attempt: id::Attempt,
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -42,10 +42,10 @@
 
 /// Answers one request from a caller.
 pub async fn handle(core: Arc<Core>, request: Request<Incoming>, admission: Admission) -> Response {
-    let arrived = core.clock.now();
+    let arrived_at = core.clock.now();
     let (head, incoming) = request.into_parts();
     let mut request_body = Reader::new(&head.headers, incoming);
-    match run(&core, &head, &mut request_body, admission, arrived).await {
+    match run(&core, &head, &mut request_body, admission, arrived_at).await {
         Ok(response) => response,
         Err(refusal) => {
             log::info!(
@@ -97,13 +97,13 @@
     head: &Parts,
     body: &mut Reader,
     admission: Admission,
-    arrived: Millis,
+    arrived_at: Millis,
 ) -> Result<Response> {
     // A call with an idempotency key may have been sent before, and only its owner's journal knows
     // whether that request ran. If the refusal said that it didn't, the caller would send the call
     // again under another key, and both might run.
     let earlier = parse::earlier_run(head);
-    let accepted = check(core, head, body, admission, arrived).await;
+    let accepted = check(core, head, body, admission, arrived_at).await;
     match accepted.map_err(|refusal| refusal.ran(earlier))? {
         Accepted::Answered(response) => Ok(response),
         Accepted::Forward {
@@ -124,7 +124,7 @@
     head: &Parts,
     body: &mut Reader,
     admission: Admission,
-    arrived: Millis,
+    arrived_at: Millis,
 ) -> Result<Accepted> {
     if admission == Admission::None {
         return Err(no_connection());
@@ -151,11 +151,14 @@
         return Err(no_connection());
     }
     let deadline = ask.deadline;
-    let timing = answer::Timing { arrived, deadline };
+    let timing = answer::Timing {
+        arrived_at,
+        deadline,
+    };
     check_stop(core, timing)?;
     // The owner counts the deadline from now. Without subtracting the time spent on receiving a
     // slow body, the ask would outlast its caller's wait.
-    let spent = core.clock.now().since(arrived);
+    let spent = core.clock.now().since(arrived_at);
     let ask = Ask {
         deadline: deadline.map(|deadline| deadline.since(spent)),
         ..ask
--- a/crates/node/src/filters/answer.rs
+++ b/crates/node/src/filters/answer.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// When the request arrived.
-    pub arrived: Millis,
+    pub arrived_at: Millis,
     /// How long the caller waits from the arrival on.
     pub deadline: Option<Millis>,
 }
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn latest_end(&self) -> Option<Millis> {
         let deadline = self.deadline?;
-        Some(self.arrived.plus(deadline).plus(REFUSAL_MARGIN))
+        Some(self.arrived_at.plus(deadline).plus(REFUSAL_MARGIN))
     }
 }
 
@@ -141,12 +141,12 @@
 ) -> Result<Response> {
     let first = next_reply(core, timing, &mut replies).await?;
     core.metrics
-        .record_first_reply(core.clock.now().since(timing.arrived));
+        .record_first_reply(core.clock.now().since(timing.arrived_at));
     let mut response = match format {
         Format::Whole { model } => {
             let (turn, answer) = completed_turn(core, timing, first, &mut replies).await?;
             core.metrics
-                .record_whole_answer(core.clock.now().since(timing.arrived));
+                .record_whole_answer(core.clock.now().since(timing.arrived_at));
             core.metrics.count_answer(metrics::Kind::Whole);
             let completion = completion(program, turn, &model, &answer);
             let mut response = http::json(200, &completion);
@@ -276,7 +276,7 @@
         chunk["chestnutyoke"] = json!({"program": self.program, "turn": turn});
         let _gone = self.send(&chunk);
         let _gone = self.sender.send(Bytes::from_static(b"data: [DONE]\n\n"));
-        let elapsed = self.core.clock.now().since(self.timing.arrived);
+        let elapsed = self.core.clock.now().since(self.timing.arrived_at);
         self.core.metrics.record_whole_answer(elapsed);
         self.core.metrics.count_answer(metrics::Kind::Stream);
     }
@@ -296,7 +296,7 @@
         json!({
             "id": format!("chatcmpl-{}", self.program),
             "object": "chat.completion.chunk",
-            "created": self.timing.arrived.as_u64() / 1_000,
+            "created": self.timing.arrived_at.as_u64() / 1_000,
             "model": self.model,
             "choices": [{"index": 0, "delta": delta, "finish_reason": finish}],
         })
--- a/crates/node/src/filters/forward.rs
+++ b/crates/node/src/filters/forward.rs
@@ -50,8 +50,8 @@
 /// How long a VM waits for a change of the view between tries. A handover takes a few round trips
 /// to the platform, of a few milliseconds each.
 const RETRY_PAUSE: Millis = Millis::new(150);
-/// The time that a takeover takes after the lease ends: the next round of claims and the claim
-/// itself. With a lease of 5 s, a takeover takes 7 s in all.
+/// An upper limit for the time from the end of the lease to the end of a takeover: the next round
+/// of claims and the claim itself. With a lease of 5 s, a takeover takes 7 s in all.
 const TAKEOVER_MARGIN: Millis = Millis::new(5_000);
 /// The `retry-after` of a request whose shard has no owner: a takeover waits for the lease to end.
 const NO_OWNER_RETRY_AFTER: Millis = Millis::new(5_000);
@@ -194,8 +194,9 @@
     let _gone = replies.send(Reply::Refused(last));
 }
 
-/// Returns how long an ask may wait for an owner: a takeover lasts about one lease. Only the entry
-/// VM waits. The others refuse the ask at once, because it may have been sent to the wrong VM.
+/// Returns how long an ask may wait for an owner: for the longest takeover, which is the lease plus
+/// [`TAKEOVER_MARGIN`], or until the caller's deadline if that is earlier. Only the entry VM waits.
+/// The others refuse the ask at once, because it may have been sent to the wrong VM.
 fn max_owner_wait(core: &Core, ask: &Ask) -> Millis {
     if ask.hops > 0 {
         return Millis::ZERO;
@@ -214,7 +215,7 @@
 }
 
 /// Returns the refusal for an ask that no owner has accepted if its caller's deadline has passed or
-/// the process is about to end. Its answer would come too late.
+/// the process is about to end. An answer would come too late.
 fn refuse_expired(core: &Core, caller_deadline: Millis, last: &Refusal) -> Option<Refusal> {
     let now = core.clock.now();
     if now >= caller_deadline {
@@ -407,7 +408,7 @@
 ///
 /// An owner that refuses with [`Ran::No`] knows only of its own try. Forwarded unchanged, that
 /// would hide that an earlier owner may have run the ask, and the caller might have the work done
-/// twice. It is therefore replaced by `broken`.
+/// twice. [`Ran::No`] is therefore replaced by `broken`.
 fn forward_reply(
     reply: Reply,
     seen: usize,
--- a/crates/node/src/filters/parse.rs
+++ b/crates/node/src/filters/parse.rs
@@ -42,7 +42,7 @@
     pub token: Option<id::Digest>,
     /// The program that the caller names.
     pub program: Option<id::Program>,
-    /// The turn that the caller names.
+    /// The number of the turn that the caller names.
     pub turn: Option<u32>,
     /// The idempotency key.
     pub key: Option<id::Key>,
@@ -242,13 +242,13 @@
 fn turn(text: &str) -> std::result::Result<u32, String> {
     match u32::from_str(text) {
         Ok(turn) if turn > 0 => Ok(turn),
-        _ => Err("a number from 1".to_owned()),
+        _ => Err("must be a whole number of at least 1".to_owned()),
     }
 }
 
 fn millis(text: &str) -> std::result::Result<Millis, String> {
     let parsed = u64::from_str(text).map(Millis::new);
-    parsed.map_err(|_| "a number of milliseconds".to_owned())
+    parsed.map_err(|_| "must be a whole number of milliseconds".to_owned())
 }
 
 fn bad_field(name: &str, fault: impl std::fmt::Display) -> Refusal {
--- a/crates/node/src/http/sse.rs
+++ b/crates/node/src/http/sse.rs
@@ -24,7 +24,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the current event gets longer than [`MAX_EVENT_BYTES`].
+    /// Fails if the buffer, which holds all bytes that [`Self::pop`] hasn't removed yet, would
+    /// exceed [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
         if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -38,8 +38,8 @@
 
 /// The prefix of the paths that [`handle`] serves.
 pub const PREFIX: &str = "/operate/";
-/// The time limit for asking a VM for its decisions, or a program's owner. A VM that is slower to
-/// send its decisions is left out.
+/// The time limit for asking a VM for its decisions, and for asking a program's owner to show or
+/// end the program. A VM that takes longer to send its decisions is left out of the answer.
 const TIMEOUT: Millis = Millis::new(1_000);
 /// The maximum number of VMs that are asked for their decisions at once.
 const MAX_CONCURRENT: usize = 32;
--- a/crates/node/src/owner/message.rs
+++ b/crates/node/src/owner/message.rs
@@ -41,7 +41,7 @@
     Blame(id::Program, id::Digest, id::Endpoint, Answer<bool>),
     /// A call that may run at most once has an endpoint and wants to start.
     Intend(Intend, Answer<()>),
-    /// The outcome of such a call.
+    /// The outcome of a call that may run at most once.
     Resolve(id::Program, id::Key, id::Attempt, Outcome, Answer<()>),
     /// The task of a request has ended; the request is no longer pending.
     Finished(crate::owner::pending::Name),
@@ -69,7 +69,7 @@
     pub caller: id::Caller,
     /// The program's budget, used if the program has to be created.
     pub budget: Budget,
-    /// The turn.
+    /// The turn's number.
     pub turn: u32,
     /// The new messages.
     pub messages: Vec<chat::Message>,
@@ -77,9 +77,9 @@
     pub digest: id::Digest,
     /// The most tokens that the answer may have.
     pub max_tokens: u64,
-    /// The attempt.
+    /// The attempt that starts.
     pub attempt: id::Attempt,
-    /// The endpoint.
+    /// The endpoint that runs the attempt.
     pub endpoint: id::Endpoint,
 }
 
@@ -103,7 +103,7 @@
     pub max_tokens: u64,
     /// The new attempt.
     pub attempt: id::Attempt,
-    /// The new endpoint.
+    /// The endpoint that runs the new attempt.
     pub endpoint: id::Endpoint,
 }
 
@@ -111,15 +111,15 @@
 pub struct Commit {
     /// The program.
     pub program: id::Program,
-    /// The attempt.
+    /// The attempt that completed the answer.
     pub attempt: id::Attempt,
-    /// The new messages.
+    /// The turn's new messages.
     pub messages: Vec<chat::Message>,
     /// The answer.
     pub answer: chat::Answer,
     /// Tokens that the attempt generated.
     pub used: u64,
-    /// The endpoint.
+    /// The endpoint that ran the attempt.
     pub endpoint: id::Endpoint,
 }
 
@@ -135,7 +135,7 @@
     pub key: id::Key,
     /// The digest of service, operation and body.
     pub digest: id::Digest,
-    /// The attempt.
+    /// The attempt that starts.
     pub attempt: id::Attempt,
 }
 
--- a/crates/node/src/owner/pending.rs
+++ b/crates/node/src/owner/pending.rs
@@ -19,7 +19,7 @@
 /// A request in progress.
 #[derive(Clone, Debug)]
 pub struct Pending {
-    /// Its name.
+    /// Identifies it within the shard.
     pub name: Name,
     /// The caller that made the request.
     pub caller: id::Caller,
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -209,7 +209,7 @@
         if let Status::Outage { retry_after } = self.status()
             && self.log.has_no_holders()
         {
-            let detail = "no other VM of the data centre can hold a copy";
+            let detail = "no other VM of the data centre can hold copies of the records";
             return Err(Refusal::new(Code::PlatformDown, detail).retry_after(retry_after));
         }
         Ok(())
--- a/crates/node/src/owner/turn.rs
+++ b/crates/node/src/owner/turn.rs
@@ -64,7 +64,7 @@
     pub request: chat::Request,
     /// The most tokens that the answer may have.
     pub max_tokens: u64,
-    /// The turn.
+    /// The turn's number.
     pub turn: u32,
     /// The digest of the new messages and the options.
     pub digest: id::Digest,
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -41,8 +41,8 @@
 use crate::trace::Trace;
 use crate::view::View;
 
-/// How often waiting calls are checked for expiry when nothing else happens: a twentieth of the
-/// shortest `retry-after` that callers get.
+/// The time between two checks of waiting calls for expiry when nothing else happens: a twentieth
+/// of the shortest `retry-after` that callers get.
 const PUMP_INTERVAL: Duration = Duration::from_millis(50);
 /// The number of pumps per sweep: at least one sweep per second.
 const PUMPS_PER_SWEEP: u32 = 20;
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -2,8 +2,8 @@
 //!
 //! New requests that may outlast the process are refused ([`crate::filters`]). Each shard is
 //! released when its running work is done, and then the callers' listener closes. The controllers
-//! and the other listeners end last, because forwarded answers need news of their owners, and
-//! waiting calls must be given up in time.
+//! and the other listeners end last: while this VM forwards answers, it needs the heartbeats to
+//! learn of the loss of an owner, and calls that wait for a slot must be refused in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 use crate::core::Core;
 
-/// How often a node checks whether the callers' listener may close.
+/// The time between two checks of whether the callers' listener may close.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Stops a node. Returns when all its tasks have ended or their time is over.
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -28,7 +28,7 @@
     pub at: Millis,
     /// The program that the decision is about.
     pub program: id::Program,
-    /// The turn, 0 for a call of a service.
+    /// The turn's number; 0 for a service call.
     pub turn: u32,
     /// The number and text of the event.
     pub event: String,
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -119,7 +119,7 @@
 struct Fleet {
     runtime: tokio::runtime::Runtime,
     time: Arc<AtomicU64>,
-    memory: Memory,
+    platform: Memory,
     down: bool,
     nodes: Vec<Node>,
     pending: Vec<Pending>,
@@ -136,14 +136,14 @@
     }
 
     fn read(&self) -> platform::edge::Result<Option<Entry>> {
-        self.runtime.block_on(self.memory.read(KEY))
+        self.runtime.block_on(self.platform.read(KEY))
     }
 
     /// Reads the key even in an outage, which only the test can.
     fn stored(&self) -> Config {
-        self.memory.set_down(false);
+        self.platform.set_down(false);
         let entry = self.read().unwrap();
-        self.memory.set_down(self.down);
+        self.platform.set_down(self.down);
         entry.map_or_else(Config::default, |e| config::parse(&e.value).unwrap())
     }
 
@@ -198,7 +198,7 @@
                 self.pending[at].change.on_read(read, now)
             }
             Step::Commit(txn) => {
-                let commit = self.memory.commit(&txn, Priority::Change);
+                let commit = self.platform.commit(&txn, Priority::Change);
                 let outcome = self.runtime.block_on(commit);
                 self.pending[at].change.on_commit(outcome, now)
             }
@@ -332,8 +332,8 @@
 
     fn end_faults(&mut self) {
         self.down = false;
-        self.memory.set_down(false);
-        self.memory.deliver();
+        self.platform.set_down(false);
+        self.platform.deliver();
         self.check();
         for node in 0..NODES {
             self.restart(node);
@@ -377,7 +377,7 @@
                 .build()
                 .unwrap(),
             time: Arc::clone(&time),
-            memory: Memory::new(Clock::Manual(time)),
+            platform: Memory::new(Clock::Manual(time)),
             down: false,
             nodes: Vec::new(),
             pending: Vec::new(),
@@ -403,12 +403,12 @@
                 with_expected,
             } => fleet.begin(node, with_expected),
             Operation::Advance { change } => fleet.advance(change),
-            Operation::Lose(play) => fleet.memory.inject(play),
+            Operation::Lose(play) => fleet.platform.inject(play),
             Operation::Outage(down) => {
                 fleet.down = down;
-                fleet.memory.set_down(down);
+                fleet.platform.set_down(down);
             }
-            Operation::Deliver => fleet.memory.deliver(),
+            Operation::Deliver => fleet.platform.deliver(),
             Operation::Wait => {
                 fleet.time.fetch_add(DEADLINE.as_u64(), Ordering::SeqCst);
             }
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -361,7 +361,7 @@
             owners: vm.exchange.owners.entries(),
             platform: vm.renewer.health(),
             lease: LEASE,
-            lost: &[],
+            lost_centres: &[],
         };
         for action in vm.claims.decide(&facts) {
             match action {
