--- a/crates/node/examples/slopes/model.rs
+++ b/crates/node/examples/slopes/model.rs
@@ -144,13 +144,13 @@
     {
         fleet.tick();
         for vm in &mut fleet.vms {
-            let heard = vm
+            let knows_revision = vm
                 .exchange
                 .table
                 .members()
                 .iter()
                 .any(|m| m.status.revision == 9);
-            if heard {
+            if knows_revision {
                 vm.exchange.table.set_own(|own| own.revision = 9);
             }
         }
--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -246,8 +246,8 @@
 }
 
 /// Returns the entries that name this VM as the owner of shards that it doesn't serve, because it
-/// has restarted since. Only this VM knows that, so it marks them as given up; otherwise the shards
-/// would wait for it for ever.
+/// has released them or has restarted since. Only this VM knows that, so it marks the entries as
+/// given up; otherwise no VM would ever claim the shards.
 #[must_use]
 pub fn stale_ownerships(me: &id::Vm, owned: &[id::Shard], owners: &[Owner]) -> Vec<Owner> {
     let mine = owners.iter().filter(|o| o.vm == *me && !o.free);
@@ -291,11 +291,11 @@
     rendezvous::choose(&shard.to_string(), candidates)
 }
 
-/// Returns whether no live VM is known to hold a shard. If its lease is still running, the claim
-/// fails.
+/// Returns whether no other live VM is known to hold a shard. If the lease of an owner that is
+/// considered down is still running, the claim fails.
 fn is_unowned(facts: &Facts<'_>, shard: &id::Shard) -> bool {
-    let line = facts.owners.binary_search_by(|o| o.shard.cmp(shard));
-    let Ok(owner) = line.map(|at| &facts.owners[at]) else {
+    let found = facts.owners.binary_search_by(|o| o.shard.cmp(shard));
+    let Ok(owner) = found.map(|at| &facts.owners[at]) else {
         return true;
     };
     owner.free || owner.vm == *facts.me || !facts.vm(&owner.vm).is_some_and(|v| v.up)
--- a/crates/node/src/controllers/config/change/tests.rs
+++ b/crates/node/src/controllers/config/change/tests.rs
@@ -52,9 +52,9 @@
 #[case(Injection::LoseWrite)]
 #[case(Injection::Delay)]
 #[tokio::test]
-async fn a_lost_answer_is_resolved_by_reading_back(#[case] play: Injection) {
+async fn a_lost_answer_is_resolved_by_reading_back(#[case] injection: Injection) {
     let memory = Memory::default();
-    memory.inject(play);
+    memory.inject(injection);
     let outcome = make_change(&memory, 11, "high").await;
     assert_eq!(accepted_revision(&outcome), 1);
     memory.deliver();
--- a/crates/node/src/controllers/run/poller.rs
+++ b/crates/node/src/controllers/run/poller.rs
@@ -60,7 +60,7 @@
 struct GoneQuery {
     shard: id::Shard,
     endpoint: id::Endpoint,
-    /// The programs to check for being gone.
+    /// The programs about which the owner is asked whether they are gone.
     programs: Vec<id::Program>,
     /// The programs to release if they are gone.
     release: Vec<id::Program>,
@@ -225,10 +225,10 @@
         if response.status() != StatusCode::OK {
             return None;
         }
-        let whole = body::read(response.into_body(), MAX_REPORT_BYTES, ANSWER_TIMEOUT)
+        let bytes = body::read(response.into_body(), MAX_REPORT_BYTES, ANSWER_TIMEOUT)
             .await
             .ok()?;
-        serde_json::from_slice(&whole).ok()
+        serde_json::from_slice(&bytes).ok()
     };
     timeout(ANSWER_TIMEOUT.as_duration(), request).await.ok()?
 }
--- a/crates/node/src/dispatch/choose.rs
+++ b/crates/node/src/dispatch/choose.rs
@@ -36,7 +36,7 @@
     now: Millis,
 ) -> Option<Placement> {
     let endpoints = allowed_endpoints(core, view, work);
-    let mut names: Vec<&Endpoint> = Vec::with_capacity(endpoints.len());
+    let mut eligible: Vec<&Endpoint> = Vec::with_capacity(endpoints.len());
     let mut candidates = Vec::with_capacity(endpoints.len());
     for endpoint in endpoints {
         let found = states.binary_search_by(|s| s.endpoint.cmp(&endpoint.name));
@@ -44,11 +44,11 @@
         if work.content == Content::Suspect && states[at].has_suspect() {
             continue;
         }
-        let cached_at = work.held.iter().find(|(name, _)| *name == endpoint.name);
-        let cached = cached_at.map_or(0, |(_, tokens)| *tokens);
+        let holder = work.held.iter().find(|(name, _)| *name == endpoint.name);
+        let cached = holder.map_or(0, |(_, tokens)| *tokens);
         let load = view.load(&endpoint.name);
         if let Some(candidate) = states[at].candidate(endpoint, load, cached, now) {
-            names.push(endpoint);
+            eligible.push(endpoint);
             candidates.push(candidate);
         }
     }
@@ -70,9 +70,9 @@
         salt: rand::random(),
     };
     let choice = place::choose(&candidates, &call, &weights)?;
-    let endpoint = names[choice.index];
+    let endpoint = eligible[choice.index];
     let detail = match choice.start {
-        Start::Now => describe(endpoint, &choice, &names),
+        Start::Now => describe(endpoint, &choice, &eligible),
         Start::Later => String::new(),
     };
     Some(Placement {
@@ -83,8 +83,8 @@
 }
 
 /// Formats a decision for the log.
-fn describe(endpoint: &Endpoint, choice: &Choice, names: &[&Endpoint]) -> String {
-    let names: Vec<&str> = names.iter().map(|e| e.name.as_str()).collect();
+fn describe(endpoint: &Endpoint, choice: &Choice, eligible: &[&Endpoint]) -> String {
+    let names: Vec<&str> = eligible.iter().map(|e| e.name.as_str()).collect();
     format!(
         "choice={} reason=\"cost={:.0} wait={:.0} miss={:.0} run={:.0} next={:.0}\" candidates={}",
         endpoint.name,
--- a/crates/node/src/dispatch/ejection.rs
+++ b/crates/node/src/dispatch/ejection.rs
@@ -12,7 +12,8 @@
 use crate::core::Core;
 use crate::dispatch::endpoint_state;
 
-/// Ejects and restores endpoints. Called about once a second.
+/// Ejects and restores endpoints. Called once a second, or sooner while
+/// the view changes.
 pub fn sweep(core: &Arc<Core>) {
     let now = core.clock.now();
     let view = core.view();
--- a/crates/node/src/owner/call.rs
+++ b/crates/node/src/owner/call.rs
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Makes the intent durable. Withdraws an intent that is withheld because the platform is down,
-    /// as its call is never sent.
+    /// Makes the intent durable. If that fails because the platform is down, withdraws the intent
+    /// by resolving it as not run, because its call is never sent.
     async fn intend(&self, key: &id::Key, attempt: id::Attempt) -> Result<()> {
         let intend = message::Intend {
             program: self.work.program.clone(),
@@ -299,7 +299,7 @@
         end
     }
 
-    /// Waits until the call may be tried again; refuses it if it may not.
+    /// Waits until the call may be tried again. Fails with a refusal if it may not be.
     async fn wait_for_retry(
         &self,
         work: &mut Work,
--- a/crates/node/src/owner/maintenance.rs
+++ b/crates/node/src/owner/maintenance.rs
@@ -14,9 +14,11 @@
 use crate::owner::message::Message;
 use crate::owner::shard::Owner;
 
-/// The most release orders that a shard sends per tick. A lost order is sent again a second later.
+/// The most release orders that a shard sends per tick. A lost order is sent again at the next
+/// tick, a second later at most.
 const MAX_RELEASES_PER_TICK: usize = 64;
-/// How long an endpoint may take to confirm an order; less than the second between two ticks.
+/// How long an endpoint may take to confirm an order. This is less than the time between two
+/// ticks, which is a second while the view doesn't change.
 const ORDER_TIMEOUT: Millis = Millis::new(800);
 /// How long an ended program is kept, so that its idempotency keys, and the refusal of a request
 /// for its last answer, outlast every retry of a caller.
@@ -108,7 +110,7 @@
 }
 
 /// Returns those of the programs that are gone: unknown to the shard, or ended. The shard knows a
-/// program before the program's first dispatch.
+/// program before the program's first dispatch, so a program that has just started isn't returned.
 pub(super) fn gone(owner: &Owner, programs: Vec<id::Program>) -> Vec<id::Program> {
     let live = |id: &id::Program| {
         let program = owner.state.program(id);
--- a/crates/node/src/owner/registry.rs
+++ b/crates/node/src/owner/registry.rs
@@ -274,7 +274,7 @@
     }
 }
 
-/// Tells the actor when its journal has another owner.
+/// Tells the actor when another VM has become the owner of its journal.
 async fn watch_ownership(core: Arc<Core>, log: Log, actor: ActorRef<Message>) {
     let mut status = log.watch();
     drop(log);
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// Sends a decision to a task; ignores that the task may be gone.
+/// Sends a decision to a task. Does nothing if the task is gone.
 fn reply<T>(answer: Answer<T>, decided: Result<Decided<T>, Refusal>) {
     let _receiver_gone = answer.send(decided);
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -41,11 +41,13 @@
 use crate::trace::Trace;
 use crate::view::View;
 
-/// The time between two checks of waiting calls for expiry when nothing else happens: a twentieth
-/// of the shortest `retry-after` that callers get.
-const PUMP_INTERVAL: Duration = Duration::from_millis(50);
-/// The number of pumps per sweep: at least one sweep per second.
-const PUMPS_PER_SWEEP: u32 = 20;
+/// The time between two passes over the waiting calls when the view doesn't change. A pass refuses
+/// the calls that have expired. The time is a twentieth of the shortest `retry-after` that callers
+/// get.
+const PASS_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of passes after which endpoints are ejected or restored and each shard runs its
+/// maintenance: at least once per second.
+const PASSES_PER_TICK: u32 = 20;
 /// The maximum number of connections of each listener for VMs and operators. They don't count
 /// towards the limit for callers' connections.
 const MAX_INTERNAL_CONNECTIONS: u32 = 65_536;
@@ -262,17 +264,17 @@
 
 async fn tick(core: Arc<Core>) {
     let mut views = core.view.subscribe();
-    let mut pumps = 0;
+    let mut passes = 0;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(PUMP_INTERVAL) => {}
+            () = tokio::time::sleep(PASS_INTERVAL) => {}
             _changed = views.changed() => {}
             () = core.stopped.cancelled() => return,
         }
         scheduler::assign_slots(&core);
-        pumps += 1;
-        if pumps >= PUMPS_PER_SWEEP {
-            pumps = 0;
+        passes += 1;
+        if passes >= PASSES_PER_TICK {
+            passes = 0;
             ejection::sweep(&core);
             core.registry.tick();
         }
--- a/crates/node/tests/claims_fuzz.rs
+++ b/crates/node/tests/claims_fuzz.rs
@@ -71,7 +71,7 @@
 
     fn transitions((): &()) -> BoxedStrategy<Operation> {
         let vm = 0..CENTRES * VMS;
-        let play = prop_oneof![
+        let injection = prop_oneof![
             Just(Injection::LoseAnswer),
             Just(Injection::LoseWrite),
             Just(Injection::Delay),
@@ -86,7 +86,7 @@
             2 => (vm.clone(), any::<bool>()).prop_map(|(vm, on)| Operation::Cut(vm, on)),
             2 => (vm, any::<bool>()).prop_map(|(vm, on)| Operation::CutPlatform(vm, on)),
             2 => any::<bool>().prop_map(Operation::Outage),
-            1 => play.prop_map(Operation::Lose),
+            1 => injection.prop_map(Operation::Lose),
             1 => Just(Operation::Deliver),
         ]
         .boxed()
@@ -125,18 +125,18 @@
             fleet.vms[at].platform_cut = cut;
             fleet.vms[at].disturbed = true;
         }
-        Operation::Outage(down) => fleet.memory.set_down(down),
-        Operation::Lose(play) => {
-            fleet.memory.inject(play);
+        Operation::Outage(down) => fleet.platform.set_down(down),
+        Operation::Lose(injection) => {
+            fleet.platform.inject(injection);
             fleet.vms.iter_mut().for_each(|vm| vm.disturbed = true);
         }
-        Operation::Deliver => fleet.memory.deliver(),
+        Operation::Deliver => fleet.platform.deliver(),
     }
 }
 
 fn end_faults(fleet: &mut Fleet) {
-    fleet.memory.set_down(false);
-    fleet.memory.deliver();
+    fleet.platform.set_down(false);
+    fleet.platform.deliver();
     for at in 0..fleet.vms.len() {
         fleet.vms[at].cut = false;
         fleet.vms[at].platform_cut = false;
--- a/crates/node/tests/config_fuzz.rs
+++ b/crates/node/tests/config_fuzz.rs
@@ -68,7 +68,7 @@
 
     fn transitions((): &()) -> BoxedStrategy<Operation> {
         let node = 0..NODES;
-        let play = prop_oneof![
+        let injection = prop_oneof![
             Just(Injection::LoseAnswer),
             Just(Injection::LoseWrite),
             Just(Injection::Delay),
@@ -77,7 +77,7 @@
             4 => (node.clone(), any::<bool>())
                 .prop_map(|(node, with_expected)| Operation::Begin { node, with_expected }),
             12 => (0..MAX_PENDING).prop_map(|change| Operation::Advance { change }),
-            2 => play.prop_map(Operation::Lose),
+            2 => injection.prop_map(Operation::Lose),
             2 => any::<bool>().prop_map(Operation::Outage),
             1 => Just(Operation::Deliver),
             1 => Just(Operation::Wait),
@@ -403,7 +403,7 @@
                 with_expected,
             } => fleet.begin(node, with_expected),
             Operation::Advance { change } => fleet.advance(change),
-            Operation::Lose(play) => fleet.platform.inject(play),
+            Operation::Lose(injection) => fleet.platform.inject(injection),
             Operation::Outage(down) => {
                 fleet.down = down;
                 fleet.platform.set_down(down);
--- a/crates/node/tests/support/fleet.rs
+++ b/crates/node/tests/support/fleet.rs
@@ -53,7 +53,7 @@
     pub bytes: u64,
 }
 
-/// An ownership that a VM believes to have.
+/// An ownership that a VM believes it has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owned {
     pub shard: id::Shard,
@@ -84,7 +84,7 @@
 pub struct Fleet {
     runtime: tokio::runtime::Runtime,
     time: Arc<AtomicU64>,
-    pub memory: Memory,
+    pub platform: Memory,
     pub vms: Vec<Vm>,
     pub shards: Vec<id::Shard>,
     random: SmallRng,
@@ -109,7 +109,7 @@
                 .build()
                 .unwrap(),
             time: Arc::clone(&time),
-            memory: Memory::new(Clock::Manual(time)),
+            platform: Memory::new(Clock::Manual(time)),
             vms: Vec::new(),
             shards: names.iter().flat_map(indexes).collect(),
             random: SmallRng::seed_from_u64(7),
@@ -132,7 +132,7 @@
     fn new_vm(at: usize, centre: &id::Centre, now: Millis) -> Vm {
         let name = id::Vm::parse(&format!("vm{at:03}")).unwrap();
         let port = u16::try_from(10_000 + at).unwrap();
-        let line = Status {
+        let status = Status {
             size: 1 + u32::try_from(at % 2).unwrap(),
             ..members::seed(&name, centre, ([10, 0, 0, 1], port).into())
         };
@@ -143,7 +143,7 @@
             cut: false,
             platform_cut: false,
             disturbed: false,
-            exchange: Exchange::new(line, now),
+            exchange: Exchange::new(status, now),
             claims: Claims::new(now),
             renewer: Renewer::new(LEASE),
             owned: Vec::new(),
@@ -256,11 +256,11 @@
         let before = self.vms[at].renewer.lease();
         match self.vms[at].renewer.due(now) {
             Some(Request::Grant) => {
-                let answer = self.call_platform(at, self.memory.grant(LEASE));
+                let answer = self.call_platform(at, self.platform.grant(LEASE));
                 self.vms[at].renewer.on_grant(&answer, now, now);
             }
             Some(Request::Renew(lease)) => {
-                let answer = self.call_platform(at, self.memory.renew(lease));
+                let answer = self.call_platform(at, self.platform.renew(lease));
                 self.vms[at].renewer.on_renewal(&answer, now, now);
             }
             None => {}
@@ -276,7 +276,7 @@
     fn reclaim(&mut self, at: usize) {
         for owned in self.vms[at].owned.clone() {
             let key = format!("owner/{}", owned.shard);
-            let Ok(current) = self.call_platform(at, self.memory.read(&key)) else {
+            let Ok(current) = self.call_platform(at, self.platform.read(&key)) else {
                 continue;
             };
             let own_name = self.vms[at].name.as_str().as_bytes();
@@ -290,7 +290,7 @@
                 writes: vec![put(&key, own_name, self.vms[at].renewer.lease())],
             };
             let _again_at_next_append =
-                self.call_platform(at, self.memory.commit(&txn, Priority::Claim));
+                self.call_platform(at, self.platform.commit(&txn, Priority::Claim));
         }
     }
 
@@ -298,7 +298,7 @@
     fn append(&mut self, at: usize) {
         for owned in self.vms[at].owned.clone() {
             let key = format!("epoch/{}", owned.shard);
-            let Ok(Some(entry)) = self.call_platform(at, self.memory.read(&key)) else {
+            let Ok(Some(entry)) = self.call_platform(at, self.platform.read(&key)) else {
                 continue;
             };
             if number(&entry.value) > owned.epoch {
@@ -313,7 +313,7 @@
         for shard in std::mem::take(&mut self.vms[at].stale_records) {
             let key = format!("owner/{shard}");
             let served = self.vms[at].owned.iter().any(|o| o.shard == shard);
-            let read = self.call_platform(at, self.memory.read(&key));
+            let read = self.call_platform(at, self.platform.read(&key));
             let own_name = self.vms[at].name.as_str().as_bytes();
             let gone = match read {
                 _ if served => true,
@@ -322,7 +322,7 @@
                         compares: vec![compare(&key, entry.revision)],
                         writes: vec![Write::Delete(key)],
                     };
-                    self.call_platform(at, self.memory.commit(&txn, Priority::Claim))
+                    self.call_platform(at, self.platform.commit(&txn, Priority::Claim))
                         .is_ok()
                 }
                 Ok(_) => true,
@@ -413,12 +413,12 @@
         let held = || Fault::Invalid("held".to_owned());
         let lease = self.vms[at].renewer.lease().ok_or_else(held)?;
         let (record, counter) = (format!("owner/{shard}"), format!("epoch/{shard}"));
-        let current = self.call_platform(at, self.memory.read(&record))?;
+        let current = self.call_platform(at, self.platform.read(&record))?;
         let own_name = self.vms[at].name.as_str().as_bytes();
         if current.as_ref().is_some_and(|e| e.value != own_name) {
             return Err(held());
         }
-        let last = self.call_platform(at, self.memory.read(&counter))?;
+        let last = self.call_platform(at, self.platform.read(&counter))?;
         let epoch = last.as_ref().map_or(0, |e| number(&e.value)) + 1;
         let txn = Txn {
             compares: vec![
@@ -430,7 +430,7 @@
                 put(&counter, &epoch.to_le_bytes(), None),
             ],
         };
-        match self.call_platform(at, self.memory.commit(&txn, Priority::Claim))? {
+        match self.call_platform(at, self.platform.commit(&txn, Priority::Claim))? {
             edge::Outcome::Applied(_) => Ok(epoch),
             edge::Outcome::Refused(_) => Err(held()),
         }
@@ -483,7 +483,7 @@
         self.seed(at);
     }
 
-    /// Returns the VMs that believe to serve a shard.
+    /// Returns the VMs that believe that they serve a shard.
     pub fn servers(&self, shard: &id::Shard) -> Vec<&Vm> {
         let serves = |v: &&Vm| v.phase != Phase::Dead && v.owned.iter().any(|o| o.shard == *shard);
         self.vms.iter().filter(serves).collect()
