--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -51,7 +51,7 @@
 /// owns which shard. A VM without peers doesn't wait.
 pub const DISCOVERY_TIME: Millis = Millis::new(2_000);
 /// The first delay after a failed claim. It is doubled each time up to [`MAX_RETRY_DELAY`], so that
-/// a VM that is alone in thinking all others down doesn't read every record all the time.
+/// a VM that wrongly considers all others down doesn't keep reading every record.
 const FIRST_RETRY_DELAY: Millis = Millis::new(500);
 /// The longest delay after failed claims. It is about a lease time, and bounds how long a shard
 /// waits for its claimer after its lease has expired.
@@ -118,7 +118,7 @@
     /// The time to live of a lease.
     pub lease: Millis,
     /// Data centres that an operator has declared lost.
-    pub lost: &'a [id::Centre],
+    pub lost_centres: &'a [id::Centre],
 }
 
 impl<'a> Facts<'a> {
@@ -220,7 +220,7 @@
         let wanted = facts.shards.iter().filter(|shard| {
             // The cheapest check comes first: with 512 shards, most are of other centres.
             let claimable_centre =
-                Some(&shard.centre) == own_centre || facts.lost.contains(&shard.centre);
+                Some(&shard.centre) == own_centre || facts.lost_centres.contains(&shard.centre);
             claimable_centre
                 && facts.owned.binary_search(shard).is_err()
                 && is_unowned(facts, shard)
@@ -246,8 +246,8 @@
 }
 
 /// Returns the entries that name this VM as the owner of shards that it doesn't serve, because it
-/// has restarted since. Only this VM knows that, so it marks them as given up; otherwise the shards
-/// would wait for it for ever.
+/// has released them or has restarted since. Only this VM knows that, so it marks the entries as
+/// given up; otherwise no VM would ever claim the shards.
 #[must_use]
 pub fn stale_ownerships(me: &id::Vm, owned: &[id::Shard], owners: &[Owner]) -> Vec<Owner> {
     let mine = owners.iter().filter(|o| o.vm == *me && !o.free);
@@ -276,7 +276,7 @@
     shard: &id::Shard,
     eligibility: Eligibility,
 ) -> Option<&'a id::Vm> {
-    let lost = |centre: &id::Centre| facts.lost.contains(centre);
+    let lost = |centre: &id::Centre| facts.lost_centres.contains(centre);
     let home_lost = lost(&shard.centre);
     let eligible = facts.vms.iter().filter(|v| {
         let home = v.centre == shard.centre;
@@ -291,11 +291,11 @@
     rendezvous::choose(&shard.to_string(), candidates)
 }
 
-/// Returns whether no live VM is known to hold a shard. If its lease is still running, the claim
-/// fails.
+/// Returns whether no other live VM is known to hold a shard. If the lease of an owner that is
+/// considered down is still running, the claim fails.
 fn is_unowned(facts: &Facts<'_>, shard: &id::Shard) -> bool {
-    let line = facts.owners.binary_search_by(|o| o.shard.cmp(shard));
-    let Ok(owner) = line.map(|at| &facts.owners[at]) else {
+    let found = facts.owners.binary_search_by(|o| o.shard.cmp(shard));
+    let Ok(owner) = found.map(|at| &facts.owners[at]) else {
         return true;
     };
     owner.free || owner.vm == *facts.me || !facts.vm(&owner.vm).is_some_and(|v| v.up)
--- a/crates/node/src/owner/shard.rs
+++ b/crates/node/src/owner/shard.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// Sends a decision to a task; ignores that the task may be gone.
+/// Sends a decision to a task. Does nothing if the task is gone.
 fn reply<T>(answer: Answer<T>, decided: Result<Decided<T>, Refusal>) {
     let _receiver_gone = answer.send(decided);
 }
@@ -209,7 +209,7 @@
         if let Status::Outage { retry_after } = self.status()
             && self.log.has_no_holders()
         {
-            let detail = "no other VM of the data centre can hold a copy";
+            let detail = "no other VM of the data centre can hold copies of the records";
             return Err(Refusal::new(Code::PlatformDown, detail).retry_after(retry_after));
         }
         Ok(())
