--- a/crates/chestnutyoke/src/cli/operate.rs
+++ b/crates/chestnutyoke/src/cli/operate.rs
@@ -25,7 +25,8 @@
 /// The admin listener of a VM on this machine that uses the documented ports.
 const DEFAULT_ADMIN: &str = "127.0.0.1:8082";
 
-/// The VM that a subcommand calls, and how to print its answer.
+/// The admin listener that a subcommand calls, how to print the answer, and the revision that a
+/// change is based on.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The VM's admin listener.
@@ -200,7 +201,7 @@
             Arg::new("deny")
                 .long("deny")
                 .action(ArgAction::SetTrue)
-                .help("Forbids the work"),
+                .help("Forbids the work that the selector matches, instead of allowing it"),
         )
 }
 
@@ -241,7 +242,7 @@
 
 fn apply_command() -> Command {
     Command::new("apply")
-        .about("Adds callers, endpoints and selectors from a file, in one change")
+        .about("Adds callers, endpoints and selectors from a file, or replaces those with the same names, in one change")
         .arg(
             Arg::new("file")
                 .long("file")
--- a/crates/chestnutyoke/src/commands/apply.rs
+++ b/crates/chestnutyoke/src/commands/apply.rs
@@ -1,4 +1,5 @@
-//! `apply`: adds callers, endpoints and selectors from a file in one change.
+//! `apply`: adds callers, endpoints and selectors from a file in one change, or replaces those with
+//! the same names.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -37,7 +38,7 @@
     labels: label::Set,
 }
 
-/// Parses a file into a single edit that adds everything in it.
+/// Parses a file into a single edit that adds or replaces everything in it.
 ///
 /// # Errors
 ///
--- a/crates/chestnutyoke/tests/soak.rs
+++ b/crates/chestnutyoke/tests/soak.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 use wire::clock::Millis;
 
-/// The runs that once showed a fault.
+/// The runs that once failed a check.
 const REGRESSIONS: &str = include_str!("../../soak/regressions.toml");
 /// How long clients send requests in the short form of those runs; the last part is without faults.
 const SHORT_SPAN: Millis = Millis::new(22_000);
@@ -25,8 +25,8 @@
 const SPAN: Millis = Millis::new(36_000);
 
 /// Returns the folder in which the processes write: in memory if the machine has such a folder.
-/// Other programs use the disk too, and what a sync of a second disturbs isn't judged as if only
-/// planned work had happened.
+/// Other programs use the disk too. A sync that takes a second counts as a disruption, and what it
+/// disturbs isn't judged by the guarantees for planned work.
 fn folder() -> PathBuf {
     let memory = Path::new("/dev/shm");
     if memory.is_dir() {
--- a/crates/platform/src/limit.rs
+++ b/crates/platform/src/limit.rs
@@ -9,9 +9,9 @@
 //!
 //! **Thresholds.** A token bucket holds one second of its rate because the platform counts by the
 //! second; a deeper one would let a VM that was idle exceed the fleet's limit. Lower priorities
-//! must leave a part of the bucket to higher ones ([`FLOORS`]): background work half of it, so that
+//! must leave a part of the bucket to higher ones (`FLOORS`): background work half of it, so that
 //! a commit finds half a second of the rate at any time; claims a quarter; configuration changes an
-//! eighth. A tenth of the rate ([`CLAIM_SHARE`]) is reserved for claims, so that commits never
+//! eighth. A tenth of the rate (`CLAIM_SHARE`) is reserved for claims, so that commits never
 //! delay renewals by more than ten times the interval between writes: a third of a second at 30
 //! writes/s, far below a lease of seconds.
 
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -135,8 +135,8 @@
         })
     }
 
-    /// Returns when the planned work (a stop or a reload) of this VM began during which the request
-    /// has to be answered, `None` if there was none.
+    /// Returns when this VM's planned work (a stop or a reload) began, if the request has to be
+    /// answered in spite of it; `None` without such work.
     #[must_use]
     pub fn planned_work(&self, vm: usize, sent: Millis, ended: Millis) -> Option<Millis> {
         let end = GRACE.plus(AFTER_GRACE);
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -87,7 +87,7 @@
         counts: oracle.counts,
         samples: traffic.samples,
         checks: oracle.results.clone(),
-        calm: oracle.undisturbed_closes().to_vec(),
+        undisturbed_closes: oracle.undisturbed_closes().to_vec(),
         late: traffic.late,
         disk: traffic.disk,
     })
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -23,12 +23,12 @@
 use super::summary::MAX_UNDISTURBED_CLOSES;
 
 /// An oracle for one VM, and the log that its runner writes.
-struct Bench {
+struct Fixture {
     oracle: Oracle,
     log: Log,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let log = Log::default();
         let names = vec!["vm-1".to_owned()];
@@ -129,12 +129,12 @@
 
 #[test]
 fn a_complete_answer_breaks_nothing() {
-    let mut bench = Bench::new();
-    bench.execute(&spec(Kind::Order), whole);
-    bench.oracle.check_whole_run();
-    assert_eq!(bench.broken_checks(), []);
-    assert_eq!(bench.oracle.results.row(Check::Order).exercised, 1);
-    assert_eq!(bench.oracle.results.row(Check::Lost).exercised, 0);
+    let mut fixture = Fixture::new();
+    fixture.execute(&spec(Kind::Order), whole);
+    fixture.oracle.check_whole_run();
+    assert_eq!(fixture.broken_checks(), []);
+    assert_eq!(fixture.oracle.results.row(Check::Order).exercised, 1);
+    assert_eq!(fixture.oracle.results.row(Check::Lost).exercised, 0);
 }
 
 /// A VM stops while a runner executes a request that the VM has forwarded. Its process ends before
@@ -145,113 +145,113 @@
         Outcome::Closed,
         Outcome::Cut(answer("", 200, String::new())),
     ] {
-        let mut bench = Bench::new();
-        let id = bench.begin(&spec(Kind::Order));
-        bench.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
-        bench.stop();
-        bench.oracle.finish(&id, &outcome);
-        assert_eq!(bench.broken_checks(), [Check::Lost]);
+        let mut fixture = Fixture::new();
+        let id = fixture.begin(&spec(Kind::Order));
+        fixture.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
+        fixture.stop();
+        fixture.oracle.finish(&id, &outcome);
+        assert_eq!(fixture.broken_checks(), [Check::Lost]);
     }
 }
 
 /// The VM closes the connection while a request is on its way, so it has not read the request.
 #[test]
 fn a_request_that_the_vm_never_read_is_not_lost() {
-    let mut bench = Bench::new();
-    bench.stop();
-    let id = bench.begin(&spec(Kind::Order));
-    bench.oracle.finish(&id, &Outcome::Closed);
-    assert_eq!(bench.broken_checks(), []);
+    let mut fixture = Fixture::new();
+    fixture.stop();
+    let id = fixture.begin(&spec(Kind::Order));
+    fixture.oracle.finish(&id, &Outcome::Closed);
+    assert_eq!(fixture.broken_checks(), []);
 }
 
 /// The connection closes so long after the request that the VM must have read it, although it never
 /// forwarded it.
 #[test]
 fn a_request_that_is_held_and_cut_off_is_lost() {
-    let mut bench = Bench::new();
-    bench.stop();
-    let id = bench.begin(&spec(Kind::Order));
-    bench.advance(250);
-    bench.oracle.finish(&id, &Outcome::Closed);
-    assert_eq!(bench.broken_checks(), [Check::Lost]);
+    let mut fixture = Fixture::new();
+    fixture.stop();
+    let id = fixture.begin(&spec(Kind::Order));
+    fixture.advance(250);
+    fixture.oracle.finish(&id, &Outcome::Closed);
+    assert_eq!(fixture.broken_checks(), [Check::Lost]);
 }
 
 #[test]
 fn during_a_disruption_nothing_counts_as_lost() {
-    let mut bench = Bench::new();
-    bench.stop();
-    bench.oracle.history.begin_disruption(Millis::ZERO);
-    bench.execute(&spec(Kind::Order), |_| Outcome::Closed);
-    assert_eq!(bench.broken_checks(), []);
-    assert_eq!(bench.oracle.results.row(Check::Lost).exercised, 0);
+    let mut fixture = Fixture::new();
+    fixture.stop();
+    fixture.oracle.history.begin_disruption(Millis::ZERO);
+    fixture.execute(&spec(Kind::Order), |_| Outcome::Closed);
+    assert_eq!(fixture.broken_checks(), []);
+    assert_eq!(fixture.oracle.results.row(Check::Lost).exercised, 0);
 }
 
 #[test]
 fn a_runner_that_cut_its_answer_off_excuses_the_vm() {
-    let mut bench = Bench::new();
-    bench.stop();
-    let id = bench.begin(&spec(Kind::Order));
-    bench.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
-    bench.log.lock().unwrap()[0].mode = Mode::AnswerLost;
-    bench.oracle.finish(&id, &Outcome::Closed);
-    assert_eq!(bench.broken_checks(), []);
+    let mut fixture = Fixture::new();
+    fixture.stop();
+    let id = fixture.begin(&spec(Kind::Order));
+    fixture.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
+    fixture.log.lock().unwrap()[0].mode = Mode::AnswerLost;
+    fixture.oracle.finish(&id, &Outcome::Closed);
+    assert_eq!(fixture.broken_checks(), []);
 }
 
 #[test]
 fn a_few_closed_connections_are_tolerated_without_a_fault() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     for _ in 0..MAX_UNDISTURBED_CLOSES {
-        bench.execute(&spec(Kind::Order), |_| Outcome::Closed);
+        fixture.execute(&spec(Kind::Order), |_| Outcome::Closed);
     }
     assert_eq!(
-        bench.oracle.undisturbed_closes().len(),
+        fixture.oracle.undisturbed_closes().len(),
         MAX_UNDISTURBED_CLOSES
     );
-    bench.execute(&spec(Kind::Order), |_| Outcome::Closed);
-    bench.oracle.check_whole_run();
-    assert_eq!(bench.broken_checks(), [Check::Calm]);
+    fixture.execute(&spec(Kind::Order), |_| Outcome::Closed);
+    fixture.oracle.check_whole_run();
+    assert_eq!(fixture.broken_checks(), [Check::Calm]);
 }
 
 #[test]
 fn an_answer_without_its_end_must_not_look_complete() {
-    let mut bench = Bench::new();
-    bench.execute(&spec(Kind::Look), |id| {
+    let mut fixture = Fixture::new();
+    fixture.execute(&spec(Kind::Look), |id| {
         Outcome::Whole(answer(id, 200, request::answer(id, b"in\n", 2)))
     });
-    assert_eq!(bench.broken_checks(), [Check::Order]);
+    assert_eq!(fixture.broken_checks(), [Check::Order]);
 }
 
 #[test]
 fn an_answer_may_be_cut_off_but_not_skip_events() {
-    let mut bench = Bench::new();
-    bench.execute(&spec(Kind::Talk), |id| {
+    let mut fixture = Fixture::new();
+    fixture.execute(&spec(Kind::Talk), |id| {
         let body = request::answer(id, b"in\n", 2);
         Outcome::GaveUp(Some(answer(id, 200, body)))
     });
-    assert_eq!(bench.broken_checks(), []);
-    bench.execute(&spec(Kind::Talk), |id| {
+    assert_eq!(fixture.broken_checks(), []);
+    fixture.execute(&spec(Kind::Talk), |id| {
         let body = request::answer(id, b"in\n", 3);
         let second = body.split_once("\n\n").unwrap().1.to_owned();
         Outcome::GaveUp(Some(answer(id, 200, second)))
     });
-    assert_eq!(bench.broken_checks(), [Check::Order]);
+    assert_eq!(fixture.broken_checks(), [Check::Order]);
 }
 
 #[test]
 fn the_answer_of_another_request_is_detected() {
-    let mut bench = Bench::new();
-    bench.execute(&spec(Kind::Look), |_| whole("50a0000000000099"));
-    assert_eq!(bench.broken_checks(), [Check::Own, Check::Order]);
+    let mut fixture = Fixture::new();
+    fixture.execute(&spec(Kind::Look), |_| whole("50a0000000000099"));
+    assert_eq!(fixture.broken_checks(), [Check::Own, Check::Order]);
 }
 
 #[test]
 fn a_request_that_runs_at_most_once_must_not_run_twice() {
     for (kind, broken) in [(Kind::Order, vec![Check::Once]), (Kind::Look, vec![])] {
-        let mut bench = Bench::new();
-        let id = bench.execute(&spec(kind), whole);
-        bench.run(&id, &spec(kind).path(), &spec(kind).input);
-        bench.oracle.check_whole_run();
-        assert_eq!(bench.broken_checks(), broken);
+        let mut fixture = Fixture::new();
+        let id = fixture.execute(&spec(kind), whole);
+        fixture.run(&id, &spec(kind).path(), &spec(kind).input);
+        fixture.oracle.check_whole_run();
+        assert_eq!(fixture.broken_checks(), broken);
     }
 }
 
@@ -259,79 +259,79 @@
 /// call before or after the refusal.
 #[test]
 fn a_refused_request_must_not_run() {
-    let mut bench = Bench::new();
-    bench.execute(&spec(Kind::Order), refused);
-    assert_eq!(bench.broken_checks(), [Check::Refused]);
-    let mut bench = Bench::new();
-    let id = bench.begin(&spec(Kind::Order));
-    bench.oracle.finish(&id, &refused(&id));
-    assert_eq!(bench.broken_checks(), []);
-    bench.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
-    bench.oracle.check_whole_run();
-    assert_eq!(bench.broken_checks(), [Check::Refused]);
+    let mut fixture = Fixture::new();
+    fixture.execute(&spec(Kind::Order), refused);
+    assert_eq!(fixture.broken_checks(), [Check::Refused]);
+    let mut fixture = Fixture::new();
+    let id = fixture.begin(&spec(Kind::Order));
+    fixture.oracle.finish(&id, &refused(&id));
+    assert_eq!(fixture.broken_checks(), []);
+    fixture.run(&id, &spec(Kind::Order).path(), &spec(Kind::Order).input);
+    fixture.oracle.check_whole_run();
+    assert_eq!(fixture.broken_checks(), [Check::Refused]);
 }
 
 #[test]
 fn a_turn_continues_its_chain() {
-    let mut bench = Bench::new();
-    let program = bench.oracle.add_program(100);
-    let first = bench.execute(&turn(program, 100, None), whole);
+    let mut fixture = Fixture::new();
+    let program = fixture.oracle.add_program(100);
+    let first = fixture.execute(&turn(program, 100, None), whole);
     let next = turn(program, 100, Some(&first));
-    let id = bench.begin(&next);
+    let id = fixture.begin(&next);
     let text = format!("in\n{}in\n", request::output(&first, b"in\n", 3));
-    bench.run(&id, &next.path(), &text.into());
-    let id = bench.begin(&next);
-    bench.oracle.check_whole_run();
-    assert_eq!(bench.broken_checks(), []);
-    bench.run(&id, &next.path(), &next.input);
-    bench.oracle.check_whole_run();
-    assert_eq!(bench.broken_checks(), [Check::Chain]);
+    fixture.run(&id, &next.path(), &text.into());
+    let id = fixture.begin(&next);
+    fixture.oracle.check_whole_run();
+    assert_eq!(fixture.broken_checks(), []);
+    fixture.run(&id, &next.path(), &next.input);
+    fixture.oracle.check_whole_run();
+    assert_eq!(fixture.broken_checks(), [Check::Chain]);
 }
 
 #[test]
 fn a_kept_turn_must_be_found() {
-    let mut bench = Bench::new();
-    let program = bench.oracle.add_program(100);
-    let first = bench.execute(&turn(program, 100, None), whole);
-    let id = bench.begin(&turn(program, 100, Some(&first)));
+    let mut fixture = Fixture::new();
+    let program = fixture.oracle.add_program(100);
+    let first = fixture.execute(&turn(program, 100, None), whole);
+    let id = fixture.begin(&turn(program, 100, Some(&first)));
     let outcome = Outcome::Whole(answer(&id, 404, String::new()));
-    bench.oracle.finish(&id, &outcome);
-    assert_eq!(bench.broken_checks(), [Check::Kept]);
+    fixture.oracle.finish(&id, &outcome);
+    assert_eq!(fixture.broken_checks(), [Check::Kept]);
 }
 
 #[test]
 fn a_program_gets_its_budget_and_one_turn_at_most() {
     for (turns, broken) in [(2, vec![]), (3, vec![Check::Budget])] {
-        let mut bench = Bench::new();
-        let program = bench.oracle.add_program(30);
+        let mut fixture = Fixture::new();
+        let program = fixture.oracle.add_program(30);
         for _ in 0..turns {
-            bench.execute(&turn(program, 30, None), whole);
+            fixture.execute(&turn(program, 30, None), whole);
         }
-        bench.oracle.check_whole_run();
-        assert_eq!(bench.broken_checks(), broken);
+        fixture.oracle.check_whole_run();
+        assert_eq!(fixture.broken_checks(), broken);
     }
 }
 
 #[test]
 fn an_unknown_id_at_a_runner_is_detected() {
-    let mut bench = Bench::new();
-    bench.run("50b", "/look/x", &Bytes::new());
-    bench.oracle.check_whole_run();
-    assert_eq!(bench.broken_checks(), [Check::Asked]);
+    let mut fixture = Fixture::new();
+    fixture.run("50b", "/look/x", &Bytes::new());
+    fixture.oracle.check_whole_run();
+    assert_eq!(fixture.broken_checks(), [Check::Asked]);
 }
 
 /// A runner announces that it leaves, and receives a request after the time that VMs have to
 /// notice.
 #[test]
 fn a_leaving_runner_must_not_receive_late_requests() {
-    let mut bench = Bench::new();
-    bench.oracle.history.note_leaving("i-1", Millis::ZERO);
-    bench.advance(1_900);
-    bench.execute(&spec(Kind::Look), whole);
-    assert_eq!(bench.broken_checks(), []);
-    bench.advance(200);
-    bench.execute(&spec(Kind::Look), whole);
-    assert_eq!(bench.broken_checks(), [Check::Drains]);
+    let mut fixture = Fixture::new();
+    fixture.oracle.history.note_leaving("i-1", Millis::ZERO);
+    fixture.advance(1_900);
+    fixture.execute(&spec(Kind::Look), whole);
+    assert_eq!(fixture.broken_checks(), []);
+    fixture.advance(200);
+    fixture.execute(&spec(Kind::Look), whole);
+    assert_eq!(fixture.broken_checks(), [Check::Drains]);
 }
 
 /// A configuration adds a route and drops another. A VM that still uses the previous configuration
@@ -340,13 +340,13 @@
 fn an_older_configuration_is_detected() {
     let unknown = |id: &str| Outcome::Whole(answer(id, 404, String::new()));
     for (kind, holds) in [(Kind::Added(3), true), (Kind::Dropped(1), false)] {
-        let mut bench = Bench::new();
-        bench.execute(&spec(kind), whole);
-        assert_eq!(bench.broken_checks().is_empty(), holds, "{kind:?}");
-        let mut bench = Bench::new();
-        let id = bench.begin(&spec(kind));
-        bench.oracle.finish(&id, &unknown(&id));
-        assert_eq!(bench.broken_checks().is_empty(), !holds, "{kind:?}");
+        let mut fixture = Fixture::new();
+        fixture.execute(&spec(kind), whole);
+        assert_eq!(fixture.broken_checks().is_empty(), holds, "{kind:?}");
+        let mut fixture = Fixture::new();
+        let id = fixture.begin(&spec(kind));
+        fixture.oracle.finish(&id, &unknown(&id));
+        assert_eq!(fixture.broken_checks().is_empty(), !holds, "{kind:?}");
     }
 }
 
@@ -354,13 +354,13 @@
 #[test]
 fn a_runner_must_be_told_that_its_client_has_left() {
     for (is_told, broken) in [(true, vec![]), (false, vec![Check::Gone])] {
-        let mut bench = Bench::new();
-        bench.execute(&spec(Kind::Talk), |_| Outcome::GaveUp(None));
+        let mut fixture = Fixture::new();
+        fixture.execute(&spec(Kind::Talk), |_| Outcome::GaveUp(None));
         if !is_told {
-            bench.log.lock().unwrap()[0].ended = None;
+            fixture.log.lock().unwrap()[0].ended = None;
         }
-        bench.oracle.check_whole_run();
-        assert_eq!(bench.broken_checks(), broken);
+        fixture.oracle.check_whole_run();
+        assert_eq!(fixture.broken_checks(), broken);
     }
 }
 
@@ -369,17 +369,17 @@
 #[test]
 fn a_request_must_end_at_its_routes_time_out() {
     for (held_ms, broken) in [(3_400, vec![]), (3_600, vec![Check::Timely])] {
-        let mut bench = Bench::new();
+        let mut fixture = Fixture::new();
         let long = Spec {
             events: 8,
             deadline: Duration::from_millis(4_500),
             ..spec(Kind::Look)
         };
-        let id = bench.begin(&long);
-        bench.advance(held_ms);
+        let id = fixture.begin(&long);
+        fixture.advance(held_ms);
         let outcome = Outcome::Whole(answer(&id, 504, String::new()));
-        bench.oracle.finish(&id, &outcome);
-        bench.oracle.check_whole_run();
-        assert_eq!(bench.broken_checks(), broken);
+        fixture.oracle.finish(&id, &outcome);
+        fixture.oracle.check_whole_run();
+        assert_eq!(fixture.broken_checks(), broken);
     }
 }
--- a/crates/soak/src/plot.rs
+++ b/crates/soak/src/plot.rs
@@ -55,7 +55,7 @@
         count: |counts| counts.refused,
     },
     Line {
-        name: "failed or cut",
+        name: "failed, or connection closed",
         color: colors::RED,
         count: |counts| counts.failed + counts.cut,
     },
--- a/crates/soak/src/plot/tests.rs
+++ b/crates/soak/src/plot/tests.rs
@@ -50,7 +50,7 @@
         counts: Counts::default(),
         samples: vec![sample(1_000, 10), sample(2_000, 30), sample(4_000, 40)],
         checks,
-        calm: Vec::new(),
+        undisturbed_closes: Vec::new(),
         late: Millis::new(0),
         disk: Stalls::default(),
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -30,8 +30,9 @@
     pub checks: Results,
     /// Connections that closed on a request without any disruption in or shortly before it, if they
     /// were few enough not to break a check.
-    pub calm: Vec<Case>,
-    /// The longest delay of the soak itself: its clients and runners stood still for this long, and
+    #[serde(rename = "calm")]
+    pub undisturbed_closes: Vec<Case>,
+    /// The longest delay of the soak itself: its clients and runners made no progress for this long, and
     /// perhaps the processes under test as well.
     pub late: Millis,
     /// The stalls of the disk that the processes write to.
@@ -72,12 +73,12 @@
         } = self.counts;
         writeln!(
             out,
-            "attempts: {served} served, {refused} refused, {spent} over budget, {failed} failed, {cut} cut, {unsent} unsent, {given_up} given up; the soak was late by {} ms at most",
+            "attempts: {served} served, {refused} refused, {spent} over budget, {failed} failed, {cut} cut, {unsent} unsent, {given_up} given up; the longest delay of the soak itself was {} ms",
             self.late.as_u64()
         )?;
         writeln!(
             out,
-            "the disk stood still {} times, for {} ms at most",
+            "{} disk syncs took longer than 250 ms; the longest sync took {} ms",
             self.disk.count,
             self.disk.longest.as_u64()
         )?;
@@ -97,7 +98,7 @@
                 write_case(out, case)?;
             }
         }
-        for case in &self.calm {
+        for case in &self.undisturbed_closes {
             write_case(out, case)?;
         }
         Ok(())
--- a/crates/trace/src/breakdown.rs
+++ b/crates/trace/src/breakdown.rs
@@ -24,7 +24,8 @@
     /// From the last line of a request that has no end until the program's next request: a process
     /// ended.
     ProcessEnded,
-    /// From the placing of a call until its end: waiting, prefill and decoding at the runner.
+    /// Between two lines of one request, if the first is neither a refusal, a broken stream, a caller
+    /// that left nor an answer. This includes waiting, prefill and decoding at the runner.
     Runner,
     /// Between an answer and the next line: pauses, and whatever isn't logged.
     Between,
@@ -100,7 +101,8 @@
     &mut seconds[at]
 }
 
-/// Statuses below 500 that ask the caller to retry: the reason was the state of the system.
+/// Statuses below 500 of refusals that ask the caller to retry, because the reason for the refusal
+/// was the state of the system.
 const RETRYABLE_STATUSES: [u16; 2] = [408, 429];
 
 /// How a program ended.
--- a/crates/trace/src/gap.rs
+++ b/crates/trace/src/gap.rs
@@ -125,12 +125,12 @@
                 told,
             } => {
                 let notice = match told {
-                    Notice::Nothing => "without logging its end",
-                    Notice::Stopping => "while it was stopping, or its last line is missing",
+                    Notice::Nothing => "ended without logging its end",
+                    Notice::Stopping => "was stopping; it ended before it had stopped, or its last line is missing: it logged nothing",
                 };
                 write!(
                     f,
-                    "the process on {vm} ended {notice} after {last}; a new one started at {start}"
+                    "the process on {vm} {notice} after {last}; a new one started at {start}"
                 )
             }
             Self::Dropped { vm, at, lines } => {
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -3,7 +3,7 @@
 //! The person on call has the id of a request and the logs. The turns and calls of a program are in
 //! the logs of several VMs, out of order, and a killed process leaves its last line truncated.
 //!
-//! - [`line`] parses one line, with or without text from a log collector before it;
+//! - `line` parses one line, with or without text from a log collector before it;
 //! - [`gap`] finds where a log lacks lines;
 //! - [`state`] finds the lines in which VMs logged their own state;
 //! - [`timeline`] collects and orders the lines of one id and names the cause;
--- a/crates/trace/src/line.rs
+++ b/crates/trace/src/line.rs
@@ -79,7 +79,7 @@
 /// The format of the date in a line's time, with a zero for each digit.
 const DATE_PATTERN: &str = "0000-00-00T";
 
-/// Returns whether the text has a date after its first `at=`.
+/// Returns whether a date follows the `at=` that the text begins with.
 fn is_dated(text: &str) -> bool {
     let date = text
         .as_bytes()
--- a/crates/trace/src/timeline.rs
+++ b/crates/trace/src/timeline.rs
@@ -250,9 +250,9 @@
         if line.event == Event::RequestAnswered.number() {
             counts.answered += 1;
         }
-        let failed = [Event::CallRetried, Event::StreamBroken];
-        let failed = failed.iter().any(|event| event.number() == line.event);
-        if failed && !line.field("why").starts_with(NOT_RUN_PREFIX) {
+        let failure_events = [Event::CallRetried, Event::StreamBroken];
+        let is_failure = failure_events.iter().any(|event| event.number() == line.event);
+        if is_failure && !line.field("why").starts_with(NOT_RUN_PREFIX) {
             counts.failed += 1;
         }
     }
--- a/crates/trace/src/timeline/tests.rs
+++ b/crates/trace/src/timeline/tests.rs
@@ -111,9 +111,10 @@
     assert_eq!(build("r2", &all).ends[0].cause, Cause::Answered { status });
 }
 
-/// Two VMs reach too few VMs with a disk, a third VM reaches enough. What the person on call does
-/// depends on whether one VM is cut off or the VMs with a disk are down, so the timeline names the
-/// VMs with the same trouble.
+/// When the request is refused at its VM `v`, one other VM (`w`) reaches too few VMs with a disk, `u`
+/// reaches enough, and `x` reaches too few only 8 s later. What the person on call does depends on
+/// whether one VM is cut off or the VMs with a disk are down, so the timeline names the VMs with the
+/// same trouble.
 #[test]
 fn a_refusal_names_the_vms_with_the_same_trouble() {
     let all = lines(
