--- a/crates/chestnutyoke/src/cli.rs
+++ b/crates/chestnutyoke/src/cli.rs
@@ -212,7 +212,10 @@
         logs.splice(0..0, id.map(PathBuf::from));
         trace::Query::Late
     } else {
-        trace::Query::Timeline(id.ok_or("the id of a request or program is missing")?.clone())
+        trace::Query::Timeline(
+            id.ok_or("the id of a request or program is missing")?
+                .clone(),
+        )
     };
     let format = if matches.get_flag("json") {
         operate::Format::Json
--- a/crates/link/src/accept.rs
+++ b/crates/link/src/accept.rs
@@ -16,12 +16,12 @@
 /// can't keep it open. Equals the number that the kernel queues.
 const BACKLOG: usize = 1_024;
 
-/// Passes each accepted connection to `enter` until `closed` is cancelled, then those that are
+/// Passes each accepted connection to `on_connection` until `closed` is cancelled, then those that are
 /// still pending.
 pub async fn run(
     listener: TcpListener,
     closed: &CancellationToken,
-    mut enter: impl FnMut(TcpStream),
+    mut on_connection: impl FnMut(TcpStream),
 ) {
     loop {
         let accepted = tokio::select! {
@@ -30,7 +30,7 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _from)) => enter(stream),
+            Ok((stream, _from)) => on_connection(stream),
             Err(fault) => {
                 log::warn!("accept failed: {fault}");
                 tokio::time::sleep(FAILED_ACCEPT_DELAY).await;
@@ -39,7 +39,7 @@
     }
     let outcome = listener
         .into_std()
-        .and_then(|listener| accept_pending(|| Ok(listener.accept()?.0), enter));
+        .and_then(|listener| accept_pending(|| Ok(listener.accept()?.0), on_connection));
     if let Err(fault) = outcome {
         log::warn!("pending connections were lost: {fault}");
     }
@@ -55,12 +55,12 @@
 /// Returns the last failure, after all other connections have been accepted.
 fn accept_pending(
     mut accept: impl FnMut() -> io::Result<net::TcpStream>,
-    mut enter: impl FnMut(TcpStream),
+    mut on_connection: impl FnMut(TcpStream),
 ) -> io::Result<()> {
     let mut outcome = Ok(());
     for _ in 0..BACKLOG {
         match accept().and_then(prepare) {
-            Ok(stream) => enter(stream),
+            Ok(stream) => on_connection(stream),
             Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => break,
             Err(fault) => outcome = Err(fault),
         }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep_until;
 use tokio_util::sync::CancellationToken;
 
-/// While the server stops, how long after its start a connection may still bring its first request.
+/// While the server stops, how long after its start a connection may still send its first request.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// The least time that a connection without a request gets after the drain begins, so that a
 /// request in transit can arrive.
@@ -28,14 +28,14 @@
 /// Serves a connection with the options of `protocol` until it ends or, once `draining` is
 /// cancelled, until its last response.
 ///
-/// A connection that has brought no request by then gets some time for its first one. If it were
+/// A connection on which no request has arrived by then gets some time for its first one. If it were
 /// closed at once, a request that the caller has just sent would be lost, and the caller couldn't
-/// tell whether it ran. A connection that brings nothing, or half a request, in that time is
-/// closed, because it would delay the shutdown.
+/// tell whether it ran. A connection on which nothing, or only part of a request, arrives in that
+/// time is closed, because it would delay the shutdown.
 ///
 /// # Errors
 ///
-/// Fails if the connection breaks or brings something that can't be parsed.
+/// Fails if the connection breaks off or receives something that can't be parsed.
 pub async fn serve<H, F, B>(
     stream: TcpStream,
     protocol: &http1::Builder,
@@ -75,7 +75,7 @@
         () = requested.cancelled() => {}
         () = sleep_until(deadline) => return Ok(()),
     }
-    // Not earlier, because hyper closes a connection at once if it has had no request.
+    // Doesn't shut down earlier, because hyper closes a connection at once if it has had no request.
     served.as_mut().graceful_shutdown();
     served.await
 }
--- a/crates/platform/src/limit.rs
+++ b/crates/platform/src/limit.rs
@@ -49,7 +49,7 @@
 pub enum Verdict {
     /// The call may be sent, and has been counted.
     Go,
-    /// The call may be sent after this span at the earliest, if no other call takes its place.
+    /// The call may be sent after this span at the earliest, if no other call is sent first.
     Wait(Millis),
 }
 
--- a/crates/soak/src/oracle/end.rs
+++ b/crates/soak/src/oracle/end.rs
@@ -58,10 +58,10 @@
     /// the VM's process had to end.
     fn is_excused(&self, attempt: &Attempt, ended: Millis) -> bool {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        attempt.executions.iter().any(|execution| {
-            let seen = &log[*execution];
-            let ended = seen.ended.map_or(ended, |at| self.since_start(at));
-            seen.mode != runner::Mode::Normal
+        attempt.executions.iter().any(|log_index| {
+            let execution = &log[*log_index];
+            let ended = execution.ended.map_or(ended, |at| self.since_start(at));
+            execution.mode != runner::Mode::Normal
                 || self
                     .history
                     .is_cut_by_grace(attempt.vm, attempt.sent, ended)
--- a/crates/soak/src/oracle/execution.rs
+++ b/crates/soak/src/oracle/execution.rs
@@ -2,7 +2,7 @@
 
 use std::sync::PoisonError;
 
-use fakes::runner::Seen;
+use fakes::runner::Execution;
 use wire::clock::Millis;
 
 use crate::check::Check;
@@ -14,36 +14,41 @@
 
 impl Oracle {
     pub(super) fn check_executions(&mut self) {
-        let unchecked: Vec<Seen> = {
+        let unchecked: Vec<Execution> = {
             let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
             log[self.checked..].to_vec()
         };
-        for seen in unchecked {
+        for execution in unchecked {
             let log_index = self.checked;
             self.checked += 1;
-            self.check_execution(log_index, &seen);
+            self.check_execution(log_index, &execution);
         }
     }
 
-    fn check_execution(&mut self, log_index: usize, seen: &Seen) {
-        let Some(index) = self.find(&seen.id) else {
-            let case = self.case(&seen.id, "", "no client sent this id".to_owned());
+    fn check_execution(&mut self, log_index: usize, execution: &Execution) {
+        let Some(index) = self.find(&execution.id) else {
+            let case = self.case(&execution.id, "", "no client sent this id".to_owned());
             self.results.record(Check::Asked, Some(case));
             return;
         };
         let spec = self.attempts[index].spec.clone();
-        let arrived = self.since_start(seen.at);
+        let arrived = self.since_start(execution.at);
         let expected = self.expected_body(index);
-        let is_same = seen.path == spec.path() && seen.body.ends_with(&spec.input);
-        let what = || format!("{} got path {} or another body", seen.runner, seen.path);
+        let is_same = execution.path == spec.path() && execution.body.ends_with(&spec.input);
+        let what = || {
+            format!(
+                "{} got path {} or another body",
+                execution.runner, execution.path
+            )
+        };
         self.record(Check::Asked, index, (!is_same).then(what));
         if spec.kind.is_turn() {
-            let what = || format!("{} got another text than the chain's", seen.runner);
-            self.record(Check::Chain, index, (seen.body != expected).then(what));
+            let what = || format!("{} got another text than the chain's", execution.runner);
+            self.record(Check::Chain, index, (execution.body != expected).then(what));
         }
         if spec.kind.runs_once() {
             let again = !self.attempts[index].executions.is_empty();
-            let what = || format!("it ran again, at {}", seen.runner);
+            let what = || format!("it ran again, at {}", execution.runner);
             self.record(Check::Once, index, again.then(what));
         }
         if let Some(status) = self.attempts[index].refusal_status {
@@ -52,17 +57,17 @@
             } else {
                 Check::Refused
             };
-            let what = format!("it ran at {} after status {status}", seen.runner);
+            let what = format!("it ran at {} after status {status}", execution.runner);
             self.record(check, index, Some(what));
         }
-        if let Some(left) = self.history.leaving_since(&seen.runner, arrived) {
+        if let Some(left) = self.history.leaving_since(&execution.runner, arrived) {
             let is_late =
                 arrived > left.plus(DRAIN_TIME) && !self.history.is_disturbed(left, arrived);
             let what = || {
                 let span = arrived.since(left).as_u64();
                 format!(
                     "{} ran it {span} ms after it said that it leaves",
-                    seen.runner
+                    execution.runner
                 )
             };
             self.record(Check::Drains, index, is_late.then(what));
--- a/crates/soak/src/oracle/summary.rs
+++ b/crates/soak/src/oracle/summary.rs
@@ -103,13 +103,13 @@
             return None;
         }
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        let seen = &log[*attempt.executions.last()?];
+        let execution = &log[*attempt.executions.last()?];
         let work = Millis::from(attempt.spec.work());
-        let own_end = self.since_start(seen.at).plus(work);
+        let own_end = self.since_start(execution.at).plus(work);
         if own_end <= soon {
             return None;
         }
-        let ended = seen.ended.map(|ended| self.since_start(ended));
+        let ended = execution.ended.map(|ended| self.since_start(ended));
         Some(ended.is_some_and(|ended| ended <= soon))
     }
 
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use fakes::caller;
 use fakes::caller::Info;
+use fakes::runner::Execution;
 use fakes::runner::Log;
 use fakes::runner::Mode;
-use fakes::runner::Seen;
 use hyper::HeaderMap;
 use tokio::time::Instant;
 use wire::clock::Millis;
@@ -44,7 +44,7 @@
 
     fn run(&self, id: &str, path: &str, body: &Bytes) {
         let now = Instant::now().into_std();
-        self.log.lock().unwrap().push(Seen {
+        self.log.lock().unwrap().push(Execution {
             runner: "i-1".to_owned(),
             id: id.to_owned(),
             path: path.to_owned(),
--- a/crates/trace/src/breakdown.rs
+++ b/crates/trace/src/breakdown.rs
@@ -21,8 +21,8 @@
     Refused,
     /// From a broken stream, or a caller that left, until the program's next line.
     Broken,
-    /// From the last line of a request that has no end until the program's next request: a process
-    /// ended.
+    /// From the last line of a request whose end isn't logged until the program's next request: the
+    /// process of the request's VM ended.
     ProcessEnded,
     /// Between two lines of one request, if the first is neither a refusal, a broken stream, a caller
     /// that left nor an answer. This includes waiting, prefill and decoding at the runner.
--- a/crates/trace/src/gap.rs
+++ b/crates/trace/src/gap.rs
@@ -126,7 +126,9 @@
             } => {
                 let notice = match told {
                     Notice::Nothing => "ended without logging its end",
-                    Notice::Stopping => "was stopping; it ended before it had stopped, or its last line is missing: it logged nothing",
+                    Notice::Stopping => {
+                        "was stopping; it ended before it had stopped, or its last line is missing: it logged nothing"
+                    }
                 };
                 write!(
                     f,
--- a/crates/trace/src/timeline.rs
+++ b/crates/trace/src/timeline.rs
@@ -10,12 +10,12 @@
 use crate::line::Line;
 use crate::state::Index;
 
-/// How long after a refusal its own VM or another VM may log the same loss of VMs with a disk: two
-/// health checks of the VMs with a disk.
+/// How long after a refusal its own VM or another VM may log the same loss of VMs with a disk: the
+/// time of two health checks of the VMs with a disk.
 const SAME_TROUBLE_WINDOW_MS: u64 = 1_500;
 
-/// How long after a broken request another VM may log that its runner is gone: three missed
-/// heartbeats, and the time until the VM learns of them.
+/// How long after a broken request another VM may log that the request's runner is gone: three
+/// missed heartbeats, and the time until that VM learns of them.
 const RUNNER_LOSS_WINDOW_MS: u64 = 5_000;
 
 /// How a request ended, as far as the logs show.
@@ -251,7 +251,9 @@
             counts.answered += 1;
         }
         let failure_events = [Event::CallRetried, Event::StreamBroken];
-        let is_failure = failure_events.iter().any(|event| event.number() == line.event);
+        let is_failure = failure_events
+            .iter()
+            .any(|event| event.number() == line.event);
         if is_failure && !line.field("why").starts_with(NOT_RUN_PREFIX) {
             counts.failed += 1;
         }
