--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -314,7 +314,7 @@
             .iter()
             .any(|earlier| earlier.name == centre.name)
         {
-            add(format!("`centres.name = {}` stands twice", centre.name));
+            add(format!("`centres.name = {}` is listed twice", centre.name));
         }
     }
     if faults.is_empty() {
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -71,7 +71,7 @@
     pub centre: id::Centre,
     /// The models that a runner serves, or a service's name.
     pub serves: Vec<String>,
-    /// Whether the endpoint checks the fencing numbers of orders.
+    /// Whether the endpoint checks the fencing tokens of orders.
     #[serde(default)]
     pub fences: bool,
     /// How many calls the endpoint handles concurrently.
--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -19,9 +19,9 @@
 pub struct Row {
     /// Its data centre.
     pub centre: usize,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub callers: SocketAddr,
-    /// Where it reports whether it is ready.
+    /// The address at which it reports whether it is ready.
     pub ready: SocketAddr,
     /// How many probes in a row were not answered with status 200.
     pub misses: u32,
@@ -75,8 +75,9 @@
     }
 }
 
-/// Chooses among the VMs of the data centre that are in rotation. If fewer than half of its VMs
-/// are, it chooses among all of them; if none is, among those in rotation in other data centres.
+/// Chooses among the VMs of the data centre that are in rotation, which are those with fewer than
+/// [`MISS_THRESHOLD`] failed probes in a row. If fewer than half of the data centre's VMs are in
+/// rotation, chooses among all of them; if none is, among those in rotation in other data centres.
 #[must_use]
 pub fn choose(rows: &[Row], centre: usize, hash: usize) -> usize {
     let all: Vec<usize> = (0..rows.len()).collect();
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -82,50 +82,26 @@
     #[must_use]
     pub const fn text(self) -> &'static str {
         match self {
-            Self::Lost => {
-                "a stopping or reloading VM completely answers the requests that it has read"
-            }
-            Self::Stops => {
-                "a process that is asked to stop exits successfully within its grace period"
-            }
+            Self::Lost => "a stopping or reloading VM completely answers each request it has read",
+            Self::Stops => "a process asked to stop exits with success within its grace period",
             Self::Lives => "no process ends without being asked to",
             Self::Leaves => "a stopping VM doesn't report ready four seconds after SIGTERM",
-            Self::Calm => {
-                "without a disruption in or shortly before them, at most a few requests of a run end with a closed connection"
-            }
+            Self::Calm => "except near disruptions, few requests end with a closed connection",
             Self::Own => "an answer is signed by a runner and belongs to its request",
-            Self::Order => {
-                "events arrive once and in order, and an answer that ends as complete is complete"
-            }
+            Self::Order => "events arrive once and in order; no incomplete answer looks complete",
             Self::Once => "a request that may run at most once doesn't run twice",
-            Self::Refused => {
-                "a request doesn't run if its refusal guaranteed that it has not run and never will"
-            }
-            Self::Spent => {
-                "a turn that is refused because its program's budget is spent never runs"
-            }
-            Self::Kept => {
-                "a turn with a complete answer is found by a later turn that continues it"
-            }
+            Self::Refused => "a request never runs if its refusal guarantees that",
+            Self::Spent => "a turn refused because its program's budget is spent never runs",
+            Self::Kept => "a turn with a complete answer is found by a turn that continues it",
             Self::Proper => "a valid request isn't rejected with a status that excludes a retry",
             Self::Asked => "runners receive only what clients sent, unchanged",
-            Self::Chain => {
-                "the text that a runner receives for a turn is the earlier inputs and outputs of its chain, followed by its own input"
-            }
-            Self::Budget => {
-                "a program's clients receive no more tokens than its budget plus those of one turn"
-            }
-            Self::Timely => {
-                "a request that takes longer than its route allows ends at the route's time-out"
-            }
+            Self::Chain => "a runner gets a turn's input after the inputs and outputs of its chain",
+            Self::Budget => "a program gets no more tokens than its budget plus those of one turn",
+            Self::Timely => "a request that exceeds its route's time-out ends at that time-out",
             Self::Gone => "runners stop working for clients that have left",
             Self::Drains => "a leaving runner receives no new requests",
-            Self::Applied => {
-                "a new configuration is in force on all VMs within the time allowed for applying it"
-            }
-            Self::Served => {
-                "in the quiet phase at the end, at least a quarter of the turns are served"
-            }
+            Self::Applied => "a new configuration is in force on all VMs within the time allowed",
+            Self::Served => "in the quiet phase at the end, at least a quarter of turns are served",
         }
     }
 }
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -23,7 +23,7 @@
 use crate::body::Body;
 
 /// The time-out of connecting.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
@@ -83,7 +83,7 @@
     ///
     /// Fails if nothing accepts the connection in time.
     pub async fn open(vm: usize, address: SocketAddr) -> Result<Self> {
-        let connected = timeout(CONNECT, TcpStream::connect(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connected else {
             return Err(Fault(address));
         };
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -54,7 +54,7 @@
 }
 
 impl Kind {
-    /// Returns whether it is part of normal operation, during which no request may be lost.
+    /// Returns whether this kind is part of normal operation, during which no request may be lost.
     #[must_use]
     pub const fn is_planned(self) -> bool {
         matches!(
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -55,8 +55,8 @@
 const RUNNER_EXIT_DELAY: Duration = Duration::from_secs(8);
 /// How long a runner that has left stays down before it starts again.
 const RUNNER_DOWNTIME: Duration = Duration::from_secs(2);
-/// How long after a crash a runner's entry lapses: three heartbeats.
-const ENTRY_LAPSE: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
+/// How long after a crash a runner's entry expires: three heartbeats.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(3 * settings::HEARTBEAT_MS);
 /// How long after SIGTERM a VM may still report ready.
 const UNREADY_DEADLINE: Duration = Duration::from_secs(4);
 /// How many of the routes that configurations add are present at a time.
@@ -425,16 +425,17 @@
         self.write_entry(backend, "ready");
     }
 
-    /// Takes a runner down without notice; its entry lapses if it is down for long.
+    /// Takes a runner down without notice; its entry expires if the runner is down for longer than
+    /// [`ENTRY_EXPIRY`].
     async fn take_down(&self, backend: &Backend, span: Millis) {
         backend.link.set_mode(Mode::Down);
-        let lapse = async {
-            sleep(ENTRY_LAPSE).await;
-            if span.as_duration() > ENTRY_LAPSE {
+        let expiry = async {
+            sleep(ENTRY_EXPIRY).await;
+            if span.as_duration() > ENTRY_EXPIRY {
                 remove_entry(self, backend);
             }
         };
-        tokio::join!(self.disrupt_for(span), lapse);
+        tokio::join!(self.disrupt_for(span), expiry);
         self.come_back(backend);
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -28,7 +28,7 @@
 
 /// The part of the help that explains why no clock is skewed.
 const CLOCKS: &str = "No clock is skewed: the processes read the time of day once, when they start, \
-    and count from there; what they tell each other and keep are spans of time.";
+    and count from there; their messages and stored data contain only spans of time.";
 
 fn command() -> Command {
     let count = |name: &'static str, default: &'static str, help: &'static str| {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,8 +1,8 @@
 //! A loopback proxy in front of a VM, the platform's store or a runner, which delays, resets, cuts
 //! or silences connections.
 //!
-//! The kernel acknowledges bytes that the proxy holds back. So a time-out of TCP itself never
-//! occurs here, as it would on a real link that is cut.
+//! The kernel acknowledges bytes that the proxy holds back. So TCP's own time-out, which would occur
+//! on a real link that is cut, never occurs here.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/soak/src/request.rs
+++ b/crates/soak/src/request.rs
@@ -9,7 +9,7 @@
 
 use crate::body::Pace;
 
-/// The time-out of the route for long turns.
+/// The time-out of the route for long turns, in milliseconds.
 pub const LONG_MS: u64 = 7_000;
 /// The tokens that one event of a stream counts for; set in the configuration of the service.
 pub const EVENT_TOKENS: u64 = 10;
@@ -80,7 +80,7 @@
     pub pause: Duration,
     /// How long the client announces to wait.
     pub deadline: Duration,
-    /// After which time the client leaves without notice, if it does.
+    /// The time after which the client leaves without notice, if it does.
     pub leave_after: Option<Duration>,
     /// How the client sends the body.
     pub pace: Pace,
--- a/crates/soak/src/vm.rs
+++ b/crates/soak/src/vm.rs
@@ -1,4 +1,4 @@
-//! A VM: its process, which is restarted whenever it ends, as the platform does.
+//! A VM with its process, which is restarted whenever it ends, as the platform would do.
 
 use std::fs;
 use std::io;
@@ -268,7 +268,7 @@
                 let is_over = state.term_sent_at.is_some_and(|at| now.since(at) >= GRACE);
                 if is_over && state.disruption.is_none() {
                     if !state.interfered {
-                        let what = "SIGKILL after its grace".to_owned();
+                        let what = "SIGKILL after its grace period".to_owned();
                         context.oracle().record_stop(self.config.index, Some(what));
                     }
                     state.disrupt(context);
@@ -291,7 +291,7 @@
             let broken = (!status.success()).then(|| status.to_string());
             context.oracle().record_stop(index, broken);
         } else {
-            let what = format!("ended unasked: {status}");
+            let what = format!("ended without being asked to: {status}");
             context.oracle().record_vm(Check::Lives, index, Some(&what));
         }
         state.disruption.take()
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -43,12 +43,12 @@
 }
 
 /// A platform under test and its clock.
-struct Bench {
+struct Fixture {
     time: Arc<AtomicU64>,
     backend: Backend,
 }
 
-impl Bench {
+impl Fixture {
     async fn new(kind: Kind) -> Self {
         let time = Arc::new(AtomicU64::new(1_000_000));
         let clock = Clock::Manual(time.clone());
@@ -175,8 +175,8 @@
 async fn only_the_first_creation_of_a_key_succeeds(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     let revision = apply(platform, &create("a", b"1")).await;
     let second = platform.commit(&create("a", b"2"), Priority::Commit).await;
     let Outcome::Refused(present) = second.unwrap() else {
@@ -194,8 +194,8 @@
 async fn a_compare_and_swap_needs_the_current_revision_of_every_key(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     let first = apply(platform, &create("a", b"1")).await;
     let second = apply(platform, &create("b", b"1")).await;
     assert!(second > first);
@@ -220,8 +220,8 @@
 async fn a_range_respects_its_prefix_start_and_limit(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     for key in ["p/3", "q/1", "p/1", "p/2", "o/9", "p"] {
         apply(platform, &create(key, b"v")).await;
     }
@@ -239,10 +239,10 @@
 async fn a_write_whose_answer_is_lost_can_be_read_back(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     apply(platform, &create("z", b"0")).await;
-    bench.inject(Injection::LoseAnswer).await;
+    fixture.inject(Injection::LoseAnswer).await;
     let lost = platform
         .commit(&create("a", b"mine"), Priority::Commit)
         .await;
@@ -262,9 +262,9 @@
 async fn a_lost_write_has_an_unknown_outcome_and_can_be_sent_again(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
-    bench.inject(Injection::LoseWrite).await;
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
+    fixture.inject(Injection::LoseWrite).await;
     let lost = platform
         .commit(&create("a", b"mine"), Priority::Commit)
         .await;
@@ -281,10 +281,10 @@
 async fn a_write_may_take_effect_after_its_writer_gave_up(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     for key in ["a", "b"] {
-        bench.inject(Injection::Delay).await;
+        fixture.inject(Injection::Delay).await;
         let late = platform
             .commit(&create(key, b"late"), Priority::Commit)
             .await;
@@ -292,7 +292,7 @@
         assert_eq!(platform.read(key).await.unwrap(), None);
     }
     apply(platform, &create("b", b"other")).await;
-    bench.deliver().await;
+    fixture.deliver().await;
     assert_eq!(platform.read("a").await.unwrap().unwrap().value, b"late");
     assert_eq!(platform.read("b").await.unwrap().unwrap().value, b"other");
 }
@@ -304,16 +304,16 @@
 async fn calls_in_an_outage_fail_as_down_and_have_no_effect(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
-    bench.set_down(true).await;
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
+    fixture.set_down(true).await;
     let write = platform.commit(&create("a", b"1"), Priority::Commit).await;
     assert!(matches!(write, Err(Fault::Down(_))), "{write:?}");
     let read = platform.read("a").await;
     assert!(matches!(read, Err(Fault::Down(_))), "{read:?}");
     assert!(matches!(platform.machines().await, Err(Fault::Down(_))));
     assert!(matches!(platform.watch("", 0).await, Err(Fault::Down(_))));
-    bench.set_down(false).await;
+    fixture.set_down(false).await;
     assert_eq!(platform.read("a").await.unwrap(), None);
     apply(platform, &create("a", b"1")).await;
 }
@@ -323,8 +323,8 @@
 #[rstest]
 #[tokio::test]
 async fn an_expired_lease_removes_its_keys(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     let lease = platform.grant(Millis::new(2_000)).await.unwrap();
     let txn = Txn {
         compares: vec![compare("held", 0)],
@@ -332,11 +332,11 @@
     };
     let revision = apply(platform, &txn).await;
     let mut changes = platform.watch("held", revision + 1).await.unwrap();
-    bench.advance_clock(1_500);
+    fixture.advance_clock(1_500);
     assert!(platform.renew(lease).await.unwrap());
-    bench.advance_clock(1_500);
+    fixture.advance_clock(1_500);
     assert!(platform.read("held").await.unwrap().is_some());
-    bench.advance_clock(1_000);
+    fixture.advance_clock(1_000);
     assert_eq!(platform.read("held").await.unwrap(), None);
     assert!(!platform.renew(lease).await.unwrap());
     let change = next_change(&mut changes).await;
@@ -349,8 +349,8 @@
 #[rstest]
 #[tokio::test]
 async fn a_revoked_lease_removes_its_keys(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     let lease = platform.grant(Millis::new(5_000)).await.unwrap();
     let txn = Txn {
         compares: vec![],
@@ -370,8 +370,8 @@
 async fn a_watch_reports_changes_since_its_start_revision(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     let seen = apply(platform, &create("p/1", b"1")).await;
     let missed = apply(platform, &create("p/2", b"2")).await;
     let mut changes = platform.watch("p/", seen + 1).await.unwrap();
@@ -402,8 +402,8 @@
 async fn a_watch_from_a_compacted_revision_succeeds_at_the_second_attempt(
     #[values(Kind::Memory, Kind::Gateway)] kind: Kind,
 ) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     let seen = apply(platform, &create("rare", b"1")).await;
     for index in 0..20 {
         apply(platform, &create(&format!("busy/{index}"), b"1")).await;
@@ -428,8 +428,8 @@
 #[rstest]
 #[tokio::test]
 async fn a_value_over_the_limit_is_refused(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
-    let bench = Bench::new(kind).await;
-    let platform = bench.platform();
+    let fixture = Fixture::new(kind).await;
+    let platform = fixture.platform();
     apply(platform, &create("fits", &vec![7; MAX_VALUE])).await;
     let fits = platform.read("fits").await.unwrap().unwrap();
     assert_eq!(fits.value.len(), MAX_VALUE);
@@ -442,7 +442,7 @@
 #[rstest]
 #[tokio::test]
 async fn the_list_shows_vms_and_endpoints(#[values(Kind::Memory, Kind::Gateway)] kind: Kind) {
-    let bench = Bench::new(kind).await;
+    let fixture = Fixture::new(kind).await;
     let machine = |name: &str, standing| Machine {
         name: name.to_owned(),
         centre: id::Centre::parse("east").unwrap(),
@@ -452,6 +452,6 @@
         machine("vm-1", Standing::Live),
         machine("runner-1", Standing::Leaving),
     ];
-    bench.set_machines(list.clone()).await;
-    assert_eq!(bench.platform().machines().await.unwrap(), list);
+    fixture.set_machines(list.clone()).await;
+    assert_eq!(fixture.platform().machines().await.unwrap(), list);
 }
