--- a/crates/chestnutyoke/tests/soak.rs
+++ b/crates/chestnutyoke/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short runs of the soak test with real processes, and the seeds that once showed a fault.
+//! Short runs of the soak test with real processes, and of the seeds that once failed a check.
 
 use std::env;
 use std::fs;
--- a/crates/link/src/connection/tests.rs
+++ b/crates/link/src/connection/tests.rs
@@ -65,8 +65,8 @@
     pair.served.await.unwrap();
 }
 
-/// Callers hold connections open that bring nothing, or half a request. Waiting for the rest would
-/// delay the shutdown until the process is killed.
+/// Callers hold connections open and send nothing, or half a request, on them. Waiting for the rest
+/// would delay the shutdown until the process is killed.
 #[rstest]
 #[case::nothing(b"")]
 #[case::half_a_request(b"GET / HT")]
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -372,9 +372,9 @@
 ) {
     let fixture = Fixture::new(kind).await;
     let platform = fixture.platform();
-    let seen = apply(platform, &create("p/1", b"1")).await;
+    let created_revision = apply(platform, &create("p/1", b"1")).await;
     let missed = apply(platform, &create("p/2", b"2")).await;
-    let mut changes = platform.watch("p/", seen + 1).await.unwrap();
+    let mut changes = platform.watch("p/", created_revision + 1).await.unwrap();
     apply(platform, &create("q/1", b"3")).await;
     let delete = Txn {
         compares: vec![compare("p/2", missed)],
@@ -404,17 +404,17 @@
 ) {
     let fixture = Fixture::new(kind).await;
     let platform = fixture.platform();
-    let seen = apply(platform, &create("rare", b"1")).await;
+    let created_revision = apply(platform, &create("rare", b"1")).await;
     for index in 0..20 {
         apply(platform, &create(&format!("busy/{index}"), b"1")).await;
     }
-    let mut changes = platform.watch("rare", seen + 1).await.unwrap();
+    let mut changes = platform.watch("rare", created_revision + 1).await.unwrap();
     if matches!(kind, Kind::Gateway) {
         assert_eq!(next_change(&mut changes).await, None);
-        changes = platform.watch("rare", seen + 1).await.unwrap();
+        changes = platform.watch("rare", created_revision + 1).await.unwrap();
     }
     let txn = Txn {
-        compares: vec![compare("rare", seen)],
+        compares: vec![compare("rare", created_revision)],
         writes: vec![put("rare", b"2", None)],
     };
     apply(platform, &txn).await;
