--- a/crates/chestnutyoke/src/cli/operate.rs
+++ b/crates/chestnutyoke/src/cli/operate.rs
@@ -226,7 +226,7 @@
 fn program_command() -> Command {
     let name = Arg::new("name").required(true);
     Command::new("program")
-        .about("Programs")
+        .about("Shows or ends a program")
         .subcommand_required(true)
         .subcommand(
             Command::new("show")
--- a/crates/chestnutyoke/tests/soak.rs
+++ b/crates/chestnutyoke/tests/soak.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Replays the beginning of each run that once showed a fault, two at a time. Whole runs are
+/// Replays the beginning of each run that once failed a check, two at a time. Whole runs are
 /// replayed manually.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn seeds_that_once_failed_pass_in_short_form() {
--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -76,7 +76,7 @@
 }
 
 /// Chooses among the VMs of the data centre that are in rotation, which are those with fewer than
-/// [`MISS_THRESHOLD`] failed probes in a row. If fewer than half of the data centre's VMs are in
+/// `MISS_THRESHOLD` failed probes in a row. If fewer than half of the data centre's VMs are in
 /// rotation, chooses among all of them; if none is, among those in rotation in other data centres.
 #[must_use]
 pub fn choose(rows: &[Row], centre: usize, hash: usize) -> usize {
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -110,7 +110,7 @@
         self.quiet.unwrap_or(Millis::new(u64::MAX))
     }
 
-    /// Returns whether something unplanned happened in this span of time or within [`RECOVERY`]
+    /// Returns whether something unplanned happened in this span of time or within `RECOVERY`
     /// before it.
     #[must_use]
     pub fn is_disturbed(&self, from: Millis, to: Millis) -> bool {
--- a/crates/soak/src/request.rs
+++ b/crates/soak/src/request.rs
@@ -78,7 +78,7 @@
     pub events: u64,
     /// The pause before each event.
     pub pause: Duration,
-    /// How long the client announces to wait.
+    /// How long the client waits, as it states in the request.
     pub deadline: Duration,
     /// The time after which the client leaves without notice, if it does.
     pub leave_after: Option<Duration>,
