--- a/crates/chestnutyoke/src/cli/operate.rs
+++ b/crates/chestnutyoke/src/cli/operate.rs
@@ -226,7 +226,7 @@
 fn program_command() -> Command {
     let name = Arg::new("name").required(true);
     Command::new("program")
-        .about("Shows or ends a program")
+        .about("Programs")
         .subcommand_required(true)
         .subcommand(
             Command::new("show")
