--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -110,7 +110,7 @@
         self.quiet.unwrap_or(Millis::new(u64::MAX))
     }
 
-    /// Returns whether something unplanned happened in this span of time or within [`RECOVERY`]
+    /// Returns whether something unplanned happened in this span of time or within `RECOVERY`
     /// before it.
     #[must_use]
     pub fn is_disturbed(&self, from: Millis, to: Millis) -> bool {
@@ -135,8 +135,8 @@
         })
     }
 
-    /// Returns when the planned work (a stop or a reload) of this VM began during which the request
-    /// has to be answered, `None` if there was none.
+    /// Returns when this VM's planned work (a stop or a reload) began, if the request has to be
+    /// answered in spite of it; `None` without such work.
     #[must_use]
     pub fn planned_work(&self, vm: usize, sent: Millis, ended: Millis) -> Option<Millis> {
         let end = GRACE.plus(AFTER_GRACE);
