--- a/crates/policy/examples/patterns/main.rs
+++ b/crates/policy/examples/patterns/main.rs
@@ -55,7 +55,7 @@
 struct Run {
     pattern: Pattern,
     rules: Rules,
-    /// Programs per second that count as load 1.
+    /// Programs per second that count as a load of 1.
     rate: f64,
 }
 
@@ -87,7 +87,7 @@
         println!("carried: {rate:.2} programs/s by {}", rules.name());
     }
     println!(
-        "\npatterns, load 1 = {:.2} programs/s, the highest load that fifo + least outstanding carries:",
+        "\npatterns; a load of 1 is {:.2} programs/s, the highest load that fifo + least outstanding carries:",
         carried[0]
     );
     let runs = PATTERNS
@@ -95,7 +95,9 @@
         .flat_map(|pattern| with_all_rules(*pattern, carried[0]));
     table(deployment, seed, &runs.collect::<Vec<_>>());
     let limit = capacity::saturating_load(deployment, Rules::Ours);
-    println!("\nloads, load 1 = {limit:.2} programs/s, which saturates the endpoints under ours:");
+    println!(
+        "\nloads; a load of 1 is {limit:.2} programs/s, which saturates the endpoints under ours:"
+    );
     let loads = LOADS
         .iter()
         .flat_map(|load| with_all_rules(Pattern::Steady(*load), limit));
@@ -106,7 +108,7 @@
         rate: limit,
     });
     table(deployment, seed, &runs);
-    println!("\nadmission rules, load 1 = {limit:.2} programs/s:");
+    println!("\nadmission rules; a load of 1 is {limit:.2} programs/s:");
     let admission_runs = ADMISSION_PATTERNS.iter().flat_map(|pattern| {
         Rules::ADMISSION.into_iter().map(|rules| Run {
             pattern: *pattern,
--- a/crates/policy/tests/patterns.rs
+++ b/crates/policy/tests/patterns.rs
@@ -10,7 +10,7 @@
 
 mod support;
 
-/// Programs per second that count as load 1; close to the endpoints' limit.
+/// Programs per second that count as a load of 1; close to the endpoints' limit.
 const RATE: f64 = 5.4;
 /// Duration of a run in milliseconds, including [`WARM_UP`], which isn't counted.
 const SPAN: u64 = 180_000;
--- a/crates/policy/tests/support/vm.rs
+++ b/crates/policy/tests/support/vm.rs
@@ -65,7 +65,7 @@
     pub endpoint: usize,
     /// Length of the prefix in tokens.
     pub tokens: u64,
-    /// When the call ended.
+    /// When the program's latest call ended, in milliseconds.
     pub at: u64,
 }
 
--- a/crates/relay/examples/fleet/table.rs
+++ b/crates/relay/examples/fleet/table.rs
@@ -9,7 +9,9 @@
 
 /// Renders the figures as text tables.
 pub fn text(figures: &[Figures]) -> String {
-    let mut text = String::from("until all VMs agree, in ms\n");
+    let mut text = String::from(
+        "time in ms from each event until all VMs agree on the runners and the configuration\n",
+    );
     for row in figures {
         let agreed = row.agreed.iter().map(|(name, span)| {
             let span = span.map_or_else(|| "never".to_owned(), |span| span.to_string());
@@ -38,7 +40,7 @@
     }
     line(
         &mut text,
-        "\nper VM, idle: bytes/s mean and max, exchanges/s max, % of a core mean and max; most VMs that started an exchange with one VM within a second, uses of departed runners",
+        "\nper VM, idle: bytes/s (mean, max), exchanges served per s (max), % of a core (mean, max); then the largest number of VMs that contacted the same VM within a second, and how often a departed runner was used again",
     );
     for row in figures {
         line(
--- a/crates/relay/src/drain.rs
+++ b/crates/relay/src/drain.rs
@@ -19,7 +19,7 @@
 /// How long the listener may take to close.
 const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_millis(60);
 /// The most requests that are logged as cut off by the end of the process.
-const MAX_LOGGED_CUT: usize = 100;
+const MAX_LOGGED_CUT_OFF_REQUESTS: usize = 100;
 
 /// Runs the stop and returns when the process may end. `listener` is the task of the callers'
 /// listener.
@@ -81,7 +81,7 @@
 
 /// Logs the work that the end of the process cuts off.
 fn log_cut(entries: &[work::Entry]) {
-    for entry in entries.iter().take(MAX_LOGGED_CUT) {
+    for entry in entries.iter().take(MAX_LOGGED_CUT_OFF_REQUESTS) {
         log::warn!(
             "event=E{} text=\"{}\" request={} what={:?} ms={}",
             Event::RequestCut.number(),
--- a/crates/relay/src/follow/step.rs
+++ b/crates/relay/src/follow/step.rs
@@ -17,7 +17,7 @@
 
 /// The pause between two watches of the runners. Their entries change at each heartbeat, so a watch
 /// returns at once. The pause batches changes, and is short enough to delay the news of a leaving
-/// runner by at most a fifth of the allowed time.
+/// runner by at most a fifth of the two seconds within which it has to stop getting new calls.
 const WATCH_PAUSE: Duration = Duration::from_millis(400);
 /// Number of VMs by which the pause between two watches of the system's own keys grows by another
 /// [`WATCH_PAUSE`]. Each VM that starts writes a key, for which the watches of all other VMs
--- a/crates/relay/src/job.rs
+++ b/crates/relay/src/job.rs
@@ -323,7 +323,7 @@
         }
     }
 
-    /// Logs that an attempt ended without an answer that is passed on.
+    /// Logs and counts a failed attempt: one whose answer, if any, isn't passed on to the caller.
     pub fn log_retry(&self, runner: &str, why: &str) {
         self.node.metrics.count(Counter::Retried);
         log::info!(
--- a/crates/relay/src/member_health/tests.rs
+++ b/crates/relay/src/member_health/tests.rs
@@ -78,7 +78,8 @@
     assert_eq!(health.retry_after(later(5_000)), Millis::new(100));
 }
 
-/// All processes were killed. A VM that has just started needs only some time, not another VM.
+/// All processes were killed. A caller that a VM refuses just after its start is told to retry soon:
+/// the VM only needs time to reach the members, and the caller needs no other VM.
 #[test]
 fn retry_delay_is_short_just_after_the_start() {
     let mut health = Health::default();
--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -65,9 +65,9 @@
     let peers = peers(MAX_DIRECT_PEERS + 60);
     let later = Millis::new(11_500);
     for number in 1..MAX_DIRECT_PEERS + 60 {
-        let own = format!("vm-{number:03}");
-        let asked = asked(&peers, &own, ["a", "b", "c"][number % 3], later);
-        assert!(asked.len() <= 9, "{own}: {asked:?}");
+        let own_name = format!("vm-{number:03}");
+        let asked = asked(&peers, &own_name, ["a", "b", "c"][number % 3], later);
+        assert!(asked.len() <= 9, "{own_name}: {asked:?}");
     }
 }
 
--- a/crates/relay/tests/fleet_model/network.rs
+++ b/crates/relay/tests/fleet_model/network.rs
@@ -61,14 +61,14 @@
         let lost = self.draws.random_range(0..1_000) < self.lost_per_mille;
         let late = self.draws.random_range(0..1_000) < LATE_PER_MILLE;
         let usual = self.draws.random_range(1..=4);
-        let later = self.draws.random_range(20..=120);
-        let again = self.draws.random_range(200..=600);
+        let late_delay = self.draws.random_range(20..=120);
+        let resend_delay = self.draws.random_range(200..=600);
         if self.cuts.iter().any(cuts) {
             return None;
         }
         Some(match (lost, late) {
-            (true, _) => again,
-            (false, true) => later,
+            (true, _) => resend_delay,
+            (false, true) => late_delay,
             (false, false) => usual,
         })
     }
--- a/crates/replica/src/client.rs
+++ b/crates/replica/src/client.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Fault {
     /// Too few members answered.
-    #[display("too few members with a disk answered")]
+    #[display("too few members answered")]
     TooFew,
     /// No list of members is known yet.
     #[display("no list of members is known")]
--- a/crates/replica/src/server/write.rs
+++ b/crates/replica/src/server/write.rs
@@ -122,7 +122,7 @@
             state.ledger.accounts()
         };
         let records: Vec<Record> = accounts.iter().flat_map(account_records).collect();
-        log::info!("text=\"accounts rewritten\" entries={}", records.len());
+        log::info!("text=\"rewriting the accounts\" entries={}", records.len());
         self.write_records(&records).await
     }
 }
