--- a/crates/journal/examples/costs.rs
+++ b/crates/journal/examples/costs.rs
@@ -147,7 +147,7 @@
         endpoint: &endpoint(),
         now: Millis::ZERO,
     };
-    let record = decision::commit(state, commit).expect("the turn fits a key");
+    let record = decision::commit(state, commit).expect("the turn fits in the value of one key");
     state.apply(&record.expect("the attempt is running"));
 }
 
--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -289,7 +289,7 @@
             epoch,
             copies: setup.copy_holders.clone(),
         };
-        let damaged = || Fault::Damaged("the fence can't be encoded".to_owned());
+        let damaged = || Fault::Damaged("the record of the new owner can't be encoded".to_owned());
         let nonce = nonce(setup.seed, seq);
         let value = encode(&setup.vm, nonce, vec![opened]).ok_or_else(damaged)?;
         if append_value(setup, loaded, value, epoch - 1).await? {
--- a/crates/node/examples/slopes/parent.rs
+++ b/crates/node/examples/slopes/parent.rs
@@ -134,7 +134,11 @@
 fn check(size: Size, after: &[Usage]) {
     for vm in after {
         assert_eq!(vm.vms, size.vms, "a VM doesn't know all the others");
-        assert_eq!(vm.owners, usize::from(size.shards), "a shard has no owner");
+        assert_eq!(
+            vm.owners,
+            usize::from(size.shards),
+            "a VM doesn't know the owner of every shard"
+        );
         assert_eq!(vm.loads, size.endpoints, "a load isn't known");
     }
 }
--- a/crates/node/src/controllers/claims.rs
+++ b/crates/node/src/controllers/claims.rs
@@ -213,7 +213,7 @@
         self.paced_until = self.paced_until.max(facts.now);
         let allowed =
             burst.since(self.paced_until.since(facts.now)).as_u64() / CLAIM_INTERVAL.as_u64();
-        if allowed == 0 || !platform_ready(facts) || !self.has_discovered(facts) {
+        if allowed == 0 || !platform_ready(facts) || !self.discovery_ended(facts) {
             return Vec::new();
         }
         let own_centre = facts.vm(facts.me).map(|vm| &vm.centre);
@@ -234,7 +234,7 @@
         claims
     }
 
-    fn has_discovered(&self, facts: &Facts<'_>) -> bool {
+    fn discovery_ended(&self, facts: &Facts<'_>) -> bool {
         let alone = facts.vms.iter().all(|v| v.vm == *facts.me || !v.up);
         alone || facts.now.since(self.started) >= DISCOVERY_TIME
     }
--- a/crates/node/src/controllers/config/change.rs
+++ b/crates/node/src/controllers/config/change.rs
@@ -165,7 +165,10 @@
         let value = match serde_json::to_vec(&config) {
             Ok(value) if value.len() <= edge::MAX_VALUE => value,
             Ok(value) => {
-                let detail = format!("the document would have {} bytes", value.len());
+                let detail = format!(
+                    "the configuration would have {} bytes, too many for one value",
+                    value.len()
+                );
                 return Step::Done(invalid(&detail));
             }
             Err(fault) => return Step::Done(invalid(&fault.to_string())),
--- a/crates/node/src/controllers/members.rs
+++ b/crates/node/src/controllers/members.rs
@@ -49,8 +49,8 @@
 /// How long a VM that is down is remembered: long enough that no heartbeat from before its death is
 /// still in transit, short enough that the 170 VMs replaced on an ordinary day don't accumulate.
 const DOWN_RETENTION: Millis = Millis::new(60 * 60 * 1_000);
-/// A gap between two rounds from which on this VM assumes that it was paused itself. It then can't
-/// conclude anything from the silence of others.
+/// If at least this much time passes between two rounds, this VM assumes that it was paused itself.
+/// It then concludes nothing from the silence of others.
 const PAUSE_THRESHOLD: Millis = Millis::new(2_500);
 
 /// Why a VM is down.
--- a/crates/node/src/filters.rs
+++ b/crates/node/src/filters.rs
@@ -189,8 +189,9 @@
     Err(shutting_down())
 }
 
-/// Waits until a stopping node gives up the work that no endpoint has taken. A request that has
-/// arrived only in part by then would otherwise be cut off without an answer when the process ends.
+/// Waits until a stopping node gives up the work that no endpoint has taken. The caller of this
+/// function then refuses a request that hasn't arrived completely; without that, the end of the
+/// process would cut the request off without an answer.
 async fn wait_for_unassigned_deadline(core: &Core) {
     core.stopping.cancelled().await;
     let Some(stop) = core.stop.get() else {
--- a/crates/node/tests/request/handover.rs
+++ b/crates/node/tests/request/handover.rs
@@ -113,9 +113,10 @@
     assert_eq!((refusal.code, refusal.ran), (Code::ShuttingDown, Ran::No));
 }
 
-// Another VM still considers the stopping one the owner of a shard that it has released. If the ask
-// were forwarded from there, the answer would pass through a process that is ending, and be cut
-// off. The ask is refused at once, so that the other VM looks for the owner itself.
+// Another VM forwards a request to the stopping VM, because it doesn't know yet that the stopping VM
+// has released the shard. If the stopping VM forwarded the request on to the new owner, the answer
+// would pass through a process that is ending, and be cut off. The stopping VM refuses the request
+// at once, so that the other VM looks for the owner itself.
 #[tokio::test]
 async fn a_stopping_node_forwards_no_asks_of_other_vms() {
     let fleet = short().await;
