--- a/crates/chestnutyoke/tests/leaving.rs
+++ b/crates/chestnutyoke/tests/leaving.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// The time after the first announcement from which the endpoint may get no new work.
+/// How long after the first announcement the endpoint may still get new work.
 const GRACE: Duration = Duration::from_secs(3);
 /// The number of turns sent afterwards.
 const TURNS: u32 = 20;
--- a/crates/chestnutyoke/tests/soak.rs
+++ b/crates/chestnutyoke/tests/soak.rs
@@ -25,8 +25,8 @@
 const SPAN: Millis = Millis::new(36_000);
 
 /// Returns the folder in which the processes write: in memory if the machine has such a folder.
-/// Other programs use the disk too. A sync that takes a second counts as a disruption, and what it
-/// disturbs isn't judged by the guarantees for planned work.
+/// On a disk that others use too, a sync may take a second. That counts as a disruption, and
+/// the guarantees for stops and reloads aren't checked for the requests that it affects.
 fn folder() -> PathBuf {
     let memory = Path::new("/dev/shm");
     if memory.is_dir() {
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -128,7 +128,7 @@
     Leaving,
 }
 
-/// An entry of the platform's list. A VM that is absent from the list is gone.
+/// An entry of the platform's list of VMs and endpoints. A VM that is absent from the list is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// The VM's or endpoint's name.
--- a/crates/soak/src/oracle/execution.rs
+++ b/crates/soak/src/oracle/execution.rs
@@ -37,13 +37,13 @@
         let is_same = execution.path == spec.path() && execution.body.ends_with(&spec.input);
         let what = || {
             format!(
-                "{} got path {} or another body",
+                "{} got a request with another path or body than the client sent; path {}",
                 execution.runner, execution.path
             )
         };
         self.record(Check::Asked, index, (!is_same).then(what));
         if spec.kind.is_turn() {
-            let what = || format!("{} got another text than the chain's", execution.runner);
+            let what = || format!("{} got other text than the turns so far", execution.runner);
             self.record(Check::Chain, index, (execution.body != expected).then(what));
         }
         if spec.kind.runs_once() {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// The links of several sources to one target, all at one address.
+/// The links from several sources to one target, which share one listening address.
 #[derive(Debug)]
 pub struct Group {
     /// The link of each source.
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -263,8 +263,8 @@
             vms.remove(spared);
         }
         for vm in vms {
-            let late = self.random.random_range(0..2_500);
-            self.push(at + late, Fault::Stop(vm));
+            let delay = self.random.random_range(0..2_500);
+            self.push(at + delay, Fault::Stop(vm));
         }
     }
 
--- a/crates/soak/src/schedule/tests.rs
+++ b/crates/soak/src/schedule/tests.rs
@@ -34,8 +34,8 @@
     for kind in Kind::value_variants() {
         let steps = generated(3, &[*kind]);
         assert!(!steps.is_empty(), "{kind:?}");
-        let last = Millis::new(SPAN.as_u64() - QUIET_END_MS + 2_500);
-        assert!(steps.iter().all(|step| step.at < last), "{kind:?}");
+        let end = Millis::new(SPAN.as_u64() - QUIET_END_MS + 2_500);
+        assert!(steps.iter().all(|step| step.at < end), "{kind:?}");
     }
 }
 
