--- a/crates/relay/src/peers/tests.rs
+++ b/crates/relay/src/peers/tests.rs
@@ -102,7 +102,7 @@
 /// second, the other VMs would learn of the removal more than two seconds later, and send requests
 /// to a runner that is gone.
 #[test]
-fn stopping_readers_are_skipped() {
+fn readers_that_stop_are_not_waited_for() {
     let mut peers = peers(6);
     let stopping = Status {
         lifecycle: Lifecycle::Stops,
